--- a/src/router/configuration_freshness.c
+++ b/src/router/configuration_freshness.c
@@ -7,10 +7,12 @@
 #include <string.h>
 
 enum {
-    STANDING_WAIT_S = 25, /* the store holds a call for 30 s at most; a longer wait is a call less */
-    CHECK_PERCENT = 30,   /* wait of a check: some two calls a second by one node, where a change takes 2 s */
-    READER_PERCENT = 55,  /* of a follower's usual evidence: a check's wait and slack (50), a heartbeat's way */
-    FOLLOWER_PERCENT = 70 /* a heartbeat may be lost; a reading and its answer from a slow store still come in time */
+    IDLE_WATCH_WAIT_S = 25, /* the store holds a call for 30 s at most; a longer wait saves calls */
+    CHECK_PERCENT = 30,     /* wait of a check: one node makes about two calls a second if a change may take 2 s */
+    READER_PERCENT =
+        55, /* usual age of evidence at a follower: wait and slack of a check (50 %) and the delay of a heartbeat */
+    FOLLOWER_PERCENT =
+        70 /* tolerates one lost heartbeat, and leaves time to read the configuration from a slow store */
 };
 
 void cw_configuration_freshness_init(cw_configuration_freshness_t *freshness, cw_time_us_t within)
@@ -19,7 +21,7 @@
     freshness->within = within;
 }
 
-static void count_pending(cw_configuration_freshness_t *freshness)
+static void apply_pending_evidence(cw_configuration_freshness_t *freshness)
 {
     if (freshness->pending_version <= freshness->version && freshness->pending_at > freshness->complete_at) {
         freshness->complete_at = freshness->pending_at;
@@ -29,7 +31,7 @@
 void cw_configuration_freshness_set(cw_configuration_freshness_t *freshness, uint64_t version)
 {
     freshness->version = version;
-    count_pending(freshness);
+    apply_pending_evidence(freshness);
 }
 
 void cw_configuration_freshness_confirm(cw_configuration_freshness_t *freshness, uint64_t version, cw_time_us_t at)
@@ -57,7 +59,7 @@
     case CW_CONFIGURATION_CHECKER:
         return check;
     case CW_CONFIGURATION_READER:
-        return age > freshness->within * READER_PERCENT / 100 ? check : CW_SECONDS(STANDING_WAIT_S);
+        return age > freshness->within * READER_PERCENT / 100 ? check : CW_SECONDS(IDLE_WATCH_WAIT_S);
     case CW_CONFIGURATION_FOLLOWER:
         break;
     }
--- a/src/router/configuration_freshness.h
+++ b/src/router/configuration_freshness.h
@@ -1,19 +1,21 @@
 /**
  * @file configuration_freshness.h
- * @brief How surely the configuration in force at a node is the newest one, and when the node has to check it itself.
+ * @brief Evidence that the configuration in force at a node is the newest one, and when the node checks it itself.
  *
  * Rules:
- *  - Evidence has the form "no configuration above version V had been acknowledged at moment T". It comes from an
- * answer of the store to this node's own call, or from another node that has such evidence, with its age.
- *  - Evidence counts from when a version at least as high as V is in force here. `complete_at` is the latest T that
- * counts: all that was acknowledged before it is in force.
- *  - That another node is alive, that it leads or reads, or that other calls to the store are answered is no evidence.
- *  - A node whose evidence grows old asks the store: the leader (or, without one, the readers) all the time by short
- *    watches, a zone's reader when its evidence is older than usual, any other node a little later.
+ *  - A piece of evidence states that no configuration above version V had been acknowledged by the store at time T.
+ *    It comes from a response of the store to this node's own call, or from another node that has such evidence and
+ *    sends its age.
+ *  - Evidence counts as soon as a version at least as high as V is in force here. `complete_at` is the latest T that
+ *    counts: all that was acknowledged before it is in force.
+ *  - It is no evidence that another node is alive, that it leads or reads, or that the store answers other calls.
+ *  - A node asks the store when its evidence grows old. The leader (or the readers, while there is no leader) asks
+ *    continuously with short watches, a zone's reader when its evidence is older than usual, and any other node a
+ *    little later.
  *
- * The shares below are of the time within which a change has to be in force. A watch that the store never answers is
- * given up after 50 % (wait and slack, platform_watch.c); then a reading and its way to the other nodes follow (some 10
- * to 20 %).
+ * The percentages in configuration_freshness.c are of the time within which a change has to be in force. A watch that
+ * the store never answers is given up after 50 % (its wait and its slack, see platform_watch.c). Reading the
+ * configuration and sending it to the other nodes then takes another 10 to 20 %.
  *
  * No I/O, no clock.
  */
@@ -22,35 +24,37 @@
 
 #include "base/time.h"
 
-/** What a node does for the others, as to the configuration. */
+/** The part that a node has in distributing the configuration. */
 typedef enum cw_configuration_role {
-    CW_CONFIGURATION_FOLLOWER, /**< gets it from other nodes */
-    CW_CONFIGURATION_READER,   /**< watches it for its zone, while the leader checks */
-    CW_CONFIGURATION_CHECKER   /**< checks it all the time: the leader; readers while nobody leads */
+    CW_CONFIGURATION_FOLLOWER, /**< receives it from other nodes */
+    CW_CONFIGURATION_READER,   /**< watches it for its zone while the leader checks it */
+    CW_CONFIGURATION_CHECKER   /**< checks it continuously: the leader, or the readers while there is no leader */
 } cw_configuration_role_t;
 
+/** The version in force at a node, and the evidence for it. */
 typedef struct cw_configuration_freshness {
-    cw_time_us_t within;          /**< a change has to be in force within this */
-    uint64_t     version;         /**< in force; 0: none */
-    cw_time_us_t complete_at;     /**< all that was acknowledged before this is in force; 0: not known */
-    uint64_t     pending_version; /**< evidence for a version that is not in force yet */
-    cw_time_us_t pending_at;
+    cw_time_us_t within;          /**< time within which a change has to be in force */
+    uint64_t     version;         /**< version in force; 0: none */
+    cw_time_us_t complete_at;     /**< what was acknowledged before this time is in force; 0: unknown */
+    uint64_t     pending_version; /**< version of evidence that does not count yet, since it is not in force */
+    cw_time_us_t pending_at;      /**< time of that evidence */
 } cw_configuration_freshness_t;
 
+/** Starts without a version and without evidence. within: time within which a change has to be in force. */
 void cw_configuration_freshness_init(cw_configuration_freshness_t *freshness, cw_time_us_t within);
-/** This version, higher than the one before, is in force now. */
+/** Records that this version, which is higher than the one before, is in force now. */
 void cw_configuration_freshness_set(cw_configuration_freshness_t *freshness, uint64_t version);
-/** Evidence: no version above this one had been acknowledged at `at`. */
+/** Records evidence that no version above this one had been acknowledged at time `at`. */
 void cw_configuration_freshness_confirm(cw_configuration_freshness_t *freshness, uint64_t version, cw_time_us_t at);
-/** Time since complete_at; since the start of the clock while nothing is known. */
+/** Time since complete_at. While that is unknown, time since the start of the clock. */
 cw_time_us_t cw_configuration_freshness_age(const cw_configuration_freshness_t *freshness, cw_time_us_t now);
-/** How long the store may hold the watch that this node needs now; 0: it needs none. */
+/** How long the store may hold the watch that a node in this role needs now; 0: it needs none. */
 cw_time_us_t cw_configuration_freshness_watch(const cw_configuration_freshness_t *freshness,
                                               cw_configuration_role_t role, cw_time_us_t now);
 
-/* In datagrams an age stands as milliseconds plus one; 0 says that nothing is known. */
+/** Age of the evidence as encoded in datagrams: milliseconds plus one; 0: unknown. */
 uint32_t cw_configuration_freshness_pack(const cw_configuration_freshness_t *freshness, cw_time_us_t now);
-/** Evidence that another node sent just now. */
+/** Records evidence that another node has just sent: its version, and its age as encoded by the function above. */
 void cw_configuration_freshness_unpack(cw_configuration_freshness_t *freshness, uint64_t version, uint32_t packed_age,
                                        cw_time_us_t now);
 
--- a/src/router/configuration_newest.h
+++ b/src/router/configuration_newest.h
@@ -1,12 +1,12 @@
 /**
  * @file configuration_newest.h
- * @brief The highest version of the configuration that other nodes have, and when this node reads it from the store
- * because no node has sent it.
+ * @brief The highest version of the configuration that other nodes have in force, and when this node reads it from the
+ * store because no node has sent it.
  *
  * Rules:
- *  - The time to get a version from other nodes counts from when one of them first had a higher one than this node; a
- *    still higher one does not restart it.
- *  - A reading of the store restarts it.
+ *  - The wait for other nodes to send a version starts when one of them is first known to have a higher version than
+ *    this node. A still higher version does not restart it.
+ *  - Reading the store restarts the wait.
  *
  * No I/O, no clock.
  */
@@ -17,22 +17,22 @@
 
 #include "base/time.h"
 
-/** All zeros: no other node is known to have one. */
+/** All zeros: no other node is known to have a configuration. */
 typedef struct cw_configuration_newest {
-    uint64_t     version; /**< highest that another node has in force */
-    cw_time_us_t since;   /**< when one was first higher than this node's, or was last read */
-    cw_time_us_t read_at; /**< last reading of the store for it; 0: none */
+    uint64_t     version; /**< highest version that another node has in force */
+    cw_time_us_t since;   /**< start of the wait: first known to be higher than this node's, or last read */
+    cw_time_us_t read_at; /**< start of the last read from the store for this reason; 0: none */
 } cw_configuration_newest_t;
 
-/** Another node has `version` in force, this one `own` (0: none). */
+/** Records that another node has `version` in force while this node has `own` (0: none). */
 void cw_configuration_newest_note(cw_configuration_newest_t *newest, uint64_t version, uint64_t own, cw_time_us_t now);
-/** Have other nodes had a higher version than `own` for at least `patience`, and this node not got it? */
-bool cw_configuration_newest_is_overdue(const cw_configuration_newest_t *newest, uint64_t own, cw_time_us_t patience,
+/** True if other nodes have had a higher version than `own` for at least `max_wait` and none has sent it. */
+bool cw_configuration_newest_is_overdue(const cw_configuration_newest_t *newest, uint64_t own, cw_time_us_t max_wait,
                                         cw_time_us_t now);
-/** It is being read from the store, since it is overdue. */
-void cw_configuration_newest_read(cw_configuration_newest_t *newest, cw_time_us_t now);
-/** It is too large to come from other nodes. True, and noted: it is to be read now, as the last reading is at least
- * `pause` ago. */
-bool cw_configuration_newest_read_large(cw_configuration_newest_t *newest, cw_time_us_t pause, cw_time_us_t now);
+/** Records that this node now reads the store because the version is overdue. */
+void cw_configuration_newest_start_read(cw_configuration_newest_t *newest, cw_time_us_t now);
+/** For a version that is too large to be sent by other nodes. Returns true, and records a read of the store, if the
+ * last one began at least `interval` ago; the caller then reads. */
+bool cw_configuration_newest_try_start_read(cw_configuration_newest_t *newest, cw_time_us_t interval, cw_time_us_t now);
 
 #endif
--- a/src/router/list_exchange.c
+++ b/src/router/list_exchange.c
@@ -1,6 +1,6 @@
 /**
  * @file list_exchange.c
- * @brief Whom a node asks for the list, and whom it answers.
+ * @brief From which node the list is requested, and to which nodes it is sent.
  */
 #include "router/list_exchange.h"
 
@@ -9,34 +9,34 @@
 #include "base/memory.h"
 
 enum {
-    ASK_AGAIN_MS = 300,   /* a window takes 0.1 s where the answering node serves one at a time, 0.3 s with three */
-    ASK_RARELY_MS = 2000, /* the leader's own list comes within WHOLE_WAIT_MS and WHOLE_WAIT_NODE_MS (router_push.c) */
-    ASKS_IN_VAIN = 2,     /* nodes asked one after the other, before that */
-    REDIRECT_MS = 20,     /* the node that is named may not have the last page itself yet */
-    HEARTBEATS_MS = 1000, /* three heartbeats of the leader, of LEADER_PAUSE_MS each */
-    HOLDERS_MAX = 64,     /* nodes of the zone known to have the list: more than are asked while it comes */
-    TRANSFERS_MAX = 10,   /* at a time: one for each small link that fits in this node's, so that each ends soon and
-                           * the node that got it serves others */
+    RETRY_MS = 300,       /* a window takes 0.1 s if the sending node serves one node at a time, and 0.3 s with three */
+    SLOW_RETRY_MS = 2000, /* the leader sends the list after WHOLE_WAIT_MS and WHOLE_WAIT_NODE_MS (router_push.c) */
+    UNANSWERED_MAX = 2,   /* nodes asked one after the other before the slow retry */
+    REDIRECT_MS = 20,     /* the named node may not have received the last page itself yet */
+    HEARTBEAT_TIMEOUT_MS = 1000, /* three intervals of the leader's heartbeats, LEADER_PAUSE_MS each */
+    HOLDERS_MAX = 64,            /* nodes of the zone known to have a list: more than are asked during one transfer */
+    TRANSFERS_MAX = 10, /* simultaneous transfers: as many as small links fit into this node's link, so that each
+                         * ends soon and its receiver serves others */
     TRANSFER_BYTES_PER_S = 800000, /* a third of 20 Mbit/s */
-    WAITING_MAX = 64,              /* nodes that have asked while all transfers were taken */
-    TRANSFER_IDLE_MS = 300,        /* a node that asks no more has left, or asks another one */
-    SERVED_MAX = 16,               /* nodes remembered that have got the list from this one */
-    BURST_MS = 200                 /* of the allowance, that may be sent at once */
+    WAITING_MAX = 64,              /* requests kept while all transfers are in use */
+    TRANSFER_IDLE_MS = 300,        /* a node that sends no request for so long has left, or asks another node */
+    SERVED_MAX = 16,               /* kept addresses of nodes that received the list from this one */
+    BURST_MS = 200                 /* part of the allowance that may be sent at once */
 };
 
-/** A node that is being sent the list window by window. */
+/** A node to which the list is being sent window by window. */
 typedef struct transfer {
-    uint32_t         address;  /**< 0: none */
-    cw_time_us_t     asked_at; /**< last */
-    cw_list_window_t window;   /**< to be sent as soon as the allowance is there; count 0: none */
+    uint32_t         address;      /**< 0: none */
+    cw_time_us_t     requested_at; /**< last request */
+    cw_list_window_t window;       /**< pages to be sent as soon as the allowance permits; count 0: none */
 } transfer_t;
 
-/** A node that asked while all transfers were taken. */
+/** A request that arrived while all transfers were in use. */
 typedef struct waiting {
     uint32_t         address;
-    cw_time_us_t     asked_at;
+    cw_time_us_t     requested_at;
     cw_list_window_t window;
-} waiting_t;
+} waiting_request_t;
 
 /** A node of the zone and the list that it has. */
 typedef struct holder {
@@ -47,36 +47,37 @@
 struct cw_list_exchange {
     cw_list_exchange_owner_t owner;
 
-    /* asking */
-    cw_list_number_t wanted;     /**< number 0: nothing is asked for */
-    cw_time_us_t     wanted_at;  /**< last heartbeat that named one */
-    cw_list_number_t target;     /**< the list whose pages are asked for: as wanted, or an earlier one of its term */
-    cw_list_number_t refused;    /**< it came whole, and is not the one in force */
-    uint32_t         missing;    /**< first page of the target that has not come */
-    uint32_t         window_end; /**< pages below this one were asked for */
-    uint32_t         in_vain;    /**< requests since the last page */
-    cw_time_us_t     ask_at;
-    uint32_t         redirected_to; /**< 0: by turns */
-    uint32_t         turn;
-    uint32_t         asked; /**< last */
+    /* requests */
+    cw_list_number_t wanted;    /**< newest list that the leader named; number 0: none */
+    cw_time_us_t     wanted_at; /**< last heartbeat that named a list */
+    cw_list_number_t
+        target; /**< the list being requested: the wanted one, or an earlier one of its term; number 0: none */
+    cw_list_number_t rejected;         /**< it was received whole, but has not come into force */
+    uint32_t         missing;          /**< first page of the target that has not been received */
+    uint32_t         window_end;       /**< pages below this one have been requested */
+    uint32_t         unanswered;       /**< requests since the last page was received */
+    cw_time_us_t     next_request_at;  /**< no request is sent before */
+    uint32_t         redirect_address; /**< node that a redirect named; 0: holders are asked in rotation */
+    uint32_t         round_robin;      /**< rotation through the holders */
+    uint32_t         last_asked;       /**< node to which the last request was sent */
     holder_t         holders[HOLDERS_MAX];
     size_t           holder_count;
-    size_t           next_holder; /**< to be replaced when there are more */
-
-    /* answering */
-    double           allowance; /**< bytes that may be sent now */
-    cw_time_us_t     filled_at;
-    cw_list_number_t sent; /**< the list that was sent last */
-    transfer_t       transfers[TRANSFERS_MAX];
-    size_t           transfer_count;       /* at a time */
-    waiting_t        waiting[WAITING_MAX]; /* the earliest first */
-    size_t           waiting_count;
-    uint32_t         served[SERVED_MAX];
-    size_t           served_count;
-    size_t           served_next; /**< the one to be named next */
+    size_t           next_holder; /**< index of the one to be replaced when the table is full */
+
+    /* replies */
+    double            allowance; /**< bytes that may be sent now */
+    cw_time_us_t      filled_at;
+    cw_list_number_t  sent; /**< list that was sent last; `served` are the nodes that received it */
+    transfer_t        transfers[TRANSFERS_MAX];
+    size_t            transfer_count;       /* simultaneous transfers allowed */
+    waiting_request_t waiting[WAITING_MAX]; /* in order of arrival */
+    size_t            waiting_count;
+    uint32_t          served[SERVED_MAX];
+    size_t            served_count;
+    size_t            served_next; /**< index of the next one to be named in a redirect */
 };
 
-static size_t transfers_of(double bytes_per_s)
+static size_t transfer_count_for(double bytes_per_s)
 {
     double count = bytes_per_s / TRANSFER_BYTES_PER_S;
 
@@ -88,8 +89,8 @@
     cw_list_exchange_t *exchange = cw_memory_zeroed(sizeof(*exchange));
 
     exchange->owner = *owner;
-    exchange->turn = owner->own_address;
-    exchange->transfer_count = transfers_of(owner->bytes_per_s);
+    exchange->round_robin = owner->own_address;
+    exchange->transfer_count = transfer_count_for(owner->bytes_per_s);
     return exchange;
 }
 
@@ -103,9 +104,9 @@
     return one.term == other.term && one.number == other.number;
 }
 
-/* ---- asking ---- */
+/* ---- requests ---- */
 
-static void begin_target(cw_list_exchange_t *exchange, cw_list_number_t target)
+static void set_target(cw_list_exchange_t *exchange, cw_list_number_t target)
 {
     exchange->target = target;
     exchange->missing = 0;
@@ -114,29 +115,29 @@
 
 static bool is_receiving(const cw_list_exchange_t *exchange)
 {
-    return exchange->missing > 0 && exchange->in_vain <= ASKS_IN_VAIN;
+    return exchange->missing > 0 && exchange->unanswered <= UNANSWERED_MAX;
 }
 
-void cw_list_exchange_want(cw_list_exchange_t *exchange, cw_list_number_t wanted, cw_list_number_t has,
-                           cw_time_us_t now)
+void cw_list_exchange_set_wanted(cw_list_exchange_t *exchange, cw_list_number_t wanted, cw_list_number_t has,
+                                 cw_time_us_t now)
 {
     if (wanted.term < exchange->wanted.term) {
-        return; /* of an earlier leader */
+        return; /* sent by an earlier leader */
     }
     if (wanted.term != exchange->wanted.term) {
         exchange->holder_count = 0;
         exchange->next_holder = 0;
-        exchange->redirected_to = 0;
-        exchange->in_vain = 0;
-        exchange->ask_at = now;
+        exchange->redirect_address = 0;
+        exchange->unanswered = 0;
+        exchange->next_request_at = now;
     }
     exchange->wanted = wanted;
     exchange->wanted_at = now;
     if (has.term == wanted.term && has.number != 0) {
-        begin_target(exchange, (cw_list_number_t){0});
+        set_target(exchange, (cw_list_number_t){0});
     } else if (exchange->target.term != wanted.term || exchange->target.number == 0 || !is_receiving(exchange)) {
         if (!is_same(exchange->target, wanted)) {
-            begin_target(exchange, wanted);
+            set_target(exchange, wanted);
         }
     }
 }
@@ -153,19 +154,19 @@
     return NULL;
 }
 
-static bool has_target(const cw_list_exchange_t *exchange, cw_list_number_t has)
+static bool covers_target(const cw_list_exchange_t *exchange, cw_list_number_t has)
 {
     return exchange->target.number != 0 && has.term == exchange->target.term && has.number >= exchange->target.number;
 }
 
-/* One more node can be asked: those that were asked in vain were busy with others, or are gone. */
-static void begin_turns(cw_list_exchange_t *exchange, cw_time_us_t now)
+/* Called when a further node has the list: the nodes that did not reply were busy with others, or have ended. */
+static void resume_requests(cw_list_exchange_t *exchange, cw_time_us_t now)
 {
-    cw_time_us_t soon = now + CW_MS(ASK_AGAIN_MS);
+    cw_time_us_t retry_at = now + CW_MS(RETRY_MS);
 
-    if (exchange->in_vain >= ASKS_IN_VAIN) {
-        exchange->in_vain = 0;
-        exchange->ask_at = exchange->ask_at < soon ? exchange->ask_at : soon;
+    if (exchange->unanswered >= UNANSWERED_MAX) {
+        exchange->unanswered = 0;
+        exchange->next_request_at = exchange->next_request_at < retry_at ? exchange->next_request_at : retry_at;
     }
 }
 
@@ -183,7 +184,8 @@
     return holder;
 }
 
-void cw_list_exchange_note(cw_list_exchange_t *exchange, uint32_t address, cw_list_number_t has, cw_time_us_t now)
+void cw_list_exchange_note_holder(cw_list_exchange_t *exchange, uint32_t address, cw_list_number_t has,
+                                  cw_time_us_t now)
 {
     holder_t *holder = find_holder(exchange, address);
 
@@ -191,107 +193,108 @@
         return;
     }
     holder = holder == NULL ? add_holder(exchange, address) : holder;
-    if (has_target(exchange, has) && !has_target(exchange, holder->has)) {
-        begin_turns(exchange, now);
+    if (covers_target(exchange, has) && !covers_target(exchange, holder->has)) {
+        resume_requests(exchange, now);
     }
     holder->has = has;
 }
 
-/* It has not answered this node's last request. */
-static bool is_silent(const cw_list_exchange_t *exchange, const holder_t *holder)
+/* True if the holder has not replied to this node's last request, and there is another one. */
+static bool left_request_unanswered(const cw_list_exchange_t *exchange, const holder_t *holder)
 {
-    return exchange->in_vain > 0 && exchange->holder_count > 1 && holder->address == exchange->asked;
+    return exchange->unanswered > 0 && exchange->holder_count > 1 && holder->address == exchange->last_asked;
 }
 
-/* The next one by turns that has the list, or a later one of its term; 0: none. */
+/* The next node in rotation that has the target, or a later list of its term; 0: none. */
 static uint32_t choose_holder(cw_list_exchange_t *exchange)
 {
     size_t step;
 
     for (step = 0; step < exchange->holder_count; step++) {
-        const holder_t *holder = &exchange->holders[exchange->turn++ % exchange->holder_count];
+        const holder_t *holder = &exchange->holders[exchange->round_robin++ % exchange->holder_count];
 
-        if (has_target(exchange, holder->has) && !is_silent(exchange, holder)) {
+        if (covers_target(exchange, holder->has) && !left_request_unanswered(exchange, holder)) {
             return holder->address;
         }
     }
     return 0;
 }
 
-static void ask(cw_list_exchange_t *exchange, uint32_t address, cw_time_us_t now)
+static void send_request(cw_list_exchange_t *exchange, uint32_t address, cw_time_us_t now)
 {
     cw_list_window_t window = {.of = exchange->target, .first = exchange->missing, .count = CW_LIST_WINDOW_PAGES};
 
-    exchange->asked = address;
-    exchange->redirected_to = 0;
+    exchange->last_asked = address;
+    exchange->redirect_address = 0;
     exchange->window_end = window.first + window.count;
-    exchange->in_vain++;
-    exchange->ask_at = now + CW_MS(exchange->in_vain < ASKS_IN_VAIN ? ASK_AGAIN_MS : ASK_RARELY_MS);
+    exchange->unanswered++;
+    exchange->next_request_at = now + CW_MS(exchange->unanswered < UNANSWERED_MAX ? RETRY_MS : SLOW_RETRY_MS);
     exchange->owner.request(exchange->owner.context, address, &window);
 }
 
-static void ask_due(cw_list_exchange_t *exchange, cw_time_us_t now)
+static void request_if_due(cw_list_exchange_t *exchange, cw_time_us_t now)
 {
     uint32_t address;
 
-    if (exchange->target.number == 0 || is_same(exchange->target, exchange->refused) || now < exchange->ask_at ||
-        now - exchange->wanted_at > CW_MS(HEARTBEATS_MS)) {
+    if (exchange->target.number == 0 || is_same(exchange->target, exchange->rejected) ||
+        now < exchange->next_request_at || now - exchange->wanted_at > CW_MS(HEARTBEAT_TIMEOUT_MS)) {
         return;
     }
-    address = exchange->redirected_to != 0 ? exchange->redirected_to : choose_holder(exchange);
+    address = exchange->redirect_address != 0 ? exchange->redirect_address : choose_holder(exchange);
     if (address != 0) {
-        ask(exchange, address, now);
+        send_request(exchange, address, now);
     }
 }
 
-void cw_list_exchange_page_came(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t next_missing,
-                                uint32_t pages, cw_time_us_t now)
+void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t next_missing,
+                                    uint32_t pages, cw_time_us_t now)
 {
     if (exchange->target.number == 0 || of.term != exchange->target.term || of.number < exchange->target.number) {
         return;
     }
     if (of.number > exchange->target.number) {
-        begin_target(exchange, of);
+        set_target(exchange, of);
     }
     exchange->missing = next_missing;
-    exchange->in_vain = 0;
-    exchange->ask_at = now + CW_MS(ASK_AGAIN_MS);
+    exchange->unanswered = 0;
+    exchange->next_request_at = now + CW_MS(RETRY_MS);
     if (next_missing >= pages) {
-        exchange->refused = of; /* unless the next heartbeat finds it in force */
-    } else if (next_missing >= exchange->window_end && exchange->asked != 0) {
-        ask(exchange, exchange->asked, now);
+        exchange->rejected = of; /* has no effect if the list is in force at the next heartbeat */
+    } else if (next_missing >= exchange->window_end && exchange->last_asked != 0) {
+        send_request(exchange, exchange->last_asked, now);
     }
 }
 
-void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t instead, cw_time_us_t now)
+void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t other_holder,
+                                 cw_time_us_t now)
 {
-    if (!is_same(of, exchange->target) || exchange->target.number == 0 || instead == exchange->owner.own_address) {
+    if (!is_same(of, exchange->target) || exchange->target.number == 0 || other_holder == exchange->owner.own_address) {
         return;
     }
-    exchange->redirected_to = instead;
-    exchange->in_vain = 0;
-    exchange->ask_at = now + CW_MS(REDIRECT_MS);
+    exchange->redirect_address = other_holder;
+    exchange->unanswered = 0;
+    exchange->next_request_at = now + CW_MS(REDIRECT_MS);
 }
 
-/* ---- answering ---- */
+/* ---- replies ---- */
 
-/* May more be sent now? */
+/* Returns true if more may be sent now. */
 static bool refill_allowance(cw_list_exchange_t *exchange, cw_time_us_t now)
 {
-    double most = exchange->owner.bytes_per_s * BURST_MS / 1000;
+    double burst_bytes = exchange->owner.bytes_per_s * BURST_MS / 1000;
 
     exchange->allowance += exchange->owner.bytes_per_s * (double)(now - exchange->filled_at) / 1e6;
-    exchange->allowance = exchange->allowance > most ? most : exchange->allowance;
+    exchange->allowance = exchange->allowance > burst_bytes ? burst_bytes : exchange->allowance;
     exchange->filled_at = now;
     return exchange->owner.bytes_per_s == 0 || exchange->allowance > 0;
 }
 
 static bool is_idle(const transfer_t *transfer, cw_time_us_t now)
 {
-    return transfer->window.count == 0 && now - transfer->asked_at > CW_MS(TRANSFER_IDLE_MS);
+    return transfer->window.count == 0 && now - transfer->requested_at > CW_MS(TRANSFER_IDLE_MS);
 }
 
-/* The place of this node's transfer, or one for it; NULL: all are taken. */
+/* The entry of this node's transfer, or a free one; NULL: all are in use. */
 static transfer_t *find_transfer(cw_list_exchange_t *exchange, uint32_t address, cw_time_us_t now)
 {
     transfer_t *found = NULL;
@@ -310,7 +313,7 @@
     return found;
 }
 
-static void forget_waiting(cw_list_exchange_t *exchange, uint32_t address)
+static void remove_waiting(cw_list_exchange_t *exchange, uint32_t address)
 {
     size_t kept = 0;
     size_t index;
@@ -323,30 +326,31 @@
     exchange->waiting_count = kept;
 }
 
-/* It is served as soon as a transfer ends, unless it has asked another node by then. */
-static void let_wait(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window, cw_time_us_t now)
+/* Keeps a request until a transfer ends. It is dropped if it is too old then: its node has asked another one. */
+static void enqueue_waiting(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
+                            cw_time_us_t now)
 {
-    forget_waiting(exchange, address);
-    if (exchange->waiting_count < WAITING_MAX) { /* else it asks again */
+    remove_waiting(exchange, address);
+    if (exchange->waiting_count < WAITING_MAX) { /* otherwise the node repeats its request */
         exchange->waiting[exchange->waiting_count++] =
-            (waiting_t){.address = address, .asked_at = now, .window = *window};
+            (waiting_request_t){.address = address, .requested_at = now, .window = *window};
     }
 }
 
 static void redirect(cw_list_exchange_t *exchange, uint32_t address, cw_list_number_t of)
 {
-    uint32_t instead;
+    uint32_t other_holder;
 
     if (exchange->served_count == 0 || !is_same(of, exchange->sent)) {
-        return; /* it asks again */
+        return; /* the node repeats its request */
     }
-    instead = exchange->served[exchange->served_next++ % exchange->served_count];
-    if (instead != address) {
-        exchange->owner.redirect(exchange->owner.context, address, of, instead);
+    other_holder = exchange->served[exchange->served_next++ % exchange->served_count];
+    if (other_holder != address) {
+        exchange->owner.redirect(exchange->owner.context, address, of, other_holder);
     }
 }
 
-static void begin_sending(cw_list_exchange_t *exchange, cw_list_number_t of)
+static void set_sent_list(cw_list_exchange_t *exchange, cw_list_number_t of)
 {
     if (!is_same(of, exchange->sent)) {
         exchange->sent = of;
@@ -369,39 +373,39 @@
     size_t           bytes = exchange->owner.send_pages(exchange->owner.context, transfer->address, &window, &is_last);
 
     transfer->window.count = 0;
-    if (bytes == 0) { /* this node has another list */
+    if (bytes == 0) { /* this node does not have that list */
         *transfer = (transfer_t){0};
         return;
     }
-    begin_sending(exchange, window.of);
+    set_sent_list(exchange, window.of);
     exchange->allowance -= (double)bytes;
     if (is_last) {
         end_transfer(exchange, transfer);
     }
 }
 
-/* Transfers that are free go to those that wait. */
-static void begin_waiting(cw_list_exchange_t *exchange, cw_time_us_t now)
+/* Starts transfers for waiting requests while there are free ones. */
+static void start_waiting_transfers(cw_list_exchange_t *exchange, cw_time_us_t now)
 {
     while (exchange->waiting_count > 0) {
-        waiting_t   first = exchange->waiting[0];
-        transfer_t *transfer = find_transfer(exchange, first.address, now);
+        waiting_request_t first = exchange->waiting[0];
+        transfer_t       *transfer = find_transfer(exchange, first.address, now);
 
         if (transfer == NULL) {
             return;
         }
-        forget_waiting(exchange, first.address);
-        if (now - first.asked_at <= CW_MS(ASK_AGAIN_MS)) {
-            *transfer = (transfer_t){.address = first.address, .asked_at = now, .window = first.window};
+        remove_waiting(exchange, first.address);
+        if (now - first.requested_at <= CW_MS(RETRY_MS)) {
+            *transfer = (transfer_t){.address = first.address, .requested_at = now, .window = first.window};
         }
     }
 }
 
-static void send_due(cw_list_exchange_t *exchange, cw_time_us_t now)
+static void send_pending_windows(cw_list_exchange_t *exchange, cw_time_us_t now)
 {
     size_t index;
 
-    begin_waiting(exchange, now);
+    start_waiting_transfers(exchange, now);
     for (index = 0; index < exchange->transfer_count; index++) {
         if (exchange->transfers[index].window.count > 0 && refill_allowance(exchange, now)) {
             send_window(exchange, &exchange->transfers[index]);
@@ -415,17 +419,17 @@
     transfer_t *transfer = find_transfer(exchange, address, now);
 
     if (transfer == NULL) {
-        let_wait(exchange, address, window, now);
+        enqueue_waiting(exchange, address, window, now);
         redirect(exchange, address, window->of);
         return;
     }
-    forget_waiting(exchange, address);
-    *transfer = (transfer_t){.address = address, .asked_at = now, .window = *window};
-    send_due(exchange, now);
+    remove_waiting(exchange, address);
+    *transfer = (transfer_t){.address = address, .requested_at = now, .window = *window};
+    send_pending_windows(exchange, now);
 }
 
 void cw_list_exchange_tick(cw_list_exchange_t *exchange, cw_time_us_t now)
 {
-    send_due(exchange, now);
-    ask_due(exchange, now);
+    send_pending_windows(exchange, now);
+    request_if_due(exchange, now);
 }
--- a/src/router/list_exchange.h
+++ b/src/router/list_exchange.h
@@ -1,19 +1,22 @@
 /**
  * @file list_exchange.h
- * @brief How a node gets the whole list of servers from nodes of its own zone, and gives it to them.
+ * @brief How nodes of a zone get the whole list of servers from each other.
  *
  * Rules:
- *  - A node whose list is not the one that the leader's heartbeat names, and that has none of the leader's term to lay
- *    changes over, asks a node of its zone that has reported the list. Without a page within a pause it asks the next
- *    one, for the pages that are missing. After two of them it asks rarely: the leader sends the list by then.
- *  - It asks only while heartbeats come: a zone that is cut from the leader asks for nothing.
- *  - A transfer under way goes on with its number while newer ones appear: changes since it are few, and are laid over.
- *  - Those that have the list double with each transfer. A node answers as many at a time as small links fit in its
- * own, so that these soon serve others, and sends no more than its allowance, a part of its link. Others wait for their
- * turn, and are named a node that it has served.
- *  - What comes is offered to the owner, who decides by the store's revision whether it replaces the list in force.
+ *  - A node requests the list that the leader's heartbeat names if it has another one, and none of the leader's term
+ *    to which changes could be applied. It asks a node of its zone that has reported that list. If no page arrives
+ *    within a pause, it asks the next node for the pages that are missing. After two such nodes it asks rarely, since
+ *    the leader sends the list by then.
+ *  - It sends requests only while heartbeats arrive: a zone that is cut off from the leader requests nothing.
+ *  - A transfer continues with its list number while newer lists appear. The changes since then are few and are
+ *    applied afterwards.
+ *  - The number of nodes that have the list doubles with each transfer. A node serves as many nodes at a time as
+ *    small links fit into its own link, so that these soon serve others. It sends no more than its allowance, a part
+ *    of its link. Further requests wait, and their nodes are told of a node that has already been served.
+ *  - A received list is offered to the owner, who decides by the store's revision whether it replaces the list in
+ *    force.
  *
- * No I/O, no clock: requests and pages go out by callbacks, and time is a parameter.
+ * No I/O, no clock: requests and pages are sent through callbacks, and time is a parameter.
  */
 #ifndef CEDARWINCH_ROUTER_LIST_EXCHANGE_H
 #define CEDARWINCH_ROUTER_LIST_EXCHANGE_H
@@ -30,49 +33,52 @@
 
 typedef struct cw_list_exchange cw_list_exchange_t;
 
-/** A list as the leader numbers it. */
+/** Identifies a list by the number that the leader gave it. */
 typedef struct cw_list_number {
     uint64_t term;
     uint64_t number; /**< within the term; 0: none */
 } cw_list_number_t;
 
-/** Pages of a list that a node asks for. */
+/** Pages of a list that a node requests. */
 typedef struct cw_list_window {
     cw_list_number_t of;
     uint32_t         first; /**< first page that is missing */
-    uint32_t         count;
+    uint32_t         count; /**< number of pages */
 } cw_list_window_t;
 
-/** What an exchange asks of its owner. */
+/** Callbacks and settings that the owner of an exchange provides. */
 typedef struct cw_list_exchange_owner {
     void *context;
-    /** Asks the node at `address` for these pages. */
+    /** Requests these pages from the node at `address`. */
     void (*request)(void *context, uint32_t address, const cw_list_window_t *window);
-    /** Sends these pages. Returns the bytes sent, 0: this node has no such list; is_last: the last page was sent. */
+    /** Sends these pages. Returns the bytes sent; 0: this node does not have that list. is_last: set to true if the
+     * last page of the list was among them. */
     size_t (*send_pages)(void *context, uint32_t address, const cw_list_window_t *window, bool *is_last);
-    /** Names to the node at `address` another one, that this node has served. */
-    void (*redirect)(void *context, uint32_t address, cw_list_number_t of, uint32_t instead);
-    double   bytes_per_s; /**< of pages that may be sent; 0: any number */
-    uint32_t own_address; /**< nodes that begin at once begin with different ones */
+    /** Tells the node at `address` of another node, which has received the list from this one. */
+    void (*redirect)(void *context, uint32_t address, cw_list_number_t of, uint32_t other_holder);
+    double   bytes_per_s; /**< bytes of pages that may be sent per second; 0: no limit */
+    uint32_t own_address; /**< start of the rotation, so that nodes that start together ask different ones */
 } cw_list_exchange_owner_t;
 
 cw_list_exchange_t *cw_list_exchange_create(const cw_list_exchange_owner_t *owner);
 void                cw_list_exchange_destroy(cw_list_exchange_t *exchange);
 
-/** The leader's heartbeat names this list; `has` is the one in force here. A list of the same term: nothing is asked
- * for, what changed comes from the leader. */
-void cw_list_exchange_want(cw_list_exchange_t *exchange, cw_list_number_t wanted, cw_list_number_t has,
-                           cw_time_us_t now);
-/** The node at `address`, of this node's zone, reports that it has this list. */
-void cw_list_exchange_note(cw_list_exchange_t *exchange, uint32_t address, cw_list_number_t has, cw_time_us_t now);
-/** A page of a whole list has come; `next_missing`: first page not yet here, `pages` when none is. */
-void cw_list_exchange_page_came(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t next_missing,
-                                uint32_t pages, cw_time_us_t now);
-/** The node that was asked is beyond its allowance, and names another one. */
-void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t instead, cw_time_us_t now);
-/** Asks where it is time to, and sends what waited for the allowance. */
+/** Records that the leader's heartbeat names the list `wanted`, while `has` is in force here. If both are of the same
+ * term, nothing is requested, since the leader sends the changes. */
+void cw_list_exchange_set_wanted(cw_list_exchange_t *exchange, cw_list_number_t wanted, cw_list_number_t has,
+                                 cw_time_us_t now);
+/** Records that the node at `address`, of this node's zone, has this list. */
+void cw_list_exchange_note_holder(cw_list_exchange_t *exchange, uint32_t address, cw_list_number_t has,
+                                  cw_time_us_t now);
+/** Records that a page of a whole list was received. next_missing: first page that is missing; `pages`: none is. */
+void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t next_missing,
+                                    uint32_t pages, cw_time_us_t now);
+/** Records that the node that was asked cannot serve this one now, and names another one. */
+void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t other_holder,
+                                 cw_time_us_t now);
+/** Sends a request if one is due, and pages that were waiting for the allowance. Called at each tick. */
 void cw_list_exchange_tick(cw_list_exchange_t *exchange, cw_time_us_t now);
-/** The node at `address` asks this one. */
+/** Handles a request of the node at `address`: sends the pages now, or as soon as a transfer is free. */
 void cw_list_exchange_take_request(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
                                    cw_time_us_t now);
 
--- a/src/router/reading_turn.h
+++ b/src/router/reading_turn.h
@@ -1,12 +1,13 @@
 /**
  * @file reading_turn.h
- * @brief When a node that does not read for others reads the whole list of servers by itself.
+ * @brief When a node that is not a reader of its zone reads the whole list of servers from the store itself.
  *
- * Nodes whose list has not come, or is not renewed, get to that point in the same moment, and each of them reads all of
- * it. What they read together grows with nodes x servers: a thousand nodes that read ten thousand servers keep a store
- * with a link of 1 Gbit/s busy for half a minute, the leader's readings wait behind theirs, and no list gets younger.
- * So they take turns: a window that is long enough for all of them at a bounded rate, and in it a place by the node's
- * name. Who gets the list from the leader or another node meanwhile does not read at all.
+ * Nodes whose list has not arrived, or is not renewed, all decide to read it at the same time, and each of them reads
+ * the whole list. The total grows with nodes x servers: a thousand nodes that read ten thousand servers keep a store
+ * with a link of 1 Gbit/s busy for half a minute. The leader's own reads wait behind theirs, so that no list becomes
+ * fresher. The reads are therefore spread over a window that is long enough for all nodes at a bounded rate; the hash
+ * of a node's name determines its delay in the window. A node that receives the list from the leader or from another
+ * node before its delay ends does not read.
  *
  * No I/O, no clock.
  */
@@ -19,13 +20,14 @@
 #include "base/time.h"
 
 enum {
-    CW_LIST_ENTRY_BYTES = 350,           /**< of a server, as the store writes it */
-    CW_READING_BYTES_A_SECOND = 50000000 /**< of all nodes; leaves more than half of 1 Gbit/s to leader and readers */
+    CW_LIST_ENTRY_BYTES = 350, /**< size of a server's entry in the store's response */
+    CW_LIST_READ_BYTES_PER_SECOND =
+        50000000 /**< of all nodes together; leaves more than half of 1 Gbit/s to the leader and the readers */
 };
 
-/** How long all nodes take to read a list of so many servers, one after the other. */
-cw_time_us_t cw_reading_window(size_t nodes, size_t servers);
-/** The node's place in a window. */
-cw_time_us_t cw_reading_turn(uint32_t node, cw_time_us_t window);
+/** Time that so many nodes take to read a list of so many servers at CW_LIST_READ_BYTES_PER_SECOND. */
+cw_time_us_t cw_list_read_window(size_t nodes, size_t servers);
+/** Delay of a node within the window. node: hash of its name. */
+cw_time_us_t cw_list_read_delay(uint32_t node, cw_time_us_t window);
 
 #endif
--- a/src/router/replaced_numbers.c
+++ b/src/router/replaced_numbers.c
@@ -1,6 +1,6 @@
 /**
  * @file replaced_numbers.c
- * @brief A ring of the last numbers that were replaced.
+ * @brief Ring buffer of the last numbers that were replaced.
  */
 #include "router/replaced_numbers.h"
 
--- a/src/router/replaced_numbers.h
+++ b/src/router/replaced_numbers.h
@@ -1,11 +1,11 @@
 /**
  * @file replaced_numbers.h
- * @brief Until when earlier lists, or tables, of the leader were true: evidence for nodes that do not have the newest
- * yet.
+ * @brief Until when earlier lists, or tables, of the leader were valid: evidence for nodes that do not have the newest
+ * one yet.
  *
- * While changes follow one another closely, a large fleet has mostly the last but one or two. A node with an earlier
- * number goes by something that was true until the leader knew better, and the leader tells when that was: so its age
- * counts from then, not from when the node last had the newest.
+ * While changes follow each other closely, most nodes of a large fleet are one or two numbers behind. What such a node
+ * uses was valid until the leader learned of the next change. The leader sends the age of that moment, and the node
+ * computes the age of its list from it instead of from the last time at which it had the newest number.
  *
  * No I/O, no clock.
  */
@@ -17,23 +17,24 @@
 
 #include "base/time.h"
 
-enum { CW_REPLACED_KEPT = 8 /**< numbers that a heartbeat tells of; 3 bytes each */ };
+enum { CW_REPLACED_KEPT = 8 /**< numbers that a heartbeat covers; 3 bytes each */ };
 
-/** All zeros: none. */
+/** The last numbers that were replaced. All zeros: none. */
 typedef struct cw_replaced_numbers {
-    uint64_t     newest;                    /**< replaced; 0: none */
-    cw_time_us_t true_at[CW_REPLACED_KEPT]; /**< by number, modulo */
-    size_t       count;
+    uint64_t     newest;                    /**< last number that was replaced; 0: none */
+    cw_time_us_t true_at[CW_REPLACED_KEPT]; /**< when a number was last valid, at index number % CW_REPLACED_KEPT */
+    size_t       count;                     /**< numbers that are kept */
 } cw_replaced_numbers_t;
 
-/** A new term: no number of it has been replaced. */
+/** Starts a new term, in which no number has been replaced. */
 void cw_replaced_numbers_begin(cw_replaced_numbers_t *replaced);
-/** This number, one more than the last, is replaced; it was surely true until then. */
+/** Records that this number was replaced; it was certainly valid at `true_at`. A gap in the numbers discards earlier
+ * ones. */
 void cw_replaced_numbers_add(cw_replaced_numbers_t *replaced, uint64_t number, cw_time_us_t true_at);
-/** Ages of the last numbers that were replaced, the newest first, milliseconds. Returns how many. */
+/** Ages in milliseconds of the last numbers that were replaced, the newest first. Returns how many. */
 size_t cw_replaced_numbers_ages(const cw_replaced_numbers_t *replaced, cw_time_us_t now,
                                 uint32_t ages_ms[CW_REPLACED_KEPT]);
-/** When the number `has` was surely true, by ages that the leader told with its newest number; 0: not known. */
+/** When the number `has` was certainly valid, from the ages that the leader sent with its newest number; 0: unknown. */
 cw_time_us_t cw_replaced_numbers_true_at(uint64_t has, uint64_t newest, const uint32_t *ages_ms, size_t count,
                                          cw_time_us_t now);
 
--- a/src/router/router_configuration.c
+++ b/src/router/router_configuration.c
@@ -4,8 +4,8 @@
  *
  * Rules:
  *  - A version is taken only if it is higher than the one in force, whoever sent it: never back.
- *  - A few nodes watch it in the store (store_reader.h); the others get it from them (configuration_exchange.h). A node
- *    that has known of a higher version for a while without getting it reads the store itself.
+ *  - A few nodes watch it in the store (store_reader.h); the others get it from them (configuration_exchange.h). A
+ *    node that has known of a higher version for a while without getting it reads the store itself.
  *  - Each node knows how surely its own is the newest one, and checks it at the store when that grows old
  *    (configuration_freshness.h).
  */
@@ -106,12 +106,12 @@
 
 void cw_router_note_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now)
 {
-    bool is_near = strcmp(peer->zone, router->settings.zone) == 0;
+    bool is_same_zone = strcmp(peer->zone, router->settings.zone) == 0;
 
     if (version <= cw_router_version(router)) {
         return;
     }
-    cw_configuration_exchange_note(router->exchange, peer->address, version, is_near, now);
+    cw_configuration_exchange_note_holder(router->exchange, peer->address, version, is_same_zone, now);
     cw_configuration_newest_note(&router->configuration_newest, version, cw_router_version(router), now);
 }
 
@@ -139,7 +139,7 @@
 
     check_credential_evidence(router, now);
     if (is_overdue && !cw_configuration_exchange_is_receiving(router->exchange, now)) {
-        cw_configuration_newest_read(&router->configuration_newest, now);
+        cw_configuration_newest_start_read(&router->configuration_newest, now);
         router->store->read_configuration(router->store->context);
     }
 }
--- a/src/router/router_list_exchange.c
+++ b/src/router/router_list_exchange.c
@@ -165,7 +165,7 @@
     note_request(peer, window);
 }
 
-static void send_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t instead)
+static void send_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t other_holder)
 {
     cw_router_t     *router = context;
     const cw_peer_t *peer = cw_peer_link_find(router->link, address);
@@ -177,7 +177,7 @@
     }
     page.term = of.term;
     page.number = of.number;
-    page.ask_instead = instead;
+    page.ask_instead = other_holder;
     datagram.content_case = CWP__DATAGRAM__CONTENT_SERVERS;
     datagram.servers = &page;
     cw_peer_link_send(router->link, peer, &datagram);
@@ -226,7 +226,7 @@
     lists->leaders = named;
     lists->leaders_hash = heartbeat->servers_hash;
     if (named.term >= router->view_term && are_nodes_many(router, heartbeat)) {
-        cw_list_exchange_want(lists->exchange, named, number_in_force(router), now);
+        cw_list_exchange_set_wanted(lists->exchange, named, number_in_force(router), now);
     }
 }
 
@@ -235,7 +235,7 @@
     cw_list_number_t has = {.term = peer->term, .number = peer->servers};
 
     if (peer->distance == CW_DISTANCE_ZONE) {
-        cw_list_exchange_note(router->list_exchange->exchange, peer->address, has, now);
+        cw_list_exchange_note_holder(router->list_exchange->exchange, peer->address, has, now);
     }
 }
 
@@ -261,7 +261,8 @@
     if (next_missing >= page->pages && peer->distance == CW_DISTANCE_ZONE && is_same(of, number_in_force(router))) {
         note_list(peer, page);
     }
-    cw_list_exchange_page_came(router->list_exchange->exchange, of, next_missing, page->pages, cw_router_now(router));
+    cw_list_exchange_page_received(router->list_exchange->exchange, of, next_missing, page->pages,
+                                   cw_router_now(router));
 }
 
 void cw_router_list_exchange_redirected(cw_router_t *router, const Cwp__ServersPage *page)
--- a/src/router/router_share.c
+++ b/src/router/router_share.c
@@ -50,7 +50,7 @@
     cw_router_t *router = context;
     cw_time_us_t now = cw_router_now(router);
 
-    if (cw_configuration_newest_read_large(&router->configuration_newest, CW_MS(CW_READER_NOTICE_MS), now)) {
+    if (cw_configuration_newest_try_start_read(&router->configuration_newest, CW_MS(CW_READER_NOTICE_MS), now)) {
         router->store->read_configuration(router->store->context);
     }
 }
@@ -145,29 +145,29 @@
 static bool may_read(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     return is_in_zone(router, peer) && !peer->stopping && !peer->store_lost &&
-           now - peer->last_received_at < CW_MS(CW_READER_TRUST_MS);
+           now - peer->last_received_at < CW_MS(CW_READER_SILENCE_MS);
 }
 
 static bool ranks_among_readers(const cw_router_t *router, cw_time_us_t now)
 {
-    cw_reader_candidate_t self = {.address = cw_peer_link_own_address(router->link),
-                                  .capability = cw_router_capability(router)};
-    size_t                zone_nodes = 1;
-    uint32_t              before = 0;
-    const cw_peer_t      *peer;
+    cw_store_reader_candidate_t self = {.address = cw_peer_link_own_address(router->link),
+                                        .capability = cw_router_capability(router)};
+    size_t                      zone_nodes = 1;
+    uint32_t                    before = 0;
+    const cw_peer_t            *peer;
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        cw_reader_candidate_t candidate = {.address = peer->address, .capability = peer->capability};
+        cw_store_reader_candidate_t candidate = {.address = peer->address, .capability = peer->capability};
 
         zone_nodes += is_in_zone(router, peer) ? 1 : 0;
-        before += may_read(router, peer, now) && cw_reader_precedes(&candidate, &self) ? 1 : 0;
+        before += may_read(router, peer, now) && cw_store_reader_precedes(&candidate, &self) ? 1 : 0;
     }
-    return before < cw_readers_wanted(zone_nodes);
+    return before < cw_store_reader_count(zone_nodes);
 }
 
 static bool is_leader_alive(const cw_router_t *router, cw_time_us_t now)
 {
-    return now - router->leader_heartbeat_at < CW_MS(CW_READER_TRUST_MS);
+    return now - router->leader_heartbeat_at < CW_MS(CW_READER_SILENCE_MS);
 }
 
 static cw_configuration_role_t configuration_role(const cw_router_t *router, cw_time_us_t now)
--- a/src/router/router_take.c
+++ b/src/router/router_take.c
@@ -13,9 +13,9 @@
 
 enum { ANNOUNCED_TO = 8 /* nodes that one which has got the whole list tells of it */ };
 
-static bool is_usable(const cw_router_t *router, const cw_page_place_t *place, uint64_t has)
+static bool is_usable(const cw_router_t *router, const cw_page_position_t *position, uint64_t has)
 {
-    return !router->leadership.leading && cw_page_is_usable(place, router->view_term, has);
+    return !router->leadership.leading && cw_page_is_usable(position, router->view_term, has);
 }
 
 void cw_router_begin_term(cw_router_t *router, uint64_t term)
@@ -58,7 +58,7 @@
 {
     size_t           count = count_of_zone(router);
     size_t           told = cw_router_is_own_relay(router) || count < ANNOUNCED_TO ? count : ANNOUNCED_TO;
-    size_t           place = 0;
+    size_t           position = 0;
     size_t           length;
     size_t           first;
     const cw_peer_t *peer;
@@ -72,10 +72,10 @@
         if (peer->distance != CW_DISTANCE_ZONE || peer->is_lost) {
             continue;
         }
-        if ((place + count - first) % count < told) {
+        if ((position + count - first) % count < told) {
             cw_peer_link_send_packed(router->link, peer, length);
         }
-        place++;
+        position++;
     }
 }
 
@@ -124,7 +124,7 @@
 
 void cw_router_take_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page)
 {
-    cw_page_place_t     place = {page->term, page->number, page->since, page->page, page->pages};
+    cw_page_position_t  position = {page->term, page->number, page->since, page->page, page->pages};
     cw_server_reading_t reading = {.revision = page->revision, .is_told = true};
     cw_list_parts_t    *parts;
 
@@ -132,7 +132,7 @@
         cw_router_list_exchange_redirected(router, page);
         return;
     }
-    if (!is_usable(router, &place, router->view_servers)) {
+    if (!is_usable(router, &position, router->view_servers)) {
         return;
     }
     if (page->revision < router->server_view.revision) { /* this node has read a later one itself */
@@ -161,14 +161,14 @@
 
 /* ---- tables ---- */
 
-static void note_view(const cw_router_t *router, const cw_page_place_t *place, size_t entries)
+static void note_view(const cw_router_t *router, const cw_page_position_t *position, size_t entries)
 {
     cw_event_t event;
 
     (void)router;
     if (cw_event_begin(&event, CW_EVENT_VIEW_TAKEN)) {
-        cw_event_number(&event, CW_FIELD_TERM, (int64_t)place->term);
-        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)place->number);
+        cw_event_number(&event, CW_FIELD_TERM, (int64_t)position->term);
+        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)position->number);
         cw_event_number(&event, CW_FIELD_CHANGED, (int64_t)entries);
         cw_event_end(&event);
     }
@@ -193,10 +193,10 @@
 
 void cw_router_take_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page)
 {
-    cw_page_place_t   place = {page->term, page->number, page->since, page->page, page->pages};
-    cw_table_parts_t *parts;
+    cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
+    cw_table_parts_t  *parts;
 
-    if (!is_usable(router, &place, router->view_tables) || !is_from_leader_or_first(router, peer, page)) {
+    if (!is_usable(router, &position, router->view_tables) || !is_from_leader_or_first(router, peer, page)) {
         return;
     }
     parts = cw_view_parts_take_tables(router->view_parts, page, cw_router_now(router));
@@ -204,7 +204,7 @@
         return;
     }
     cw_key_tables_seal(&parts->tables);
-    note_view(router, &place, count_entries(&parts->tables));
+    note_view(router, &position, count_entries(&parts->tables));
     if (page->since == 0) {
         cw_key_tables_clear(&router->tables);
     }
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -471,7 +471,7 @@
     size_t servers = router->server_view.list == NULL ? 0 : router->server_view.list->count;
     size_t expected = nodes * SERVERS_A_NODE;
 
-    return cw_reading_window(nodes, servers > expected ? servers : expected);
+    return cw_list_read_window(nodes, servers > expected ? servers : expected);
 }
 
 /* A node that starts gets the list that the leader has from nodes of its zone. To read it takes a call for each page of
@@ -481,7 +481,7 @@
 {
     cw_time_us_t wait = CW_MS(heartbeat_is_fresh ? FIRST_LIST_MS : LEADER_SEEN_MS);
 
-    wait += cw_reading_turn(cw_short_name(router->settings.node), reading_window(router, now));
+    wait += cw_list_read_delay(cw_short_name(router->settings.node), reading_window(router, now));
     return now - router->started_at >= wait;
 }
 
@@ -496,7 +496,7 @@
         window = heartbeat_is_fresh ? spread : 0;
     }
     return router->settings.drain * LIST_OLD_PERCENT / 100 +
-           cw_reading_turn(cw_short_name(router->settings.node), window);
+           cw_list_read_delay(cw_short_name(router->settings.node), window);
 }
 
 /* A reader reads as soon as the leader's heartbeat fails to come; the others when no reader has confirmed their list.
--- a/src/router/store_reach.c
+++ b/src/router/store_reach.c
@@ -1,29 +1,29 @@
 /**
  * @file store_reach.c
- * @brief Whether the store answers this node's calls; rules in store_reach.h.
+ * @brief Whether the store answers this node's calls; the rules are in store_reach.h.
  */
 #include "router/store_reach.h"
 
-static cw_store_change_t note_answer(cw_store_reach_t *reach)
+static cw_store_change_t record_answer(cw_store_reach_t *reach)
 {
     bool was_lost = reach->is_lost;
 
     reach->failing_since = 0;
     reach->is_lost = false;
-    return was_lost ? CW_STORE_BACK : CW_STORE_AS_BEFORE;
+    return was_lost ? CW_STORE_BACK : CW_STORE_UNCHANGED;
 }
 
 cw_store_change_t cw_store_reach_note(cw_store_reach_t *reach, bool is_answered, cw_time_us_t now)
 {
     if (is_answered) {
-        return note_answer(reach);
+        return record_answer(reach);
     }
     reach->failed_at = now;
     if (reach->failing_since == 0) {
         reach->failing_since = now;
     }
     if (reach->is_lost || now - reach->failing_since < CW_MS(CW_STORE_LOST_MS)) {
-        return CW_STORE_AS_BEFORE;
+        return CW_STORE_UNCHANGED;
     }
     reach->is_lost = true;
     return CW_STORE_LOST;
--- a/src/router/store_reach.h
+++ b/src/router/store_reach.h
@@ -3,9 +3,10 @@
  * @brief Whether the store answers this node's calls.
  *
  * Rules:
- *  - Each call reports its outcome: answered (also with a refusal by condition), or failed.
- *  - The store counts as lost once calls have failed for CW_STORE_LOST_MS without an answer between them. One answer
- * ends that.
+ *  - Each call reports its outcome: answered, or failed. A write that the store refuses because its condition does
+ *    not hold counts as answered.
+ *  - The store counts as lost once calls have failed for CW_STORE_LOST_MS without an answer in between. One answer
+ *    ends that state.
  *
  * No I/O, no clock.
  */
@@ -17,11 +18,11 @@
 #include "base/time.h"
 
 enum {
-    CW_STORE_LOST_MS = 500 /**< chosen, not measured */
+    CW_STORE_LOST_MS = 500 /**< time of failures without an answer after which the store counts as lost */
 };
 
-/** What a call's outcome has changed. */
-typedef enum cw_store_change { CW_STORE_AS_BEFORE, CW_STORE_LOST, CW_STORE_BACK } cw_store_change_t;
+/** Change of the state that the outcome of a call has caused. */
+typedef enum cw_store_change { CW_STORE_UNCHANGED, CW_STORE_LOST, CW_STORE_BACK } cw_store_change_t;
 
 /** All zeros: no call has failed yet. */
 typedef struct cw_store_reach {
@@ -30,9 +31,9 @@
     cw_time_us_t failed_at;     /**< last failure; 0: none */
 } cw_store_reach_t;
 
-/** A call has ended. The change is reported once: the caller logs it. */
+/** Records the outcome of a call. Each change of the state is returned once, so that the caller can log it. */
 cw_store_change_t cw_store_reach_note(cw_store_reach_t *reach, bool is_answered, cw_time_us_t now);
-/** Time since the first failure after the last answer; 0: none. */
+/** Time since the first failure after the last answer; 0: no call has failed since then. */
 cw_time_us_t cw_store_reach_failing_for(const cw_store_reach_t *reach, cw_time_us_t now);
 
 #endif
--- a/src/router/store_reader.h
+++ b/src/router/store_reader.h
@@ -1,13 +1,14 @@
 /**
  * @file store_reader.h
- * @brief Which nodes read the store for the others of their zone.
+ * @brief Which nodes read the store for the other nodes of their zone.
  *
- * A call to the store costs as much as dozens of datagrams, so most nodes do not call it: a few in each zone do, and
- * send what they have read (router_share.c). Rules:
- *  - In each zone the most capable nodes that reach the store are its readers; by address among equals. Nodes that
- *    stop, that have not been received from lately, or that say that the store does not serve them, are passed over.
- *  - Each node works this out from what it knows. Two that know different nodes may both read, or both not read for a
- *    moment: a node that receives from no reader and no leader for CW_READER_TRUST_MS reads for itself.
+ * A call to the store costs as much as dozens of datagrams. So only a few nodes of each zone, its readers, call the
+ * store and send what they have read to the others (router_share.c). Rules:
+ *  - The readers of a zone are its most capable nodes that reach the store; among equals the lower address comes
+ *    first. Nodes that are stopping, that have not been received from recently, or that report that the store does
+ *    not answer them are skipped.
+ *  - Each node computes this from what it knows. Two nodes with different knowledge may both read, or both not read
+ *    for a short time: a node that receives from no reader and no leader for CW_READER_SILENCE_MS reads for itself.
  *  - A leader always reads.
  *
  * No I/O, no clock.
@@ -20,19 +21,19 @@
 #include <stdint.h>
 
 enum {
-    CW_READER_NOTICE_MS = 400, /**< pause between a reader's notices to its zone */
-    CW_READER_TRUST_MS = 1500  /**< three of them may be lost */
+    CW_READER_NOTICE_MS = 400,  /**< interval between the notices of a reader to its zone */
+    CW_READER_SILENCE_MS = 1500 /**< a reader not received from for so long is skipped; three notices may be lost */
 };
 
 /** A node that may read for its zone. */
-typedef struct cw_reader_candidate {
+typedef struct cw_store_reader_candidate {
     uint32_t address;
     uint32_t capability;
-} cw_reader_candidate_t;
+} cw_store_reader_candidate_t;
 
-/** Readers that a zone of so many nodes has. */
-uint32_t cw_readers_wanted(size_t zone_nodes);
-/** Does `candidate` come before `other`? */
-bool cw_reader_precedes(const cw_reader_candidate_t *candidate, const cw_reader_candidate_t *other);
+/** Number of readers of a zone with so many nodes. */
+uint32_t cw_store_reader_count(size_t zone_nodes);
+/** True if `candidate` ranks before `other`. */
+bool cw_store_reader_precedes(const cw_store_reader_candidate_t *candidate, const cw_store_reader_candidate_t *other);
 
 #endif
--- a/src/router/table_publication.c
+++ b/src/router/table_publication.c
@@ -1,6 +1,6 @@
 /**
  * @file table_publication.c
- * @brief The pause between tables of a leader.
+ * @brief The pause between two publications of a leader.
  */
 #include "router/table_publication.h"
 
@@ -12,10 +12,10 @@
     }
 }
 
-bool cw_table_publication_is_due(const cw_table_publication_t *publication, size_t targets, double datagrams_a_second,
+bool cw_table_publication_is_due(const cw_table_publication_t *publication, size_t targets, double datagrams_per_second,
                                  cw_time_us_t now)
 {
-    cw_time_us_t pause = (cw_time_us_t)((double)targets / datagrams_a_second * 1e6);
+    cw_time_us_t pause = (cw_time_us_t)((double)targets / datagrams_per_second * 1e6);
 
     return publication->is_due && (publication->published_at == 0 || now - publication->published_at >= pause);
 }
--- a/src/router/table_publication.h
+++ b/src/router/table_publication.h
@@ -1,12 +1,14 @@
 /**
  * @file table_publication.h
- * @brief When the leader brings changes of its assignments into the tables that all nodes go by.
+ * @brief When the leader publishes changes of its assignments in the tables by which all nodes route.
  *
- * Each grant that is answered may change a table; a table is made and sent as a whole number. A change is published at
- * once where none was lately, and else together with those that follow, after a pause that grows with the nodes it is
- * sent to: so thousands of first grants make tens of tables, whose datagrams stay within the leader's budget.
+ * Each answered grant may change a table, and tables are built and sent under a new number. A change is published at
+ * once if none was published recently. Otherwise it is published together with the changes that follow it, after a
+ * pause that grows with the number of nodes to send to. So thousands of first grants lead to tens of tables, whose
+ * datagrams stay within the leader's budget.
  *
- * From its first change on, the last tables are no longer true: a leader states so before it has published the next.
+ * From the first unpublished change on, the last tables are outdated. A leader states that in its heartbeats before it
+ * publishes the next ones.
  *
  * No I/O, no clock.
  */
@@ -21,17 +23,17 @@
 /** All zeros: nothing to publish. */
 typedef struct cw_table_publication {
     bool         is_due;
-    cw_time_us_t changed_at;   /**< first change that is not published */
-    cw_time_us_t published_at; /**< last; 0: never */
+    cw_time_us_t changed_at;   /**< first change that is not published yet */
+    cw_time_us_t published_at; /**< last publication; 0: never */
 } cw_table_publication_t;
 
-/** An assignment has changed. */
+/** Records that an assignment has changed. */
 void cw_table_publication_note_change(cw_table_publication_t *publication, cw_time_us_t now);
-/** Are tables to be published now? targets: nodes that they are sent to, datagrams_a_second: that the leader may send.
- */
-bool cw_table_publication_is_due(const cw_table_publication_t *publication, size_t targets, double datagrams_a_second,
+/** True if tables are to be published now. targets: number of nodes to send to; datagrams_per_second: how many the
+ * leader may send. */
+bool cw_table_publication_is_due(const cw_table_publication_t *publication, size_t targets, double datagrams_per_second,
                                  cw_time_us_t now);
-/** They are. */
+/** Records that the tables have been published. */
 void cw_table_publication_done(cw_table_publication_t *publication, cw_time_us_t now);
 
 #endif
--- a/src/router/view_assembly.h
+++ b/src/router/view_assembly.h
@@ -1,9 +1,10 @@
 /**
  * @file view_assembly.h
- * @brief Which pages of a list, or of tables, have come.
+ * @brief Which pages of an update of the list, or of the tables, have been received.
  *
- * Pages of several updates may come mixed: from the leader, from either relay, for different bases. A few updates are
- * put together side by side; one more takes the place of the one whose last page is the longest ago.
+ * Pages of several updates may arrive interleaved: from the leader, from either relay, for different bases. A few
+ * updates are assembled at the same time; a further one replaces the one whose last page was received the longest time
+ * ago.
  *
  * No I/O, no clock.
  */
@@ -16,31 +17,32 @@
 #include "router/view_order.h"
 
 enum {
-    CW_PAGES_MAX = 512, /**< of one update */
-    CW_ASSEMBLIES = 4   /**< updates that are put together side by side */
+    CW_PAGES_MAX = 512,        /**< pages of one update */
+    CW_VIEW_ASSEMBLIES_MAX = 4 /**< updates that are assembled at the same time */
 };
 
-/** The pages of one update that have come. All zeros: none. */
+/** The pages of one update that have been received. All zeros: no update. */
 typedef struct cw_view_assembly {
     uint64_t     term;
     uint64_t     number;
     uint64_t     base;
-    uint32_t     pages; /**< 0: no update */
-    uint32_t     have;
-    uint8_t      seen[CW_PAGES_MAX];
-    cw_time_us_t last_at; /**< last page */
+    uint32_t     pages;                  /**< 0: no update */
+    uint32_t     received_count;         /**< pages received */
+    uint8_t      received[CW_PAGES_MAX]; /**< 1 for each page received */
+    cw_time_us_t last_at;                /**< when the last new page was received */
 } cw_view_assembly_t;
 
-/** Place for pages of this update among `count` assemblies; is_begun: it had none. CW_ASSEMBLIES: no such page is
- * taken. */
-size_t cw_view_assembly_choose(const cw_view_assembly_t *const assemblies[CW_ASSEMBLIES], const cw_page_place_t *place,
-                               bool *is_begun);
-/** Begins with this update. */
-void cw_view_assembly_begin(cw_view_assembly_t *assembly, const cw_page_place_t *place);
-/** Notes a page of it. False: it was here already. */
+/** Index of the assembly for pages of this update; is_new: it had none, and the caller starts it at this index.
+ * CW_VIEW_ASSEMBLIES_MAX: the position is invalid, and the page is dropped. */
+size_t cw_view_assembly_choose(const cw_view_assembly_t *const assemblies[CW_VIEW_ASSEMBLIES_MAX],
+                               const cw_page_position_t *position, bool *is_new);
+/** Starts assembling this update, without any page. */
+void cw_view_assembly_begin(cw_view_assembly_t *assembly, const cw_page_position_t *position);
+/** Records a page of the update. Returns false if it had been received before. */
 bool cw_view_assembly_note(cw_view_assembly_t *assembly, uint32_t page, cw_time_us_t now);
+/** True if all pages have been received. */
 bool cw_view_assembly_is_whole(const cw_view_assembly_t *assembly);
-/** First page that is not here; the number of pages when none is missing. */
+/** First page that has not been received; the number of pages when none is missing. */
 uint32_t cw_view_assembly_first_missing(const cw_view_assembly_t *assembly);
 
 #endif
--- a/src/router/view_check.c
+++ b/src/router/view_check.c
@@ -1,6 +1,6 @@
 /**
  * @file view_check.c
- * @brief For how long the content has differed.
+ * @brief Measures for how long the content has differed from the leader's.
  */
 #include "router/view_check.h"
 
--- a/src/router/view_check.h
+++ b/src/router/view_check.h
@@ -1,11 +1,11 @@
 /**
  * @file view_check.h
- * @brief When a node that has the leader's number of the list or the tables, and another content, is to ask for the
- * whole.
+ * @brief When a node whose list or tables have the leader's number but different content requests the whole content.
  *
- * Changes are laid over what a node has. Should that ever differ from what the leader had under the same number, it
- * would differ for the rest of the term. Numbers and hashes of the heartbeat show it. For a while they may differ with
- * cause: a node keeps what it has seen of a server's leaving (server_view.h). So it asks late, and rarely.
+ * A node applies changes to what it has. If that ever differed from what the leader had under the same number, it would
+ * differ for the rest of the term. The number and the hash in the leader's heartbeat reveal this. They may differ for a
+ * while for a good reason: a node keeps what it has itself observed of a leaving server (server_view.h). So the node
+ * requests the content only after a delay, and rarely.
  *
  * No I/O; time is a parameter.
  */
@@ -16,18 +16,20 @@
 
 #include "base/time.h"
 
-/** All zeros: equal so far. */
+/** State of the comparison. All zeros: equal so far. */
 typedef struct cw_view_check {
-    cw_time_us_t unequal_since; /**< 0: equal */
-    cw_time_us_t asked_at;      /**< 0: never */
+    cw_time_us_t unequal_since; /**< start of the current difference; 0: equal */
+    cw_time_us_t asked_at;      /**< last request; 0: never */
 } cw_view_check_t;
 
+/** Delays of requests for the whole content. */
 typedef struct cw_view_patience {
-    cw_time_us_t first; /**< unequal for so long: it asks */
-    cw_time_us_t again; /**< between two times */
+    cw_time_us_t first; /**< time of difference before the first request */
+    cw_time_us_t again; /**< time between two requests */
 } cw_view_patience_t;
 
-/** A heartbeat with the number that this node has. True: the whole is to be asked for. */
+/** Records a heartbeat with the number that this node has. Returns true if the caller is to request the whole content.
+ */
 bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_patience_t *patience, cw_time_us_t now);
 
 #endif
--- a/src/router/view_order.c
+++ b/src/router/view_order.c
@@ -1,18 +1,18 @@
 /**
  * @file view_order.c
- * @brief Order of pages and records.
+ * @brief Order of pages and records; the rules are in view_order.h.
  */
 #include "router/view_order.h"
 
-bool cw_page_is_usable(const cw_page_place_t *place, uint64_t term, uint64_t has)
+bool cw_page_is_usable(const cw_page_position_t *position, uint64_t term, uint64_t has)
 {
-    if (place->term < term) {
+    if (position->term < term) {
         return false;
     }
-    if (place->base != 0) {
-        return place->term == term && has >= place->base && place->number > has;
+    if (position->base != 0) {
+        return position->term == term && has >= position->base && position->number > has;
     }
-    return place->term > term || place->number > has;
+    return position->term > term || position->number > has;
 }
 
 bool cw_record_is_usable(uint64_t record_term, uint64_t term)
--- a/src/router/view_order.h
+++ b/src/router/view_order.h
@@ -1,9 +1,10 @@
 /**
  * @file view_order.h
- * @brief Which page of a leader, and which record read from the store, may replace what a node goes by.
+ * @brief Which page sent by a leader, and which record read from the store, may replace what a node uses.
  *
- * Terms rise with each change of leader, numbers with each change within a term. A record carries the term of the
- * leader that wrote it: having read one, a node takes no page of an earlier leader any more, however late it comes.
+ * The term rises with each change of leader, and the number with each change within a term. A record carries the term
+ * of the leader that wrote it. After reading it, a node accepts no page of an earlier leader, however late the page
+ * arrives.
  */
 #ifndef CEDARWINCH_ROUTER_VIEW_ORDER_H
 #define CEDARWINCH_ROUTER_VIEW_ORDER_H
@@ -11,18 +12,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Where a page belongs: pages of one term, number and base make one list, or one set of tables. */
-typedef struct cw_page_place {
+/** Which update a page is part of: pages of the same term, number and base form one list, or one set of tables. */
+typedef struct cw_page_position {
     uint64_t term;
     uint64_t number;
-    uint64_t base; /**< 0: the whole; else what changed since the one of this number */
+    uint64_t base; /**< 0: the whole content; else only what changed since this number */
     uint32_t page;
     uint32_t pages;
-} cw_page_place_t;
+} cw_page_position_t;
 
-/** Is it newer than what a node has (number `has` of term `term`), and can it be laid over that? */
-bool cw_page_is_usable(const cw_page_place_t *place, uint64_t term, uint64_t has);
-/** May a record of this term replace tables of term `term`? */
+/** True if the page is newer than what a node has (number `has` of term `term`) and can be applied to that. */
+bool cw_page_is_usable(const cw_page_position_t *position, uint64_t term, uint64_t has);
+/** True if a record of this term may replace tables of term `term`. */
 bool cw_record_is_usable(uint64_t record_term, uint64_t term);
 
 #endif
--- a/src/router/view_parts.c
+++ b/src/router/view_parts.c
@@ -11,8 +11,8 @@
 #include "router/table_pages.h"
 
 struct cw_view_parts {
-    cw_list_parts_t  lists[CW_ASSEMBLIES];
-    cw_table_parts_t tables[CW_ASSEMBLIES];
+    cw_list_parts_t  lists[CW_VIEW_ASSEMBLIES_MAX];
+    cw_table_parts_t tables[CW_VIEW_ASSEMBLIES_MAX];
 };
 
 cw_view_parts_t *cw_view_parts_create(void)
@@ -40,7 +40,7 @@
 {
     size_t index;
 
-    for (index = 0; index < CW_ASSEMBLIES; index++) {
+    for (index = 0; index < CW_VIEW_ASSEMBLIES_MAX; index++) {
         clear_list(&parts->lists[index]);
         cw_table_parts_clear(&parts->tables[index]);
     }
@@ -78,22 +78,22 @@
     }
 }
 
-static cw_list_parts_t *place_of_list(cw_view_parts_t *parts, const cw_page_place_t *place)
+static cw_list_parts_t *place_of_list(cw_view_parts_t *parts, const cw_page_position_t *position)
 {
-    const cw_view_assembly_t *assemblies[CW_ASSEMBLIES];
+    const cw_view_assembly_t *assemblies[CW_VIEW_ASSEMBLIES_MAX];
     size_t                    index;
-    bool                      is_begun;
+    bool                      is_new;
 
-    for (index = 0; index < CW_ASSEMBLIES; index++) {
+    for (index = 0; index < CW_VIEW_ASSEMBLIES_MAX; index++) {
         assemblies[index] = &parts->lists[index].assembly;
     }
-    index = cw_view_assembly_choose(assemblies, place, &is_begun);
-    if (index == CW_ASSEMBLIES) {
+    index = cw_view_assembly_choose(assemblies, position, &is_new);
+    if (index == CW_VIEW_ASSEMBLIES_MAX) {
         return NULL;
     }
-    if (is_begun) {
+    if (is_new) {
         clear_list(&parts->lists[index]);
-        cw_view_assembly_begin(&parts->lists[index].assembly, place);
+        cw_view_assembly_begin(&parts->lists[index].assembly, position);
         parts->lists[index].entries = cw_server_list_create();
     }
     return &parts->lists[index];
@@ -101,8 +101,8 @@
 
 cw_list_parts_t *cw_view_parts_take_list(cw_view_parts_t *parts, const Cwp__ServersPage *page, cw_time_us_t now)
 {
-    cw_page_place_t  place = {page->term, page->number, page->since, page->page, page->pages};
-    cw_list_parts_t *list = place_of_list(parts, &place);
+    cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
+    cw_list_parts_t   *list = place_of_list(parts, &position);
 
     if (list == NULL || !cw_view_assembly_note(&list->assembly, page->page, now)) {
         return NULL;
@@ -142,30 +142,30 @@
 
 /* ---- tables ---- */
 
-static cw_table_parts_t *place_of_tables(cw_view_parts_t *parts, const cw_page_place_t *place)
+static cw_table_parts_t *place_of_tables(cw_view_parts_t *parts, const cw_page_position_t *position)
 {
-    const cw_view_assembly_t *assemblies[CW_ASSEMBLIES];
+    const cw_view_assembly_t *assemblies[CW_VIEW_ASSEMBLIES_MAX];
     size_t                    index;
-    bool                      is_begun;
+    bool                      is_new;
 
-    for (index = 0; index < CW_ASSEMBLIES; index++) {
+    for (index = 0; index < CW_VIEW_ASSEMBLIES_MAX; index++) {
         assemblies[index] = &parts->tables[index].assembly;
     }
-    index = cw_view_assembly_choose(assemblies, place, &is_begun);
-    if (index == CW_ASSEMBLIES) {
+    index = cw_view_assembly_choose(assemblies, position, &is_new);
+    if (index == CW_VIEW_ASSEMBLIES_MAX) {
         return NULL;
     }
-    if (is_begun) {
+    if (is_new) {
         cw_table_parts_clear(&parts->tables[index]);
-        cw_view_assembly_begin(&parts->tables[index].assembly, place);
+        cw_view_assembly_begin(&parts->tables[index].assembly, position);
     }
     return &parts->tables[index];
 }
 
 cw_table_parts_t *cw_view_parts_take_tables(cw_view_parts_t *parts, const Cwp__TablePage *page, cw_time_us_t now)
 {
-    cw_page_place_t   place = {page->term, page->number, page->since, page->page, page->pages};
-    cw_table_parts_t *tables = place_of_tables(parts, &place);
+    cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
+    cw_table_parts_t  *tables = place_of_tables(parts, &position);
 
     if (tables == NULL || !cw_view_assembly_note(&tables->assembly, page->page, now)) {
         return NULL;
--- a/tests/test_configuration_exchange.c
+++ b/tests/test_configuration_exchange.c
@@ -1,8 +1,9 @@
 /**
  * @file test_configuration_exchange.c
- * @brief Nodes that get the configuration from one another: changes, losses, what is too large, who reads the store.
+ * @brief Nodes that get the configuration from each other: changes, losses, too large versions, readers of the store.
  *
- * Two exchanges are joined by a wire on which datagrams are packed, counted, and lost where a test says so.
+ * Two exchanges are connected by a simulated wire that packs and counts datagrams, and drops them where a test
+ * requires.
  */
 #include <stdio.h>
 #include <string.h>
@@ -13,7 +14,7 @@
 
 enum { ASKING, ANSWERING, NODES, TEXT_MAX = 64 };
 
-/** One node at its end of the wire. */
+/** One node of the simulation. */
 typedef struct node {
     cw_configuration_exchange_t *exchange;
     cw_configuration_t          *in_force; /**< NULL: none */
@@ -21,12 +22,12 @@
 } node_t;
 
 static node_t       nodes[NODES];
-static node_t      *extra_nodes; /* more than these, at the addresses that follow */
+static node_t      *extra_nodes; /* further nodes, at the addresses after `nodes` */
 static uint32_t     extra_count;
-static uint32_t     sent;        /* datagrams */
-static uint32_t     routes_sent; /* in pages */
-static uint32_t     lose;        /* the next so many datagrams get lost */
-static uint32_t     lose_each;   /* each so many-th datagram gets lost; 0: none */
+static uint32_t     sent;        /* datagrams sent */
+static uint32_t     routes_sent; /* routes in the pages sent */
+static uint32_t     drop_next;   /* number of next datagrams to drop */
+static uint32_t     drop_every;  /* every so many-th datagram is dropped; 0: none */
 static cw_time_us_t wire_now;
 static uint32_t     last_receiver; /* address that the last datagram was sent to */
 
@@ -62,11 +63,11 @@
 
     sent++;
     last_receiver = address;
-    if (lose > 0) {
-        lose--;
+    if (drop_next > 0) {
+        drop_next--;
         return;
     }
-    if (lose_each != 0 && sent % lose_each == 0) {
+    if (drop_every != 0 && sent % drop_every == 0) {
         return;
     }
     if (address > NODES + extra_count) {
@@ -97,15 +98,15 @@
     ((node_t *)context)->too_large++;
 }
 
-static void begin_with(double bytes_per_s)
+static void set_up_with_allowance(double bytes_per_s)
 {
     size_t index;
 
     memset(nodes, 0, sizeof(nodes));
     sent = 0;
     routes_sent = 0;
-    lose = 0;
-    lose_each = 0;
+    drop_next = 0;
+    drop_every = 0;
     wire_now = 0;
     for (index = 0; index < NODES; index++) {
         cw_configuration_exchange_owner_t owner = {&nodes[index], on_send, on_received, on_too_large, bytes_per_s};
@@ -114,12 +115,12 @@
     }
 }
 
-static void begin(void)
+static void set_up(void)
 {
-    begin_with(0); /* any number of bytes */
+    set_up_with_allowance(0); /* unlimited */
 }
 
-/* Routes /0/ to /count-1/, but for the one left out; the one named is bound to another service. */
+/* Routes /0/ to /count-1/ without `left_out`; the route `changed` is bound to another service. */
 static cw_configuration_t *configuration_of(uint64_t version, int count, int left_out, int changed)
 {
     cw_configuration_t *configuration = cw_configuration_create(version);
@@ -170,16 +171,16 @@
     ck_assert_uint_eq(left->limits.body_bytes, right->limits.body_bytes);
 }
 
-static void learn(uint64_t version, bool is_near, cw_time_us_t now)
+static void note_answering_node(uint64_t version, bool is_same_zone, cw_time_us_t now)
 {
-    cw_configuration_exchange_note(nodes[ASKING].exchange, ANSWERING + 1, version, is_near, now);
+    cw_configuration_exchange_note_holder(nodes[ASKING].exchange, ANSWERING + 1, version, is_same_zone, now);
 }
 
-START_TEST(a_node_without_a_configuration_gets_the_whole)
+START_TEST(a_node_without_a_configuration_receives_the_whole)
 {
-    begin();
+    set_up();
     use(&nodes[ANSWERING], configuration_of(7, 100, -1, -1));
-    learn(7, true, 0);
+    note_answering_node(7, true, 0);
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_eq(routes_sent, 100);
 }
@@ -187,11 +188,11 @@
 
 START_TEST(only_what_changed_is_sent_to_a_node_with_an_earlier_version)
 {
-    begin();
+    set_up();
     use(&nodes[ASKING], configuration_of(7, 1000, -1, -1));
     use(&nodes[ANSWERING], configuration_of(7, 1000, -1, -1));
     use(&nodes[ANSWERING], configuration_of(9, 1001, 500, 3)); /* one added, one removed, one changed */
-    learn(9, true, 0);
+    note_answering_node(9, true, 0);
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_eq(routes_sent, 2);
 }
@@ -199,19 +200,19 @@
 
 START_TEST(a_change_too_large_for_datagrams_is_left_to_the_store)
 {
-    begin();
+    set_up();
     use(&nodes[ANSWERING], configuration_of(7, CW_CONFIGURATION_PAGES_MAX * CW_CONFIGURATION_PAGE_ITEMS + 1, -1, -1));
-    learn(7, true, 0);
+    note_answering_node(7, true, 0);
     ck_assert_ptr_null(nodes[ASKING].in_force);
     ck_assert_uint_eq(nodes[ASKING].too_large, 1);
     ck_assert_uint_eq(sent, 2);
 }
 END_TEST
 
-/* Time goes on until the asking node has the version, or for so long. */
-static void run_until(uint64_t version, cw_time_us_t most)
+/* Advances the time until the asking node has the version, at most by `limit`. */
+static void run_until(uint64_t version, cw_time_us_t limit)
 {
-    cw_time_us_t end = wire_now + most;
+    cw_time_us_t end = wire_now + limit;
 
     while (wire_now < end && (nodes[ASKING].in_force == NULL || nodes[ASKING].in_force->version < version)) {
         wire_now += CW_MS(20);
@@ -221,11 +222,11 @@
 
 START_TEST(a_large_change_comes_from_another_node_and_not_from_the_store)
 {
-    begin();
+    set_up();
     use(&nodes[ASKING], configuration_of(7, 1400, -1, -1));
     use(&nodes[ANSWERING], configuration_of(7, 1400, -1, -1));
     use(&nodes[ANSWERING], configuration_of(9, 2800, 3, -1));
-    learn(9, true, 0);
+    note_answering_node(9, true, 0);
     run_until(9, CW_SECONDS(1));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_eq(nodes[ASKING].too_large, 0);
@@ -235,41 +236,41 @@
 
 START_TEST(many_removed_routes_fit_into_datagrams)
 {
-    begin();
+    set_up();
     use(&nodes[ASKING], configuration_of(7, 2800, -1, -1));
     use(&nodes[ANSWERING], configuration_of(7, 2800, -1, -1));
     use(&nodes[ANSWERING], configuration_of(9, 10, -1, -1));
-    learn(9, true, 0);
+    note_answering_node(9, true, 0);
     run_until(9, CW_SECONDS(1));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_eq(routes_sent, 0);
 }
 END_TEST
 
-START_TEST(a_large_change_gets_through_losses)
+START_TEST(a_large_change_arrives_despite_losses)
 {
-    begin();
+    set_up();
     use(&nodes[ANSWERING], configuration_of(7, 2000, -1, -1));
-    lose_each = 7;
-    learn(7, true, 0);
+    drop_every = 7;
+    note_answering_node(7, true, 0);
     run_until(7, CW_SECONDS(5));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_lt(routes_sent, 3 * 2000);
 }
 END_TEST
 
-START_TEST(a_large_change_is_not_begun_anew_when_newer_ones_appear)
+START_TEST(a_large_transfer_is_not_restarted_when_newer_versions_appear)
 {
     uint64_t version;
 
-    begin();
+    set_up();
     use(&nodes[ANSWERING], configuration_of(7, 2000, -1, -1));
-    lose_each = 7;
-    learn(7, true, 0);
-    for (version = 8; version < 14; version++) { /* the answering node remembers eight */
+    drop_every = 7;
+    note_answering_node(7, true, 0);
+    for (version = 8; version < 14; version++) { /* the answering node keeps eight versions */
         run_until(version, CW_MS(60));
         use(&nodes[ANSWERING], configuration_of(version, 2000, -1, (int)version));
-        learn(version, true, wire_now);
+        note_answering_node(version, true, wire_now);
     }
     run_until(13, CW_SECONDS(5));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
@@ -279,9 +280,9 @@
 
 START_TEST(a_node_sends_no_more_than_its_allowance)
 {
-    begin_with(20000); /* of some 60 bytes a route */
+    set_up_with_allowance(20000); /* a route takes about 60 bytes */
     use(&nodes[ANSWERING], configuration_of(7, 5000, -1, -1));
-    learn(7, true, 0);
+    note_answering_node(7, true, 0);
     run_until(7, CW_SECONDS(2));
     ck_assert_ptr_null(nodes[ASKING].in_force);
     ck_assert_uint_gt(routes_sent, 300);
@@ -291,48 +292,48 @@
 }
 END_TEST
 
-/* Fifty nodes ask one that can send the version to two of them a second. */
-START_TEST(a_node_beyond_its_allowance_names_one_that_has_the_version)
+/* Fifty nodes ask one node whose allowance suffices for two transfers per second. */
+START_TEST(a_node_beyond_its_allowance_redirects_to_one_that_has_the_version)
 {
     enum { MANY = 50 };
     static node_t       others[MANY];
     cw_configuration_t *whole;
-    size_t              having = 0;
+    size_t              holder_count = 0;
     size_t              index;
 
-    begin_with(200000);
+    set_up_with_allowance(200000);
     extra_nodes = others;
     extra_count = MANY;
-    whole = configuration_of(7, 1400, -1, -1); /* some 84 KB */
+    whole = configuration_of(7, 1400, -1, -1); /* about 84 KB */
     use(&nodes[ANSWERING], whole);
     for (index = 0; index < MANY; index++) {
         cw_configuration_exchange_owner_t owner = {&others[index], on_send, on_received, on_too_large, 200000};
 
         others[index].exchange = cw_configuration_exchange_create(&owner);
-        cw_configuration_exchange_note(others[index].exchange, ANSWERING + 1, 7, true, wire_now);
+        cw_configuration_exchange_note_holder(others[index].exchange, ANSWERING + 1, 7, true, wire_now);
     }
-    while (wire_now < CW_SECONDS(12) && having < MANY) {
+    while (wire_now < CW_SECONDS(12) && holder_count < MANY) {
         wire_now += CW_MS(20);
-        having = 0;
+        holder_count = 0;
         for (index = 0; index < MANY; index++) {
             cw_configuration_exchange_tick(others[index].exchange, wire_now);
-            having += others[index].in_force != NULL ? 1 : 0;
+            holder_count += others[index].in_force != NULL ? 1 : 0;
         }
     }
     extra_count = 0;
-    ck_assert_uint_eq(having, MANY); /* that node alone would need twice as long */
+    ck_assert_uint_eq(holder_count, MANY); /* that node alone would need twice the time */
 }
 END_TEST
 
-START_TEST(a_lost_request_and_a_lost_page_are_asked_for_again)
+START_TEST(a_lost_request_is_repeated)
 {
     cw_time_us_t now = 0;
     int          tries;
 
-    begin();
+    set_up();
     use(&nodes[ANSWERING], configuration_of(7, 100, -1, -1));
-    lose = 1;
-    learn(7, true, now);
+    drop_next = 1;
+    note_answering_node(7, true, now);
     ck_assert_ptr_null(nodes[ASKING].in_force);
     for (tries = 0; tries < 3 && nodes[ASKING].in_force == NULL; tries++) {
         now += CW_MS(200);
@@ -344,36 +345,36 @@
 
 START_TEST(a_node_of_the_same_zone_is_asked_first)
 {
-    begin();
+    set_up();
     use(&nodes[ANSWERING], configuration_of(7, 10, -1, -1));
-    cw_configuration_exchange_note(nodes[ASKING].exchange, 99, 7, false, 0);
-    ck_assert_uint_eq(sent, 0); /* one nearby may turn up */
-    learn(7, true, CW_MS(10));
+    cw_configuration_exchange_note_holder(nodes[ASKING].exchange, 99, 7, false, 0);
+    ck_assert_uint_eq(sent, 0); /* a node of the same zone may still be found */
+    note_answering_node(7, true, CW_MS(10));
     ck_assert_uint_eq(sent, 2);
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
 }
 END_TEST
 
-START_TEST(a_silent_node_is_followed_by_the_next_one_that_has_it)
+START_TEST(a_node_that_does_not_reply_is_replaced_by_the_next_holder)
 {
-    begin();
+    set_up();
     use(&nodes[ANSWERING], configuration_of(7, 10, -1, -1));
-    cw_configuration_exchange_note(nodes[ASKING].exchange, 99, 7, true, 0); /* there is no such node any more */
+    cw_configuration_exchange_note_holder(nodes[ASKING].exchange, 99, 7, true, 0); /* no node has this address */
     ck_assert_uint_eq(last_receiver, 99);
-    learn(7, false, CW_MS(50));
+    note_answering_node(7, false, CW_MS(50));
     cw_configuration_exchange_tick(nodes[ASKING].exchange, CW_MS(200));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
 }
 END_TEST
 
-START_TEST(an_older_version_is_neither_asked_for_nor_given)
+START_TEST(an_older_version_is_neither_requested_nor_sent)
 {
     Cwp__ConfigurationRequest request = CWP__CONFIGURATION_REQUEST__INIT;
 
-    begin();
+    set_up();
     use(&nodes[ASKING], configuration_of(9, 10, -1, -1));
     use(&nodes[ANSWERING], configuration_of(7, 10, -1, -1));
-    learn(7, true, 0);
+    note_answering_node(7, true, 0);
     ck_assert_uint_eq(sent, 0);
     request.has = 9;
     cw_configuration_exchange_take_request(nodes[ANSWERING].exchange, ASKING + 1, &request, 0);
@@ -386,7 +387,7 @@
 {
     Cwp__ConfigurationPage page = CWP__CONFIGURATION_PAGE__INIT;
 
-    begin();
+    set_up();
     use(&nodes[ASKING], configuration_of(7, 10, -1, -1));
     page.version = 9;
     page.since = 8;
@@ -398,16 +399,16 @@
 
 START_TEST(the_most_capable_nodes_read_the_store)
 {
-    cw_reader_candidate_t small = {.address = 1, .capability = 100};
-    cw_reader_candidate_t large = {.address = 2, .capability = 500};
-    cw_reader_candidate_t equal = {.address = 3, .capability = 500};
-
-    ck_assert(cw_reader_precedes(&large, &small));
-    ck_assert(!cw_reader_precedes(&small, &large));
-    ck_assert(cw_reader_precedes(&large, &equal));
-    ck_assert(!cw_reader_precedes(&equal, &large));
-    ck_assert_uint_eq(cw_readers_wanted(4), 1);
-    ck_assert_uint_eq(cw_readers_wanted(50), 2);
+    cw_store_reader_candidate_t small = {.address = 1, .capability = 100};
+    cw_store_reader_candidate_t large = {.address = 2, .capability = 500};
+    cw_store_reader_candidate_t equal = {.address = 3, .capability = 500};
+
+    ck_assert(cw_store_reader_precedes(&large, &small));
+    ck_assert(!cw_store_reader_precedes(&small, &large));
+    ck_assert(cw_store_reader_precedes(&large, &equal));
+    ck_assert(!cw_store_reader_precedes(&equal, &large));
+    ck_assert_uint_eq(cw_store_reader_count(4), 1);
+    ck_assert_uint_eq(cw_store_reader_count(50), 2);
 }
 END_TEST
 
@@ -416,19 +417,19 @@
     Suite *suite = suite_create("configuration_exchange");
     TCase *cases = tcase_create("configuration_exchange");
 
-    tcase_add_test(cases, a_node_without_a_configuration_gets_the_whole);
+    tcase_add_test(cases, a_node_without_a_configuration_receives_the_whole);
     tcase_add_test(cases, only_what_changed_is_sent_to_a_node_with_an_earlier_version);
     tcase_add_test(cases, a_change_too_large_for_datagrams_is_left_to_the_store);
     tcase_add_test(cases, a_large_change_comes_from_another_node_and_not_from_the_store);
     tcase_add_test(cases, many_removed_routes_fit_into_datagrams);
-    tcase_add_test(cases, a_large_change_gets_through_losses);
-    tcase_add_test(cases, a_large_change_is_not_begun_anew_when_newer_ones_appear);
+    tcase_add_test(cases, a_large_change_arrives_despite_losses);
+    tcase_add_test(cases, a_large_transfer_is_not_restarted_when_newer_versions_appear);
     tcase_add_test(cases, a_node_sends_no_more_than_its_allowance);
-    tcase_add_test(cases, a_node_beyond_its_allowance_names_one_that_has_the_version);
-    tcase_add_test(cases, a_lost_request_and_a_lost_page_are_asked_for_again);
+    tcase_add_test(cases, a_node_beyond_its_allowance_redirects_to_one_that_has_the_version);
+    tcase_add_test(cases, a_lost_request_is_repeated);
     tcase_add_test(cases, a_node_of_the_same_zone_is_asked_first);
-    tcase_add_test(cases, a_silent_node_is_followed_by_the_next_one_that_has_it);
-    tcase_add_test(cases, an_older_version_is_neither_asked_for_nor_given);
+    tcase_add_test(cases, a_node_that_does_not_reply_is_replaced_by_the_next_holder);
+    tcase_add_test(cases, an_older_version_is_neither_requested_nor_sent);
     tcase_add_test(cases, pages_over_another_base_are_ignored);
     tcase_add_test(cases, the_most_capable_nodes_read_the_store);
     suite_add_tcase(suite, cases);
--- a/tests/test_list_exchange.c
+++ b/tests/test_list_exchange.c
@@ -1,9 +1,10 @@
 /**
  * @file test_list_exchange.c
- * @brief Nodes of a zone that get the whole list from one another: who asks whom, what fails, how fast it spreads.
+ * @brief Nodes of a zone that get the whole list from each other: which nodes are asked, failures, speed of spreading.
  *
- * A zone of nodes in logical time. A request and a page take WAY_MS each; pages leave a node at its allowance, and what
- * is sent faster than the link takes it waits there. A node may be killed, or frozen, or have another list by then.
+ * The test simulates a zone of nodes in logical time. A request and a page take DELAY_STEPS steps each. A node sends
+ * pages within its allowance, and what it sends faster than its link waits there. A node may be killed or frozen, or
+ * may have another list by the time it is asked.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,11 +15,11 @@
 enum {
     NODES_MAX = 50,
     PAGES = 48,        /* of a list of 3,000 servers, 64 to a page */
-    PAGE_BYTES = 5120, /* 80 bytes a server */
+    PAGE_BYTES = 5120, /* 80 bytes per server */
     STEP_MS = 10,
-    REPORT_MS = 800, /* a node of a zone of fifty reports so often (CW_MANY_DATAGRAMS_A_SECOND) */
+    REPORT_MS = 800, /* interval between reports of a node in a zone of fifty (CW_MANY_DATAGRAMS_A_SECOND) */
     HEARTBEAT_MS = 300,
-    WAY_STEPS = 1,
+    DELAY_STEPS = 1,
     EVENTS_MAX = 4096
 };
 
@@ -28,25 +29,25 @@
 typedef struct zone_node {
     cw_list_exchange_t *exchange;
     cw_list_number_t    has;
-    bool                came[PAGES];
+    bool                received[PAGES];
     bool                is_dead;
     bool                is_frozen;
-    uint32_t            requests; /**< taken */
-    size_t              bytes;    /**< sent */
+    uint32_t            requests_taken; /**< requests received */
+    size_t              bytes;          /**< bytes sent */
     uint32_t            pages_received;
     cw_time_us_t        link_free_at;
 } zone_node_t;
 
 typedef enum event_kind { EVENT_REQUEST, EVENT_PAGE, EVENT_REDIRECT } event_kind_t;
 
-/** A datagram on its way. */
+/** A datagram in transit. */
 typedef struct wire_event {
     cw_time_us_t     at;
     event_kind_t     kind;
     uint32_t         from;
     uint32_t         to;
-    cw_list_window_t window; /**< of a page: the page is its first */
-    uint32_t         instead;
+    cw_list_window_t window; /**< of a page: `first` is its number */
+    uint32_t         other_holder;
 } wire_event_t;
 
 static zone_node_t  nodes[NODES_MAX];
@@ -54,7 +55,7 @@
 static wire_event_t events[EVENTS_MAX];
 static size_t       event_count;
 static cw_time_us_t now;
-static bool         leader_is_cut;
+static bool         is_leader_cut_off;
 static uint32_t     requests_sent;
 
 static uint32_t address_of(const zone_node_t *node)
@@ -78,7 +79,7 @@
 static void on_request(void *context, uint32_t address, const cw_list_window_t *window)
 {
     requests_sent++;
-    put_event((wire_event_t){.at = now + CW_MS(STEP_MS * WAY_STEPS),
+    put_event((wire_event_t){.at = now + CW_MS(STEP_MS * DELAY_STEPS),
                              .kind = EVENT_REQUEST,
                              .from = address_of(context),
                              .to = address,
@@ -95,11 +96,11 @@
         return 0;
     }
     for (page = window->first; page < PAGES && page < window->first + window->count; page++) {
-        cw_time_us_t begun = node->link_free_at > now ? node->link_free_at : now;
+        cw_time_us_t start_at = node->link_free_at > now ? node->link_free_at : now;
 
-        node->link_free_at = begun + (cw_time_us_t)(PAGE_BYTES / (third_of_10_mbps * 3) * 1e6);
+        node->link_free_at = start_at + (cw_time_us_t)(PAGE_BYTES / (third_of_10_mbps * 3) * 1e6);
         bytes += PAGE_BYTES;
-        put_event((wire_event_t){.at = node->link_free_at + CW_MS(STEP_MS * WAY_STEPS),
+        put_event((wire_event_t){.at = node->link_free_at + CW_MS(STEP_MS * DELAY_STEPS),
                                  .kind = EVENT_PAGE,
                                  .from = address_of(node),
                                  .to = address,
@@ -110,17 +111,17 @@
     return bytes;
 }
 
-static void on_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t instead)
+static void on_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t other_holder)
 {
-    put_event((wire_event_t){.at = now + CW_MS(STEP_MS * WAY_STEPS),
+    put_event((wire_event_t){.at = now + CW_MS(STEP_MS * DELAY_STEPS),
                              .kind = EVENT_REDIRECT,
                              .from = address_of(context),
                              .to = address,
                              .window = {.of = of},
-                             .instead = instead});
+                             .other_holder = other_holder});
 }
 
-static void begin_zone(uint32_t count, double bytes_per_s)
+static void set_up_zone(uint32_t count, double bytes_per_s)
 {
     uint32_t index;
 
@@ -131,7 +132,7 @@
     node_count = count;
     event_count = 0;
     requests_sent = 0;
-    leader_is_cut = false;
+    is_leader_cut_off = false;
     now = CW_SECONDS(1000);
     for (index = 0; index < count; index++) {
         cw_list_exchange_owner_t owner = {.context = &nodes[index],
@@ -149,7 +150,7 @@
 {
     uint32_t page;
 
-    for (page = 0; page < PAGES && node->came[page]; page++) {
+    for (page = 0; page < PAGES && node->received[page]; page++) {
     }
     return page;
 }
@@ -159,12 +160,12 @@
     uint32_t missing;
 
     node->pages_received++;
-    node->came[event->window.first] = true;
+    node->received[event->window.first] = true;
     missing = first_missing(node);
     if (missing == PAGES) {
         node->has = event->window.of;
     }
-    cw_list_exchange_page_came(node->exchange, event->window.of, missing, PAGES, now);
+    cw_list_exchange_page_received(node->exchange, event->window.of, missing, PAGES, now);
 }
 
 static void deliver(const wire_event_t *event)
@@ -176,19 +177,19 @@
     }
     switch (event->kind) {
     case EVENT_REQUEST:
-        node->requests++;
+        node->requests_taken++;
         cw_list_exchange_take_request(node->exchange, event->from, &event->window, now);
         break;
     case EVENT_PAGE:
         take_page(node, event);
         break;
     case EVENT_REDIRECT:
-        cw_list_exchange_redirected(node->exchange, event->window.of, event->instead, now);
+        cw_list_exchange_redirected(node->exchange, event->window.of, event->other_holder, now);
         break;
     }
 }
 
-/* What has arrived, but at frozen nodes, which take it when they thaw. */
+/* Delivers what has arrived. Datagrams to frozen nodes are kept until these run again. */
 static void deliver_due(void)
 {
     size_t kept = 0;
@@ -216,7 +217,7 @@
 
     for (index = 0; index < node_count; index++) {
         if (&nodes[index] != node && !nodes[index].is_dead && !nodes[index].is_frozen) {
-            cw_list_exchange_note(nodes[index].exchange, address_of(node), node->has, now);
+            cw_list_exchange_note_holder(nodes[index].exchange, address_of(node), node->has, now);
         }
     }
 }
@@ -238,8 +239,8 @@
             if (step % (REPORT_MS / STEP_MS) == 0) {
                 report(node);
             }
-            if (step % (HEARTBEAT_MS / STEP_MS) == 0 && !leader_is_cut) {
-                cw_list_exchange_want(node->exchange, newest, node->has, now);
+            if (step % (HEARTBEAT_MS / STEP_MS) == 0 && !is_leader_cut_off) {
+                cw_list_exchange_set_wanted(node->exchange, newest, node->has, now);
             }
             cw_list_exchange_tick(node->exchange, now);
         }
@@ -248,7 +249,7 @@
 
 static void give_list(zone_node_t *node)
 {
-    memset(node->came, true, sizeof(node->came));
+    memset(node->received, true, sizeof(node->received));
     node->has = newest;
 }
 
@@ -274,43 +275,43 @@
     uint32_t index;
 
     for (index = 0; index < node_count; index++) {
-        count += nodes[index].requests;
+        count += nodes[index].requests_taken;
     }
     return count;
 }
 
-/* ---- one node asks ---- */
+/* ---- requests of one node ---- */
 
-START_TEST(a_node_without_a_list_gets_it_from_one_of_its_zone)
+START_TEST(a_node_without_a_list_receives_it_from_a_node_of_its_zone)
 {
-    begin_zone(2, 0);
+    set_up_zone(2, 0);
     give_list(&nodes[0]);
     run(2000);
     ck_assert(has_newest(&nodes[1]));
     ck_assert_uint_eq(nodes[1].pages_received, PAGES);
-    ck_assert_uint_eq(nodes[0].requests, PAGES / CW_LIST_WINDOW_PAGES);
+    ck_assert_uint_eq(nodes[0].requests_taken, PAGES / CW_LIST_WINDOW_PAGES);
 }
 END_TEST
 
 START_TEST(a_node_with_a_list_of_the_term_waits_for_its_changes)
 {
-    begin_zone(2, 0);
+    set_up_zone(2, 0);
     give_list(&nodes[0]);
     nodes[1].has = (cw_list_number_t){.term = newest.term, .number = newest.number - 3};
     run(2000);
-    ck_assert_uint_eq(nodes[0].requests, 0);
+    ck_assert_uint_eq(nodes[0].requests_taken, 0);
 }
 END_TEST
 
-/* Node 2 is asked for the first window, and gone by the second. */
-static void begin_third_of_three(void)
+/* The third of three nodes lacks the list. */
+static void set_up_two_holders(void)
 {
-    begin_zone(3, 0);
+    set_up_zone(3, 0);
     give_list(&nodes[0]);
     give_list(&nodes[1]);
 }
 
-/* Runs until some pages have come from one of two nodes, and returns that one. */
+/* Runs until some pages have been received from one of the two nodes that have the list, and returns that node. */
 static zone_node_t *run_into_transfer(void)
 {
     int steps;
@@ -323,15 +324,15 @@
     return nodes[0].bytes > 0 ? &nodes[0] : &nodes[1];
 }
 
-START_TEST(a_killed_node_is_followed_by_the_next_one_for_the_pages_that_are_missing)
+START_TEST(missing_pages_are_requested_from_the_next_node_when_one_is_killed)
 {
     zone_node_t *asked;
     size_t       index;
 
-    begin_third_of_three();
+    set_up_two_holders();
     asked = run_into_transfer();
     asked->is_dead = true;
-    for (index = 0; index < event_count; index++) { /* what its link had not sent is lost */
+    for (index = 0; index < event_count; index++) { /* what its link had not sent yet is lost */
         events[index].to = events[index].from == address_of(asked) ? address_of(asked) : events[index].to;
     }
     run(2000);
@@ -340,11 +341,11 @@
 }
 END_TEST
 
-START_TEST(a_frozen_node_is_followed_by_the_next_one_and_may_answer_when_it_thaws)
+START_TEST(the_next_node_replaces_a_frozen_one_whose_late_pages_do_no_harm)
 {
     zone_node_t *asked;
 
-    begin_third_of_three();
+    set_up_two_holders();
     asked = run_into_transfer();
     asked->is_frozen = true;
     run(2000);
@@ -356,41 +357,41 @@
 }
 END_TEST
 
-START_TEST(a_node_that_has_another_list_by_then_does_not_answer_and_the_next_one_does)
+START_TEST(the_next_node_replaces_one_that_has_another_list_meanwhile)
 {
     zone_node_t *asked;
 
-    begin_third_of_three();
+    set_up_two_holders();
     asked = run_into_transfer();
-    asked->has.number = newest.number - 1; /* it began anew */
+    asked->has.number = newest.number - 1; /* it has started over with an earlier list */
     run(2000);
     ck_assert(has_newest(&nodes[2]));
 }
 END_TEST
 
-START_TEST(while_no_node_of_the_zone_has_the_list_nobody_is_asked)
+START_TEST(nothing_is_requested_while_no_node_of_the_zone_has_the_list)
 {
-    begin_zone(NODES_MAX, third_of_10_mbps);
+    set_up_zone(NODES_MAX, third_of_10_mbps);
     run(5000);
     ck_assert_uint_eq(requests_of_all(), 0);
 }
 END_TEST
 
-START_TEST(nodes_that_are_cut_from_the_leader_ask_for_nothing)
+START_TEST(nodes_cut_off_from_the_leader_request_nothing)
 {
-    begin_zone(2, 0);
+    set_up_zone(2, 0);
     run(1000);
-    leader_is_cut = true;
+    is_leader_cut_off = true;
     run(2000);
     give_list(&nodes[0]);
     run(5000);
-    ck_assert_uint_eq(nodes[0].requests, 0);
+    ck_assert_uint_eq(nodes[0].requests_taken, 0);
 }
 END_TEST
 
-START_TEST(a_node_that_nobody_answers_asks_rarely)
+START_TEST(a_node_without_replies_sends_requests_rarely)
 {
-    begin_zone(3, 0);
+    set_up_zone(3, 0);
     give_list(&nodes[0]);
     give_list(&nodes[1]);
     run(REPORT_MS);
@@ -398,7 +399,7 @@
     nodes[1].is_dead = true;
     run(10000);
     ck_assert_uint_ge(requests_sent, 2);
-    ck_assert_uint_le(requests_sent, 10); /* 33 without the longer pause */
+    ck_assert_uint_le(requests_sent, 10); /* would be 33 without the slow retry */
 }
 END_TEST
 
@@ -406,63 +407,63 @@
 {
     cw_list_number_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
 
-    begin_third_of_three();
+    set_up_two_holders();
     (void)run_into_transfer();
-    cw_list_exchange_page_came(nodes[2].exchange, earlier, PAGES, PAGES, now);
+    cw_list_exchange_page_received(nodes[2].exchange, earlier, PAGES, PAGES, now);
     run(2000);
     ck_assert(has_newest(&nodes[2]));
     ck_assert_uint_eq(nodes[2].pages_received, PAGES);
 }
 END_TEST
 
-START_TEST(a_heartbeat_of_an_earlier_term_is_not_gone_by)
+START_TEST(a_heartbeat_of_an_earlier_term_is_ignored)
 {
     cw_list_number_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
 
-    begin_third_of_three();
+    set_up_two_holders();
     (void)run_into_transfer();
-    cw_list_exchange_want(nodes[2].exchange, earlier, (cw_list_number_t){0}, now);
+    cw_list_exchange_set_wanted(nodes[2].exchange, earlier, (cw_list_number_t){0}, now);
     run(2000);
     ck_assert(has_newest(&nodes[2]));
     ck_assert_uint_eq(nodes[2].pages_received, PAGES);
 }
 END_TEST
 
-START_TEST(a_transfer_goes_on_while_a_newer_list_is_named)
+START_TEST(a_transfer_continues_while_a_newer_list_is_named)
 {
     cw_list_number_t newer = {.term = newest.term, .number = newest.number + 1};
 
-    begin_third_of_three();
+    set_up_two_holders();
     (void)run_into_transfer();
-    cw_list_exchange_want(nodes[2].exchange, newer, nodes[2].has, now);
-    leader_is_cut = true; /* no other heartbeat comes meanwhile */
+    cw_list_exchange_set_wanted(nodes[2].exchange, newer, nodes[2].has, now);
+    is_leader_cut_off = true; /* no further heartbeat arrives */
     run(900);
     ck_assert(has_newest(&nodes[2]));
     ck_assert_uint_eq(nodes[2].pages_received, PAGES);
 }
 END_TEST
 
-START_TEST(a_list_that_came_whole_and_is_not_in_force_is_not_asked_for_again)
+START_TEST(a_list_that_was_received_whole_and_rejected_is_not_requested_again)
 {
-    uint32_t requests;
+    uint32_t requests_taken;
 
-    begin_zone(2, 0);
+    set_up_zone(2, 0);
     give_list(&nodes[0]);
     run(2000);
-    requests = nodes[0].requests;
-    nodes[1].has = (cw_list_number_t){0}; /* it has read a later one */
+    requests_taken = nodes[0].requests_taken;
+    nodes[1].has = (cw_list_number_t){0}; /* it rejected the list, since it had read a later one */
     run(5000);
-    ck_assert_uint_eq(nodes[0].requests, requests);
+    ck_assert_uint_eq(nodes[0].requests_taken, requests_taken);
 }
 END_TEST
 
-/* ---- a zone ---- */
+/* ---- a whole zone ---- */
 
-START_TEST(sources_double_in_a_zone_of_fifty)
+START_TEST(the_list_reaches_all_nodes_of_a_zone_of_fifty_in_six_seconds)
 {
-    begin_zone(NODES_MAX, third_of_10_mbps);
+    set_up_zone(NODES_MAX, third_of_10_mbps);
     give_list(&nodes[7]);
-    give_list(&nodes[8]); /* the two relays */
+    give_list(&nodes[8]); /* the two relays have the list first */
     run(6000);
     ck_assert_uint_eq(count_with_list(), NODES_MAX);
 }
@@ -475,9 +476,9 @@
     double           window_bytes = (double)CW_LIST_WINDOW_PAGES * PAGE_BYTES;
     int              steps;
 
-    begin_zone(2, third_of_10_mbps);
+    set_up_zone(2, third_of_10_mbps);
     give_list(&nodes[0]);
-    give_list(&nodes[1]); /* asks for nothing by itself */
+    give_list(&nodes[1]); /* so that it sends no requests of its own */
     for (steps = 0; steps < seconds * 1000 / STEP_MS; steps++) {
         cw_list_exchange_take_request(nodes[0].exchange, address_of(&nodes[1]), &window, now);
         run(STEP_MS);
@@ -492,19 +493,19 @@
     Suite *suite = suite_create("list_exchange");
     TCase *cases = tcase_create("list_exchange");
 
-    tcase_add_test(cases, a_node_without_a_list_gets_it_from_one_of_its_zone);
+    tcase_add_test(cases, a_node_without_a_list_receives_it_from_a_node_of_its_zone);
     tcase_add_test(cases, a_node_with_a_list_of_the_term_waits_for_its_changes);
-    tcase_add_test(cases, a_killed_node_is_followed_by_the_next_one_for_the_pages_that_are_missing);
-    tcase_add_test(cases, a_frozen_node_is_followed_by_the_next_one_and_may_answer_when_it_thaws);
-    tcase_add_test(cases, a_node_that_has_another_list_by_then_does_not_answer_and_the_next_one_does);
-    tcase_add_test(cases, while_no_node_of_the_zone_has_the_list_nobody_is_asked);
-    tcase_add_test(cases, nodes_that_are_cut_from_the_leader_ask_for_nothing);
-    tcase_add_test(cases, a_node_that_nobody_answers_asks_rarely);
+    tcase_add_test(cases, missing_pages_are_requested_from_the_next_node_when_one_is_killed);
+    tcase_add_test(cases, the_next_node_replaces_a_frozen_one_whose_late_pages_do_no_harm);
+    tcase_add_test(cases, the_next_node_replaces_one_that_has_another_list_meanwhile);
+    tcase_add_test(cases, nothing_is_requested_while_no_node_of_the_zone_has_the_list);
+    tcase_add_test(cases, nodes_cut_off_from_the_leader_request_nothing);
+    tcase_add_test(cases, a_node_without_replies_sends_requests_rarely);
     tcase_add_test(cases, a_late_page_of_an_earlier_term_changes_nothing);
-    tcase_add_test(cases, a_heartbeat_of_an_earlier_term_is_not_gone_by);
-    tcase_add_test(cases, a_transfer_goes_on_while_a_newer_list_is_named);
-    tcase_add_test(cases, a_list_that_came_whole_and_is_not_in_force_is_not_asked_for_again);
-    tcase_add_test(cases, sources_double_in_a_zone_of_fifty);
+    tcase_add_test(cases, a_heartbeat_of_an_earlier_term_is_ignored);
+    tcase_add_test(cases, a_transfer_continues_while_a_newer_list_is_named);
+    tcase_add_test(cases, a_list_that_was_received_whole_and_rejected_is_not_requested_again);
+    tcase_add_test(cases, the_list_reaches_all_nodes_of_a_zone_of_fifty_in_six_seconds);
     tcase_add_test(cases, a_node_sends_no_more_than_its_allowance);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_replaced_numbers.c
+++ b/tests/test_replaced_numbers.c
@@ -1,11 +1,11 @@
 /**
  * @file test_replaced_numbers.c
- * @brief How old an earlier list is while changes follow one another closely.
+ * @brief Age of an earlier list while changes follow each other closely.
  */
 #include "loop_fixture.h"
 #include "router/replaced_numbers.h"
 
-START_TEST(an_earlier_number_is_as_old_as_since_it_was_replaced)
+START_TEST(the_age_of_an_earlier_number_counts_from_its_replacement)
 {
     cw_replaced_numbers_t replaced = {0};
     uint32_t              ages[CW_REPLACED_KEPT];
@@ -15,12 +15,13 @@
     cw_replaced_numbers_add(&replaced, 2, CW_MS(2000));
     count = cw_replaced_numbers_ages(&replaced, CW_MS(2500), ages);
     ck_assert_uint_eq(count, 2);
-    ck_assert_int_eq(cw_replaced_numbers_true_at(2, 3, ages, count, CW_MS(2500)), CW_MS(1999)); /* never younger */
+    ck_assert_int_eq(cw_replaced_numbers_true_at(2, 3, ages, count, CW_MS(2500)),
+                     CW_MS(1999)); /* rounded so that the list never seems younger than it is */
     ck_assert_int_eq(cw_replaced_numbers_true_at(1, 3, ages, count, CW_MS(2500)), CW_MS(999));
 }
 END_TEST
 
-START_TEST(nothing_is_known_of_the_newest_and_of_what_is_not_told)
+START_TEST(the_age_is_unknown_for_the_newest_number_and_for_those_not_sent)
 {
     cw_replaced_numbers_t replaced = {0};
     uint32_t              ages[CW_REPLACED_KEPT];
@@ -40,7 +41,7 @@
 }
 END_TEST
 
-START_TEST(a_gap_or_a_new_term_forgets)
+START_TEST(a_gap_or_a_new_term_discards_earlier_numbers)
 {
     cw_replaced_numbers_t replaced = {0};
     uint32_t              ages[CW_REPLACED_KEPT];
@@ -58,9 +59,9 @@
     Suite *suite = suite_create("replaced_numbers");
     TCase *cases = tcase_create("replaced_numbers");
 
-    tcase_add_test(cases, an_earlier_number_is_as_old_as_since_it_was_replaced);
-    tcase_add_test(cases, nothing_is_known_of_the_newest_and_of_what_is_not_told);
-    tcase_add_test(cases, a_gap_or_a_new_term_forgets);
+    tcase_add_test(cases, the_age_of_an_earlier_number_counts_from_its_replacement);
+    tcase_add_test(cases, the_age_is_unknown_for_the_newest_number_and_for_those_not_sent);
+    tcase_add_test(cases, a_gap_or_a_new_term_discards_earlier_numbers);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -204,8 +204,8 @@
 
 START_TEST(pages_and_records_are_ordered_by_term_and_number)
 {
-    cw_page_place_t whole = {.term = 2, .number = 7, .pages = 1};
-    cw_page_place_t change = {.term = 2, .number = 7, .base = 5, .pages = 1};
+    cw_page_position_t whole = {.term = 2, .number = 7, .pages = 1};
+    cw_page_position_t change = {.term = 2, .number = 7, .base = 5, .pages = 1};
 
     ck_assert(cw_page_is_usable(&whole, 1, 90));
     ck_assert(cw_page_is_usable(&whole, 2, 6));
--- a/tests/test_table_publication.c
+++ b/tests/test_table_publication.c
@@ -1,40 +1,40 @@
 /**
  * @file test_table_publication.c
- * @brief When changed assignments become tables, and what a leader states of the last ones meanwhile.
+ * @brief When changed assignments are published as tables, and what the leader states about the last tables until then.
  */
 #include "loop_fixture.h"
 #include "node_fixture.h"
 #include "router/table_publication.h"
 
-enum { NODES = 200, DATAGRAMS_A_SECOND = 1000, SERVERS = 6 };
+enum { NODES = 200, DATAGRAMS_PER_SECOND = 1000, SERVERS = 6 };
 
 START_TEST(the_first_change_is_published_at_once_and_the_next_after_a_pause)
 {
     cw_table_publication_t publication = {0};
     cw_time_us_t           now = CW_SECONDS(10);
 
-    ck_assert(!cw_table_publication_is_due(&publication, NODES, DATAGRAMS_A_SECOND, now));
+    ck_assert(!cw_table_publication_is_due(&publication, NODES, DATAGRAMS_PER_SECOND, now));
     cw_table_publication_note_change(&publication, now);
-    ck_assert(cw_table_publication_is_due(&publication, NODES, DATAGRAMS_A_SECOND, now));
+    ck_assert(cw_table_publication_is_due(&publication, NODES, DATAGRAMS_PER_SECOND, now));
     cw_table_publication_done(&publication, now);
     cw_table_publication_note_change(&publication, now + 1);
     cw_table_publication_note_change(&publication, now + CW_MS(50));
-    ck_assert_int_eq(publication.changed_at, now + 1); /* the tables are true no longer */
-    ck_assert(!cw_table_publication_is_due(&publication, NODES, DATAGRAMS_A_SECOND, now + CW_MS(199)));
-    ck_assert(cw_table_publication_is_due(&publication, NODES, DATAGRAMS_A_SECOND, now + CW_MS(200)));
+    ck_assert_int_eq(publication.changed_at, now + 1); /* the published tables are outdated from the first change on */
+    ck_assert(!cw_table_publication_is_due(&publication, NODES, DATAGRAMS_PER_SECOND, now + CW_MS(199)));
+    ck_assert(cw_table_publication_is_due(&publication, NODES, DATAGRAMS_PER_SECOND, now + CW_MS(200)));
 }
 END_TEST
 
-START_TEST(few_nodes_wait_no_longer_than_it_takes_to_send_to_them)
+START_TEST(the_pause_is_the_time_that_sending_to_all_nodes_takes)
 {
     cw_table_publication_t publication = {.published_at = CW_SECONDS(10)};
 
     cw_table_publication_note_change(&publication, CW_SECONDS(10));
-    ck_assert(cw_table_publication_is_due(&publication, 2, DATAGRAMS_A_SECOND, CW_SECONDS(10) + CW_MS(2)));
+    ck_assert(cw_table_publication_is_due(&publication, 2, DATAGRAMS_PER_SECOND, CW_SECONDS(10) + CW_MS(2)));
 }
 END_TEST
 
-/* The heartbeat that the leader would send now. */
+/* The report, with the heartbeat, that the leader would send now. */
 static Cwp__Datagram *heartbeat_of(node_fixture_t *node, uint8_t *packed)
 {
     cw_router_t *router = &node->router;
@@ -45,7 +45,7 @@
     return cwp__datagram__unpack(NULL, length, packed);
 }
 
-START_TEST(while_a_change_waits_the_last_tables_are_stated_as_true_until_it)
+START_TEST(while_a_change_is_pending_the_heartbeat_dates_the_last_tables_before_it)
 {
     static uint8_t              packed[65536];
     node_fixture_t             *node = node_fixture_create();
@@ -64,7 +64,7 @@
     datagram = heartbeat_of(node, packed);
     heartbeat = datagram->report->leader;
     ck_assert_uint_eq(heartbeat->tables, tables + 1);
-    ck_assert_uint_eq(heartbeat->tables_hash, 0); /* nobody has them */
+    ck_assert_uint_eq(heartbeat->tables_hash, 0); /* no node has them yet */
     ck_assert_uint_ge(heartbeat->tables_replaced_ms[0], 70);
     cwp__datagram__free_unpacked(datagram, NULL);
     node_fixture_free(node);
@@ -77,8 +77,8 @@
     TCase *cases = tcase_create("table_publication");
 
     tcase_add_test(cases, the_first_change_is_published_at_once_and_the_next_after_a_pause);
-    tcase_add_test(cases, few_nodes_wait_no_longer_than_it_takes_to_send_to_them);
-    tcase_add_test(cases, while_a_change_waits_the_last_tables_are_stated_as_true_until_it);
+    tcase_add_test(cases, the_pause_is_the_time_that_sending_to_all_nodes_takes);
+    tcase_add_test(cases, while_a_change_is_pending_the_heartbeat_dates_the_last_tables_before_it);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_view_parts.c
+++ b/tests/test_view_parts.c
@@ -112,7 +112,7 @@
     cw_view_parts_t *parts = cw_view_parts_create();
     uint64_t         base;
 
-    for (base = 1; base <= CW_ASSEMBLIES; base++) {
+    for (base = 1; base <= CW_VIEW_ASSEMBLIES_MAX; base++) {
         ck_assert_ptr_nonnull(take(parts, base, 9, 0, CW_MS((int64_t)base)));
     }
     ck_assert_ptr_nonnull(take(parts, 1, 9, 1, CW_MS(100))); /* the oldest goes on */
