--- a/src/router/key_tables.c
+++ b/src/router/key_tables.c
@@ -1,6 +1,6 @@
 /**
  * @file key_tables.c
- * @brief Tables of keys: taking over assignments, changes laid over, hash.
+ * @brief Tables of keys: update from assignments, application of changes, hash.
  */
 #include "router/key_tables.h"
 
@@ -94,7 +94,7 @@
     }
 }
 
-/* ---- the leader's side ---- */
+/* ---- at the leader ---- */
 
 static bool is_same(const cw_table_entry_t *left, const cw_table_entry_t *right)
 {
@@ -117,12 +117,12 @@
     cw_key_table_t  fresh = {0};
     size_t          before = 0;
     size_t          index;
-    bool            any;
+    bool            is_changed;
 
     if (table == NULL) {
         return false;
     }
-    any = table->count != ranges->count;
+    is_changed = table->count != ranges->count;
     fresh.entries = cw_memory_zeroed_items(ranges->count + 1, sizeof(*fresh.entries));
     for (index = 0; index < ranges->count; index++) {
         cw_table_entry_t entry = entry_of(&ranges->items[index]);
@@ -134,18 +134,18 @@
         if (before < table->count && is_same(&table->entries[before], &entry)) {
             entry.changed_in = table->entries[before].changed_in;
         }
-        any = any || entry.changed_in == number;
+        is_changed = is_changed || entry.changed_in == number;
         fresh.entries[fresh.count++] = entry;
     }
     free(table->entries);
     table->entries = fresh.entries;
     table->count = fresh.count;
-    return any;
+    return is_changed;
 }
 
-/* ---- the other nodes' side ---- */
+/* ---- at the other nodes ---- */
 
-/** Entries that are put together. */
+/** Entries of the table that results from applying changes. */
 typedef struct merged_entries {
     cw_table_entry_t *entries;
     size_t            count;
@@ -166,10 +166,10 @@
     merged->entries[merged->count++] = *entry;
 }
 
-/* What of an entry no change covers stays. `first`: the first change that may reach into it; both are in order of keys.
- */
-static void keep_around(merged_entries_t *merged, const cw_table_entry_t *entry, const cw_key_table_t *changes,
-                        size_t *first)
+/* Keeps the parts of an entry that no change covers. `first`: the first change that may overlap the entry, carried from
+ * one entry to the next, as both tables are in order of keys. */
+static void keep_uncovered(merged_entries_t *merged, const cw_table_entry_t *entry, const cw_key_table_t *changes,
+                           size_t *first)
 {
     cw_table_entry_t rest = *entry;
     size_t           index;
@@ -184,10 +184,10 @@
             continue;
         }
         if (change->low > rest.low) {
-            cw_table_entry_t piece = rest;
+            cw_table_entry_t uncovered = rest;
 
-            piece.last = change->low - 1;
-            add_merged(merged, &piece);
+            uncovered.last = change->low - 1;
+            add_merged(merged, &uncovered);
         }
         if (change->last >= entry->last) {
             return;
@@ -197,15 +197,15 @@
     add_merged(merged, &rest);
 }
 
-static void overlay(cw_key_table_t *table, const cw_key_table_t *changes)
+static void apply_changes(cw_key_table_t *table, const cw_key_table_t *changes)
 {
     merged_entries_t merged = {0};
     size_t           first = 0;
     size_t           index;
 
-    reserve(&merged, table->count + 2 * changes->count + 1); /* a change cuts one entry in two */
+    reserve(&merged, table->count + 2 * changes->count + 1); /* a change may split one entry in two */
     for (index = 0; index < table->count; index++) {
-        keep_around(&merged, &table->entries[index], changes, &first);
+        keep_uncovered(&merged, &table->entries[index], changes, &first);
     }
     for (index = 0; index < changes->count; index++) {
         add_merged(&merged, &changes->entries[index]);
@@ -215,7 +215,7 @@
     table->count = merged.count;
 }
 
-void cw_key_tables_overlay(cw_key_tables_t *tables, const cw_key_tables_t *changes)
+void cw_key_tables_apply_changes(cw_key_tables_t *tables, const cw_key_tables_t *changes)
 {
     size_t index;
 
@@ -223,13 +223,13 @@
         cw_key_table_t *table = cw_key_tables_service(tables, changes->items[index].service);
 
         if (table != NULL) {
-            overlay(table, &changes->items[index]);
+            apply_changes(table, &changes->items[index]);
         }
     }
     cw_key_tables_seal(tables);
 }
 
-/* Tables may stand in any order: their hashes are added up. */
+/* The order of the tables does not matter, so that their hashes are added up. */
 uint64_t cw_key_tables_hash(const cw_key_tables_t *tables)
 {
     uint64_t sum = 0;
--- a/src/router/list_history.c
+++ b/src/router/list_history.c
@@ -1,6 +1,6 @@
 /**
  * @file list_history.c
- * @brief Changes of the list of servers, by number.
+ * @brief Changes of the list of servers by number; see list_history.h.
  */
 #include "router/list_history.h"
 
@@ -24,7 +24,7 @@
     cw_list_removal_t *removal = &history->removed[history->next];
 
     if (history->count == CW_REMOVED_MAX) {
-        history->oldest = removal->number; /* what it told is forgotten */
+        history->oldest = removal->number; /* the oldest removal is overwritten */
     } else {
         history->count++;
     }
@@ -33,13 +33,13 @@
     history->next = (history->next + 1) % CW_REMOVED_MAX;
 }
 
-/** A list that is added. */
+/** The list that is being added to a history. */
 typedef struct list_addition {
     cw_list_history_t *history;
     uint64_t           number;
 } list_addition_t;
 
-static void add_entry(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
+static void record_change(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
 {
     const list_addition_t *addition = context;
 
@@ -56,7 +56,7 @@
 {
     list_addition_t addition = {.history = history, .number = number};
 
-    cw_server_lists_compare(before, list, add_entry, &addition);
+    cw_server_lists_compare(before, list, record_change, &addition);
 }
 
 bool cw_list_history_covers(const cw_list_history_t *history, uint64_t number)
--- a/src/router/list_history.h
+++ b/src/router/list_history.h
@@ -1,9 +1,9 @@
 /**
  * @file list_history.h
- * @brief What changed in the list of servers since a number that the leader told: new states, and who was removed.
+ * @brief What changed in the list of servers since an earlier number: the entries that changed and those removed.
  *
- * Numbers rise by one with each list that differs. Removals are remembered up to a bound; a node that has an older list
- * than the oldest one remembered needs the whole list.
+ * The leader numbers its lists; the number rises by one with each list that differs from the one before. A bounded
+ * number of removals is kept. A node whose list is older than the oldest removal kept needs the whole list.
  */
 #ifndef CEDARWINCH_ROUTER_LIST_HISTORY_H
 #define CEDARWINCH_ROUTER_LIST_HISTORY_H
@@ -12,26 +12,29 @@
 
 enum { CW_REMOVED_MAX = 256, CW_REMOVED_ID_MAX = 48 };
 
+/** A server that was removed from the list. */
 typedef struct cw_list_removal {
     char     id[CW_REMOVED_ID_MAX];
-    uint64_t number; /**< of the first list without it */
+    uint64_t number; /**< number of the first list without it */
 } cw_list_removal_t;
 
+/** The last removals, and the oldest list that changes can bring up to date. */
 typedef struct cw_list_history {
-    uint64_t          oldest; /**< lists of this number and newer can be brought up to date by changes */
-    cw_list_removal_t removed[CW_REMOVED_MAX]; /**< a ring */
-    size_t            count;
-    size_t            next;
+    uint64_t          oldest;                  /**< changes can bring lists of this number and newer ones up to date */
+    cw_list_removal_t removed[CW_REMOVED_MAX]; /**< ring buffer */
+    size_t            count;                   /**< removals kept */
+    size_t            next;                    /**< index for the next removal */
 } cw_list_history_t;
 
-/** Begins anew with a list of this number; NULL: no list yet. */
+/** Starts over with a list of this number; NULL: there is no list yet. */
 void cw_list_history_begin(cw_list_history_t *history, cw_server_list_t *list, uint64_t number);
-/** The list of the next number; marks its entries with the number in which they changed. before: NULL is allowed. */
+/** Adds the list of the next number, and marks its entries with the number in which they changed. before: the list
+ * before it, or NULL. */
 void cw_list_history_add(cw_list_history_t *history, const cw_server_list_t *before, cw_server_list_t *list,
                          uint64_t number);
-/** Can a node with the list of this number be told just what changed? */
+/** True if a node with the list of this number can be sent only what changed. */
 bool cw_list_history_covers(const cw_list_history_t *history, uint64_t number);
-/** Ids removed after the list of number `base`; returns how many. */
+/** Ids of servers removed after the list of number `base`, at most `room`; returns how many. The ids are borrowed. */
 size_t cw_list_history_removed(const cw_list_history_t *history, uint64_t base, char **ids, size_t room);
 
 #endif
--- a/src/router/router_configuration.c
+++ b/src/router/router_configuration.c
@@ -1,27 +1,28 @@
 /**
  * @file router_configuration.c
- * @brief The configuration in force at this node, and when it is looked at besides its standing watch.
+ * @brief The configuration in force at this node, and when it is read from the store in addition to the watch.
  *
  * Rules:
- *  - A version is taken only if it is higher than the one in force, whoever sent it: never back.
- *  - A few nodes watch it in the store (store_reader.h); the others get it from them (configuration_exchange.h). A
- *    node that has known of a higher version for a while without getting it reads the store itself.
- *  - Each node knows how surely its own is the newest one, and checks it at the store when that grows old
- *    (configuration_freshness.h).
+ *  - A version comes into force only if it is higher than the one in force, whoever sent it. A node never goes back.
+ *  - A few nodes watch the configuration in the store (store_reader.h); the others receive it from them
+ *    (configuration_exchange.h). A node that has known of a higher version for a while without receiving it reads the
+ *    store itself.
+ *  - Each node keeps the evidence that its version is the newest one, and checks that at the store when the evidence
+ *    grows old (configuration_freshness.h).
  */
 #include <string.h>
 
 #include "base/dropped_entries.h"
 #include "router/router_internal.h"
 
-enum { EXCHANGE_PERCENT = 45 /* of the time in which a change has to be in force: so long other nodes may take */ };
+enum { EXCHANGE_PERCENT = 45 /* part of the time for a change that other nodes may take to send it */ };
 
 uint64_t cw_router_version(const cw_router_t *router)
 {
     return router->configuration == NULL ? 0 : router->configuration->version;
 }
 
-static void note_plan(const cw_router_t *router, const cw_configuration_t *configuration)
+static void log_accepted(const cw_router_t *router, const cw_configuration_t *configuration)
 {
     const cw_configuration_t *before = router->configuration;
     int64_t                   added = 0;
@@ -48,8 +49,8 @@
     }
 }
 
-/* Services divided by key beyond those that tables have places for get no owners. */
-static void note_keyed_services(const cw_configuration_t *configuration)
+/* Services divided by key get no owners if the tables have no room for them. */
+static void log_dropped_keyed_services(const cw_configuration_t *configuration)
 {
     size_t keyed = 0;
     size_t index;
@@ -64,11 +65,11 @@
 bool cw_router_use_configuration(cw_router_t *router, cw_configuration_t *configuration)
 {
     if (router->configuration != NULL && configuration->version <= router->configuration->version) {
-        cw_configuration_release(configuration); /* never back */
+        cw_configuration_release(configuration); /* a node never goes back to a lower version */
         return false;
     }
-    note_plan(router, configuration);
-    note_keyed_services(configuration);
+    log_accepted(router, configuration);
+    log_dropped_keyed_services(configuration);
     cw_configuration_release(router->configuration);
     router->configuration = configuration;
     router->all_due = true;
@@ -133,9 +134,9 @@
 
 void cw_router_configuration_tick(cw_router_t *router, cw_time_us_t now)
 {
-    cw_time_us_t patience = router->settings.configuration_within * EXCHANGE_PERCENT / 100;
+    cw_time_us_t max_wait = router->settings.configuration_within * EXCHANGE_PERCENT / 100;
     uint64_t     version = cw_router_version(router);
-    bool         is_overdue = cw_configuration_newest_is_overdue(&router->configuration_newest, version, patience, now);
+    bool         is_overdue = cw_configuration_newest_is_overdue(&router->configuration_newest, version, max_wait, now);
 
     check_credential_evidence(router, now);
     if (is_overdue && !cw_configuration_exchange_is_receiving(router->exchange, now)) {
--- a/src/router/router_list_exchange.c
+++ b/src/router/router_list_exchange.c
@@ -1,10 +1,10 @@
 /**
  * @file router_list_exchange.c
- * @brief Whole lists of servers between the nodes of a zone: requests, their answers, and what this node answers from.
+ * @brief Whole lists of servers between the nodes of a zone: sends and handles requests, pages and redirects.
  *
- * A node answers from its own list while that is the leader's by number and hash, and goes on with a transfer under way
- * when a newer one has come into force here. Whether a list that came replaces the one in force is decided as for those
- * that the leader sends (router_take.c): a lower revision of the store never replaces a later one.
+ * A node sends its own list while that is the leader's by number and hash. It continues a transfer that has started
+ * when a newer list has come into force here. Whether a received list replaces the one in force is decided as for lists
+ * that the leader sends (router_take.c): a lower revision of the store never replaces a higher one.
  */
 #include <stdlib.h>
 
@@ -14,11 +14,11 @@
 #include "router/servers_pages.h"
 
 enum {
-    LINK_PART = 3, /* of the link's bandwidth for pages of lists, as for the leader's (router_push.c) */
-    BITS = 8,
+    LINK_DIVISOR = 3, /* a third of the link's bandwidth is for pages of lists, as at the leader (router_push.c) */
+    BITS_PER_BYTE = 8,
 };
 
-/** A list that is sent to others. */
+/** The list that is being sent to other nodes. */
 typedef struct snapshot {
     cw_list_number_t  of;
     cw_server_list_t *list; /**< NULL: none */
@@ -27,8 +27,8 @@
 
 struct cw_router_list_exchange {
     cw_list_exchange_t *exchange;
-    cw_list_number_t    leaders; /**< the list that the leader's last heartbeat named */
-    uint64_t            leaders_hash;
+    cw_list_number_t    named; /**< the list that the leader's last heartbeat named */
+    uint64_t            named_hash;
     snapshot_t          snapshot;
 };
 
@@ -42,18 +42,17 @@
     return (cw_list_number_t){.term = router->view_term, .number = router->view_servers};
 }
 
-/* ---- what is sent ---- */
+/* ---- pages ---- */
 
-/* Has this node this list, as the leader has it? */
+/* True if this node has that list with the leader's content. */
 static bool has_list(const cw_router_t *router, cw_list_number_t of)
 {
-    const cw_router_list_exchange_t *lists = router->list_exchange;
+    const cw_router_list_exchange_t *state = router->list_exchange;
 
     if (of.number == 0 || router->server_view.list == NULL || !is_same(of, number_in_force(router))) {
         return false;
     }
-    return router->leadership.leading ||
-           (is_same(of, lists->leaders) && lists->leaders_hash == router->server_view.hash);
+    return router->leadership.leading || (is_same(of, state->named) && state->named_hash == router->server_view.hash);
 }
 
 static void take_snapshot(cw_router_t *router, cw_list_number_t of)
@@ -66,7 +65,7 @@
     snapshot->revision = router->server_view.revision;
 }
 
-/* A transfer under way goes on with the list it began with. */
+/* A transfer that has started continues with the list of its start. */
 static const snapshot_t *find_snapshot(cw_router_t *router, const cw_list_window_t *window)
 {
     snapshot_t *snapshot = &router->list_exchange->snapshot;
@@ -126,13 +125,13 @@
         bytes += send_page(router, peer, snapshot, number);
     }
     *is_last = number >= pages;
-    cw_send_allowance_spend(&router->push_allowance, bytes); /* what the leader or a relay sends besides waits for it */
+    cw_send_allowance_spend(&router->push_allowance, bytes); /* shared with the pages of a leader or relay */
     return bytes;
 }
 
-/* ---- what is asked ---- */
+/* ---- requests and redirects ---- */
 
-static void note_request(const cw_peer_t *peer, const cw_list_window_t *window)
+static void log_request(const cw_peer_t *peer, const cw_list_window_t *window)
 {
     cw_event_t event;
 
@@ -154,7 +153,7 @@
     Cwp__Datagram    datagram = CWP__DATAGRAM__INIT;
 
     if (peer == NULL) {
-        return; /* no more peers fit; another one is asked after a pause */
+        return; /* there is no room for another peer; a different node is asked after a pause */
     }
     request.term = window->of.term;
     request.number = window->of.number;
@@ -162,7 +161,7 @@
     datagram.content_case = CWP__DATAGRAM__CONTENT_LIST_REQUEST;
     datagram.list_request = &request;
     cw_peer_link_send(router->link, peer, &datagram);
-    note_request(peer, window);
+    log_request(peer, window);
 }
 
 static void send_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t other_holder)
@@ -173,7 +172,7 @@
     Cwp__Datagram    datagram = CWP__DATAGRAM__INIT;
 
     if (peer == NULL) {
-        return; /* forgotten meanwhile */
+        return; /* the peer has been removed meanwhile */
     }
     page.term = of.term;
     page.number = of.number;
@@ -184,7 +183,7 @@
     cw_metric_add(CW_METRIC_LIST_REDIRECTS, 1);
 }
 
-/* ---- the node's parts ---- */
+/* ---- calls of the node's other parts ---- */
 
 void cw_router_list_exchange_init(cw_router_t *router)
 {
@@ -192,7 +191,8 @@
                                       .request = send_request,
                                       .send_pages = send_pages,
                                       .redirect = send_redirect,
-                                      .bytes_per_s = (double)router->settings.link_mbps * 1e6 / BITS / LINK_PART,
+                                      .bytes_per_s =
+                                          (double)router->settings.link_mbps * 1e6 / BITS_PER_BYTE / LINK_DIVISOR,
                                       .own_address = cw_peer_link_own_address(router->link)};
 
     router->list_exchange = cw_memory_zeroed(sizeof(*router->list_exchange));
@@ -212,21 +212,21 @@
     cw_list_exchange_tick(router->list_exchange->exchange, now);
 }
 
-/* A node that has just started does not know the others yet, the leader does. */
-static bool are_nodes_many(const cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat)
+/* A node that has just started does not know the other nodes yet, but the leader's heartbeat states their number. */
+static bool is_fleet_large(const cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat)
 {
     return heartbeat->nodes >= CW_FLEET_MANY_NODES || cw_router_nodes_are_many(router);
 }
 
 void cw_router_list_exchange_heartbeat(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    cw_router_list_exchange_t *lists = router->list_exchange;
-    cw_list_number_t           named = {.term = heartbeat->term, .number = heartbeat->servers};
+    cw_router_list_exchange_t *state = router->list_exchange;
+    cw_list_number_t           newest = {.term = heartbeat->term, .number = heartbeat->servers};
 
-    lists->leaders = named;
-    lists->leaders_hash = heartbeat->servers_hash;
-    if (named.term >= router->view_term && are_nodes_many(router, heartbeat)) {
-        cw_list_exchange_set_wanted(lists->exchange, named, number_in_force(router), now);
+    state->named = newest;
+    state->named_hash = heartbeat->servers_hash;
+    if (newest.term >= router->view_term && is_fleet_large(router, heartbeat)) {
+        cw_list_exchange_set_wanted(state->exchange, newest, number_in_force(router), now);
     }
 }
 
@@ -239,7 +239,7 @@
     }
 }
 
-static void note_list(const cw_peer_t *peer, const Cwp__ServersPage *page)
+static void log_list_received(const cw_peer_t *peer, const Cwp__ServersPage *page)
 {
     cw_event_t event;
 
@@ -259,7 +259,7 @@
     cw_list_number_t of = {.term = page->term, .number = page->number};
 
     if (next_missing >= page->pages && peer->distance == CW_DISTANCE_ZONE && is_same(of, number_in_force(router))) {
-        note_list(peer, page);
+        log_list_received(peer, page);
     }
     cw_list_exchange_page_received(router->list_exchange->exchange, of, next_missing, page->pages,
                                    cw_router_now(router));
@@ -279,7 +279,7 @@
                                .count = CW_LIST_WINDOW_PAGES};
 
     if (peer->zone[0] != '\0' && peer->distance != CW_DISTANCE_ZONE) {
-        return; /* nothing of it crosses the border of a zone */
+        return; /* whole lists are not exchanged between zones */
     }
     cw_list_exchange_take_request(router->list_exchange->exchange, peer->address, &window, cw_router_now(router));
 }
--- a/src/router/router_own.c
+++ b/src/router/router_own.c
@@ -1,6 +1,6 @@
 /**
  * @file router_own.c
- * @brief What this node answers about itself: readiness, status, metrics.
+ * @brief Serves the readiness, status and metrics of this node over HTTP.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,8 +14,8 @@
     STATUS_OK = 200,
     STATUS_NOT_FOUND = 404,
     STATUS_UNAVAILABLE = 503,
-    OWN_HEADER_BYTES = 16 * 1024,
-    OWN_IDLE_S = 60
+    ADMIN_HEADER_BYTES = 16 * 1024,
+    ADMIN_IDLE_S = 60
 };
 
 static bool is_ready(const cw_router_t *router)
@@ -62,7 +62,7 @@
     cw_bytes_clear(&text);
 }
 
-static void on_own_request(void *context, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound)
+static void on_admin_request(void *context, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound)
 {
     cw_router_t       *router = context;
     cw_http_outbound_t outbound = {.status = STATUS_NOT_FOUND, .retry_after_s = -1};
@@ -89,7 +89,7 @@
     cw_http_exchange_answer(exchange, &outbound);
 }
 
-static void on_own_gone(void *context, cw_http_exchange_t *exchange)
+static void on_admin_gone(void *context, cw_http_exchange_t *exchange)
 {
     (void)context;
     (void)exchange;
@@ -97,18 +97,18 @@
 
 int cw_router_own_start(cw_router_t *router)
 {
-    cw_http_limits_t           own_limits = {.header_bytes = OWN_HEADER_BYTES,
-                                             .body_bytes = OWN_HEADER_BYTES,
-                                             .header_timeout = CW_SECONDS(OWN_IDLE_S),
-                                             .idle_timeout = CW_SECONDS(OWN_IDLE_S)};
-    cw_http_listener_handler_t own = {router, on_own_request, on_own_gone};
+    cw_http_limits_t           limits = {.header_bytes = ADMIN_HEADER_BYTES,
+                                         .body_bytes = ADMIN_HEADER_BYTES,
+                                         .header_timeout = CW_SECONDS(ADMIN_IDLE_S),
+                                         .idle_timeout = CW_SECONDS(ADMIN_IDLE_S)};
+    cw_http_listener_handler_t handler = {router, on_admin_request, on_admin_gone};
     int                        error;
 
     error = cw_http_listener_create(&router->readiness, &router->loop, router->settings.readiness.address,
-                                    router->settings.readiness.port, &own_limits, &own);
+                                    router->settings.readiness.port, &limits, &handler);
     if (error == 0 && router->settings.metrics_port != 0) {
         error = cw_http_listener_create(&router->metrics, &router->loop, router->settings.address,
-                                        router->settings.metrics_port, &own_limits, &own);
+                                        router->settings.metrics_port, &limits, &handler);
     }
     return error;
 }
--- a/src/router/router_share.c
+++ b/src/router/router_share.c
@@ -1,27 +1,28 @@
 /**
  * @file router_share.c
- * @brief Readers of the store: which node is one, and what they send to the others.
+ * @brief Readers of the store: whether this node is one, and the notices that readers send to other nodes.
  *
- * A reader keeps a watch of the configuration; without the leader's heartbeat it also reads the list of servers and the
+ * A reader keeps a watch on the configuration. Without the leader's heartbeat it also reads the list of servers and the
  * records of assignments (router_view.c). It sends a notice to its zone every CW_READER_NOTICE_MS, and one to all nodes
- * when it has read a new configuration. A notice says which version is in force there and since when it is surely the
- * newest one, and by hashes which list and tables were true when: a node that has the same need not read them. Who
- * lacks the version asks for it (configuration_exchange.h).
+ * when it has read a new configuration. A notice states which version is in force at the reader, and the age of the
+ * evidence that it is the newest one. It also states the hashes of the reader's list and tables, and when these were
+ * last valid: a node that has the same ones need not read them. A node that lacks the version requests it
+ * (configuration_exchange.h).
  */
 #include <string.h>
 
 #include "router/router_internal.h"
 
 enum {
-    RANK_EVERY_MS = 200,
-    LINK_PART = 3, /* of the link's bandwidth for pages of configurations; requests need the rest */
-    BITS = 8,
-    NEW_FOR_MS = 3500 /* bounds hold for machines in touch: four seconds after a start at the earliest */
+    RANKING_INTERVAL_MS = 200,
+    LINK_DIVISOR = 3, /* a third of the link's bandwidth is for pages of configurations; requests need the rest */
+    BITS_PER_BYTE = 8,
+    NEW_NODE_MS = 3500 /* the bounds that nodes must keep apply four seconds after a start at the earliest */
 };
 
 bool cw_router_is_new(const cw_router_t *router, cw_time_us_t now)
 {
-    return now - router->started_at < CW_MS(NEW_FOR_MS);
+    return now - router->started_at < CW_MS(NEW_NODE_MS);
 }
 
 /* ---- the exchange of configurations ---- */
@@ -61,8 +62,8 @@
                                                .send = send_to,
                                                .received = on_received,
                                                .too_large = on_too_large,
-                                               .bytes_per_s =
-                                                   (double)router->settings.link_mbps * 1e6 / BITS / LINK_PART};
+                                               .bytes_per_s = (double)router->settings.link_mbps * 1e6 / BITS_PER_BYTE /
+                                                              LINK_DIVISOR};
 
     router->exchange = cw_configuration_exchange_create(&owner);
     cw_configuration_freshness_init(&router->freshness, router->settings.configuration_within);
@@ -139,16 +140,16 @@
     }
 }
 
-/* ---- who reads ---- */
+/* ---- choice of the readers ---- */
 
-/* Is the peer a node that may read for this zone, and received from lately? */
-static bool may_read(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+/* True if the peer may be a reader of this zone and was received from recently. */
+static bool is_reader_candidate(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     return is_in_zone(router, peer) && !peer->stopping && !peer->store_lost &&
            now - peer->last_received_at < CW_MS(CW_READER_SILENCE_MS);
 }
 
-static bool ranks_among_readers(const cw_router_t *router, cw_time_us_t now)
+static bool is_ranked_as_reader(const cw_router_t *router, cw_time_us_t now)
 {
     cw_store_reader_candidate_t self = {.address = cw_peer_link_own_address(router->link),
                                         .capability = cw_router_capability(router)};
@@ -160,25 +161,26 @@
         cw_store_reader_candidate_t candidate = {.address = peer->address, .capability = peer->capability};
 
         zone_nodes += is_in_zone(router, peer) ? 1 : 0;
-        before += may_read(router, peer, now) && cw_store_reader_precedes(&candidate, &self) ? 1 : 0;
+        before += is_reader_candidate(router, peer, now) && cw_store_reader_precedes(&candidate, &self) ? 1 : 0;
     }
     return before < cw_store_reader_count(zone_nodes);
 }
 
-static bool is_leader_alive(const cw_router_t *router, cw_time_us_t now)
+static bool is_leader_heard(const cw_router_t *router, cw_time_us_t now)
 {
     return now - router->leader_heartbeat_at < CW_MS(CW_READER_SILENCE_MS);
 }
 
 static cw_configuration_role_t configuration_role(const cw_router_t *router, cw_time_us_t now)
 {
-    if (router->leadership.leading || (router->is_reader && !is_leader_alive(router, now))) {
+    if (router->leadership.leading || (router->is_reader && !is_leader_heard(router, now))) {
         return CW_CONFIGURATION_CHECKER;
     }
     return router->is_reader ? CW_CONFIGURATION_READER : CW_CONFIGURATION_FOLLOWER;
 }
 
-/* A process that has just started gets along with a copy of the configuration and what other nodes send. */
+/* A process that has just started uses a copy of the configuration and what other nodes send, and watches nothing
+ * unless it leads or reads. */
 static void watch_configuration(cw_router_t *router, bool is_new, cw_time_us_t now)
 {
     cw_configuration_role_t role = configuration_role(router, now);
@@ -210,10 +212,10 @@
     bool is_new = cw_router_is_new(router, now);
 
     cw_configuration_exchange_tick(router->exchange, now);
-    if (now - router->ranked_at >= CW_MS(RANK_EVERY_MS)) {
+    if (now - router->ranked_at >= CW_MS(RANKING_INTERVAL_MS)) {
         router->ranked_at = now;
         set_reader(router, router->stopping_at == 0 && !is_new &&
-                               (router->leadership.leading || ranks_among_readers(router, now)));
+                               (router->leadership.leading || is_ranked_as_reader(router, now)));
     }
     watch_configuration(router, is_new, now);
     if (router->is_reader && !router->store_reach.is_lost &&
--- a/src/router/router_take.c
+++ b/src/router/router_take.c
@@ -1,17 +1,17 @@
 /**
  * @file router_take.c
- * @brief What the leader tells: pages of the list and of the tables, and hashes of what a node may have already.
+ * @brief Handles the leader's pages of the list and of the tables, and its hashes of what this node may already have.
  *
- * A page belongs to a term, a number and a base. All pages of one of them together are the whole list (base 0), or what
- * changed since the list of number `base`; they are used when the last one has come, if what this node has is not older
- * than the base. What has come is acknowledged to the leader at once.
+ * A page belongs to a term, a number and a base. All pages with the same ones together are the whole list (base 0), or
+ * what changed since the list of number `base`. They are applied when the last one has been received, if what this node
+ * has is not older than the base. The result is acknowledged to the leader at once.
  */
 #include <string.h>
 
 #include "router/router_internal.h"
 #include "router/view_order.h"
 
-enum { ANNOUNCED_TO = 8 /* nodes that one which has got the whole list tells of it */ };
+enum { ANNOUNCE_NODES = 8 /* nodes to which a node announces that it has received the whole list */ };
 
 static bool is_usable(const cw_router_t *router, const cw_page_position_t *position, uint64_t has)
 {
@@ -41,7 +41,7 @@
     return cw_peer_link_pack(router->link, &datagram);
 }
 
-static size_t count_of_zone(const cw_router_t *router)
+static size_t count_zone_peers(const cw_router_t *router)
 {
     size_t           count = 0;
     const cw_peer_t *peer;
@@ -52,12 +52,13 @@
     return count;
 }
 
-/* The others can ask for it from now on. Reports of a large zone are seconds apart: until then nobody would know. A
- * relay is the first of its zone to have the list and tells all; the others tell a few, each node different ones. */
+/* Tells other nodes of the zone that they can request the list from this one. Without that they would learn it only
+ * from the next report, and reports of a large zone are seconds apart. A relay is the first node of its zone to have
+ * the list and tells all others; any other node tells a few, each node different ones. */
 static void announce_whole_list(cw_router_t *router)
 {
-    size_t           count = count_of_zone(router);
-    size_t           told = cw_router_is_own_relay(router) || count < ANNOUNCED_TO ? count : ANNOUNCED_TO;
+    size_t           count = count_zone_peers(router);
+    size_t           receivers = cw_router_is_own_relay(router) || count < ANNOUNCE_NODES ? count : ANNOUNCE_NODES;
     size_t           position = 0;
     size_t           length;
     size_t           first;
@@ -72,14 +73,14 @@
         if (peer->distance != CW_DISTANCE_ZONE || peer->is_lost) {
             continue;
         }
-        if ((position + count - first) % count < told) {
+        if ((position + count - first) % count < receivers) {
             cw_peer_link_send_packed(router->link, peer, length);
         }
         position++;
     }
 }
 
-/* To the node that sent it, and to the leader if that is another one: what it need not send by itself. */
+/* Acknowledges to the sender, and to the leader if that is another node, which then need not send the same itself. */
 static void acknowledge(cw_router_t *router, const cw_peer_t *sender)
 {
     size_t           length = pack_ack(router);
@@ -111,11 +112,11 @@
     cw_router_list_exchange_note(router, peer, cw_router_now(router));
 }
 
-/* ---- the list ---- */
+/* ---- the list of servers ---- */
 
-/* Has no effect on pages of changes: these are not asked for. */
-static void note_whole_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
-                            uint32_t next_missing)
+/* Ignores pages of changes, since these are not requested. */
+static void report_whole_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
+                              uint32_t next_missing)
 {
     if (page->since == 0) {
         cw_router_list_exchange_page(router, peer, page, next_missing);
@@ -126,7 +127,7 @@
 {
     cw_page_position_t  position = {page->term, page->number, page->since, page->page, page->pages};
     cw_server_reading_t reading = {.revision = page->revision, .is_told = true};
-    cw_list_parts_t    *parts;
+    cw_list_update_t   *update;
 
     if (page->pages == 0 && page->ask_instead != 0) {
         cw_router_list_exchange_redirected(router, page);
@@ -135,24 +136,24 @@
     if (!is_usable(router, &position, router->view_servers)) {
         return;
     }
-    if (page->revision < router->server_view.revision) { /* this node has read a later one itself */
+    if (page->revision < router->server_view.revision) { /* this node has read a later list itself */
         cw_router_note_older_servers(router, page->revision, "told");
-        note_whole_page(router, peer, page, page->pages);
+        report_whole_page(router, peer, page, page->pages);
         return;
     }
-    parts = cw_view_parts_take_list(router->view_parts, page, cw_router_now(router));
-    if (parts == NULL) {
+    update = cw_view_parts_take_list(router->view_parts, page, cw_router_now(router));
+    if (update == NULL) {
         return;
     }
-    if (!cw_view_assembly_is_whole(&parts->assembly)) {
-        note_whole_page(router, peer, page, cw_view_assembly_first_missing(&parts->assembly));
+    if (!cw_view_assembly_is_whole(&update->assembly)) {
+        report_whole_page(router, peer, page, cw_view_assembly_first_missing(&update->assembly));
         return;
     }
-    reading.list = cw_list_parts_finish(parts, router->server_view.list);
+    reading.list = cw_list_update_finish(update, router->server_view.list);
     cw_router_begin_term(router, page->term);
     router->view_servers = page->number;
     (void)cw_router_take_servers(router, &reading);
-    note_whole_page(router, peer, page, page->pages);
+    report_whole_page(router, peer, page, page->pages);
     acknowledge(router, peer);
     if (page->since == 0) {
         announce_whole_list(router);
@@ -161,7 +162,7 @@
 
 /* ---- tables ---- */
 
-static void note_view(const cw_router_t *router, const cw_page_position_t *position, size_t entries)
+static void log_view_taken(const cw_router_t *router, const cw_page_position_t *position, size_t entries)
 {
     cw_event_t event;
 
@@ -185,7 +186,8 @@
     return count;
 }
 
-/* Whole tables that a relay passes on may be older than a record that this node has read (router_pass_on.c). */
+/* Whole tables forwarded by a relay may be older than a record that this node has read (router_pass_on.c). They are
+ * accepted only if this node has no tables yet. */
 static bool is_from_leader_or_first(const cw_router_t *router, const cw_peer_t *sender, const Cwp__TablePage *page)
 {
     return page->since != 0 || router->tables_at == 0 || strcmp(sender->node, router->leader_node) == 0;
@@ -194,36 +196,36 @@
 void cw_router_take_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page)
 {
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
-    cw_table_parts_t  *parts;
+    cw_table_update_t *update;
 
     if (!is_usable(router, &position, router->view_tables) || !is_from_leader_or_first(router, peer, page)) {
         return;
     }
-    parts = cw_view_parts_take_tables(router->view_parts, page, cw_router_now(router));
-    if (parts == NULL || !cw_view_assembly_is_whole(&parts->assembly)) {
+    update = cw_view_parts_take_tables(router->view_parts, page, cw_router_now(router));
+    if (update == NULL || !cw_view_assembly_is_whole(&update->assembly)) {
         return;
     }
-    cw_key_tables_seal(&parts->tables);
-    note_view(router, &position, count_entries(&parts->tables));
+    cw_key_tables_seal(&update->tables);
+    log_view_taken(router, &position, count_entries(&update->tables));
     if (page->since == 0) {
         cw_key_tables_clear(&router->tables);
     }
-    cw_key_tables_overlay(&router->tables, &parts->tables);
-    cw_table_parts_clear(parts);
+    cw_key_tables_apply_changes(&router->tables, &update->tables);
+    cw_table_update_clear(update);
     cw_router_begin_term(router, page->term);
     router->view_tables = page->number;
     cw_router_use_tables(router);
     acknowledge(router, peer);
 }
 
-/* ---- what this node has already ---- */
+/* ---- content that this node already has ---- */
 
 void cw_router_adopt(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat)
 {
-    bool newer = heartbeat->term > router->view_term;
-    bool servers = heartbeat->servers_hash != 0 && (newer || heartbeat->servers > router->view_servers) &&
+    bool is_newer_term = heartbeat->term > router->view_term;
+    bool servers = heartbeat->servers_hash != 0 && (is_newer_term || heartbeat->servers > router->view_servers) &&
                    heartbeat->servers_hash == router->server_view.hash;
-    bool tables = heartbeat->tables_hash != 0 && (newer || heartbeat->tables > router->view_tables) &&
+    bool tables = heartbeat->tables_hash != 0 && (is_newer_term || heartbeat->tables > router->view_tables) &&
                   heartbeat->tables_hash == router->tables_hash;
 
     if (heartbeat->term < router->view_term || (!servers && !tables)) {
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -1,11 +1,11 @@
 /**
  * @file router_view.c
- * @brief What this node goes by: the list of servers and the tables of keys, and how old they are.
+ * @brief The list of servers and the tables of keys by which this node routes, and their age.
  *
- * Both come from the leader, in pages under a number. A node that has the newest number takes each heartbeat of the
- * leader as their confirmation. Without a fresh heartbeat it reads the store itself: the list, and the records of
- * assignments, whose owners it then routes by (the store is linearizable, and every change is written there before it
- * is ordered).
+ * The leader sends both in pages, each under a number. For a node that has the newest number, each heartbeat of the
+ * leader confirms them. Without a fresh heartbeat a node reads the store itself: the list, and the records of
+ * assignments, by whose owners it then routes. This is safe because the store is linearizable, and every change is
+ * written there before servers are ordered to carry it out.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -17,33 +17,33 @@
 #include "router/view_order.h"
 
 enum {
-    LIST_PARTS = 4,           /* a list is read so many times while a leaving server may still get requests, */
-    LIST_PARTS_LAGGING = 10,  /* more often where its last changes may be missing in what is read, */
-    LIST_PARTS_MANY = 2,      /* and so many times by each of many nodes without the leader's heartbeat */
-    LIST_OLD_PERCENT = 60,    /* of that time: an older one is read by nodes that do not read for others, too, */
-    LIST_SPREAD_PERCENT = 20, /* and up to so much later at nodes that hear the leader */
-    SERVERS_A_NODE = 10,      /* that a list is taken to have at least */
-    FIRST_READ_EVERY_MS = 700,
-    LEADER_SEEN_MS = 100, /* a node that starts has the leader's heartbeat by then: seeds answer it within 50 ms */
-    FIRST_LIST_MS = 4000, /* the leader's list has come by then, from nodes of the zone or the leader itself */
-    TABLES_READER_PERCENT = 25, /* of the time they are valid: tables as old are read by readers of many nodes, */
-    TABLES_OLD_PERCENT = 50,    /* and by the others: a reader has mostly confirmed theirs before */
-    HEARTBEAT_OLD_PERCENT = 45, /* of that time: without the leader's heartbeat for so long a node reads itself */
-    TABLES_READ_EVERY_MS = 700,
-    LOST_PERCENT = 80 /* of that time: pause of each of many nodes while the store does not answer. A machine is held to
-                       * its bounds again only when the store has been back for longer (contact-s of the sheets) */
+    LIST_READS_PER_DRAIN = 4, /* reads of the list during `drain`, in which a leaving server may still get requests */
+    LAGGING_LIST_READS_PER_DRAIN = 10, /* the same if what is read may lack the last changes */
+    FLEET_LIST_READS_PER_DRAIN = 2,    /* the same at each node of a large fleet without the leader's heartbeat */
+    LIST_STALE_PERCENT = 60,           /* of `drain`: age at which nodes that are not readers read the list, too */
+    LIST_SPREAD_PERCENT = 20,          /* of `drain`: additional spread at nodes that receive the leader's heartbeat */
+    MIN_SERVERS_PER_NODE = 10,         /* servers that a list is assumed to have at least */
+    FIRST_READ_RETRY_MS = 700,
+    LEADER_WAIT_MS = 100,       /* a starting node has the leader's heartbeat by then: seeds answer within 50 ms */
+    LEADER_LIST_WAIT_MS = 4000, /* by then the leader's list has come from nodes of the zone or from the leader */
+    READER_TABLES_STALE_PERCENT = 25, /* of the tables' validity: age at which readers of a large fleet read them */
+    TABLES_STALE_PERCENT = 50,        /* the same for other nodes, for which a reader mostly confirms them before */
+    HEARTBEAT_STALE_PERCENT = 45,     /* of `drain`: after so long without the leader's heartbeat a node reads itself */
+    TABLES_READ_INTERVAL_MS = 700,
+    STORE_LOST_PAUSE_PERCENT = 80 /* of `drain`: see read_pause. The bounds apply to a machine again only when the store
+                                   * has been back for longer (contact-s of the sheets) */
 };
 
-/* ---- servers ---- */
+/* ---- the list of servers ---- */
 
-/** How many servers two lists do not share. */
+/** Number of servers by which two lists differ. */
 typedef struct servers_difference {
     cw_router_t *router;
     int64_t      added;
     int64_t      removed;
 } servers_difference_t;
 
-static void note_difference(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
+static void count_difference(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
 {
     servers_difference_t *difference = context;
 
@@ -54,13 +54,13 @@
     }
 }
 
-static void note_servers(cw_router_t *router, const cw_server_list_t *before)
+static void log_servers_changed(cw_router_t *router, const cw_server_list_t *before)
 {
     cw_server_list_t    *list = router->server_view.list;
     servers_difference_t difference = {.router = router};
     cw_event_t           event;
 
-    cw_server_lists_compare(before, list, note_difference, &difference);
+    cw_server_lists_compare(before, list, count_difference, &difference);
     if (cw_event_begin(&event, CW_EVENT_SERVERS_CHANGED)) {
         cw_event_number(&event, CW_FIELD_COUNT, (int64_t)list->count);
         cw_event_number(&event, CW_FIELD_ADDED, difference.added);
@@ -71,12 +71,12 @@
     }
 }
 
-/* Another list is in force: all that goes by it is told. */
-static void use_servers(cw_router_t *router, cw_server_list_t *before, cw_time_us_t before_true_at, cw_time_us_t now)
+/* Passes another list that is in force to all parts of the node that use it. */
+static void apply_servers(cw_router_t *router, cw_server_list_t *before, cw_time_us_t before_true_at, cw_time_us_t now)
 {
     cw_server_list_t *list = router->server_view.list;
 
-    note_servers(router, before);
+    log_servers_changed(router, before);
     cw_server_pool_update(router->pool, list, now);
     cw_router_use_zones(router, before_true_at, now);
     if (router->leadership.leading) {
@@ -87,7 +87,7 @@
     }
     cw_server_list_release(before);
     cw_metric_set(CW_METRIC_SERVERS, list->count);
-    cw_router_use_tables(router); /* owners may have come or gone */
+    cw_router_use_tables(router); /* owners may have been added or removed */
     if (router->leadership.leading) {
         cw_router_servers_changed(router, now);
     }
@@ -106,7 +106,7 @@
     }
 }
 
-static void note_kept(const cw_router_t *router, size_t before)
+static void log_servers_kept(const cw_router_t *router, size_t before)
 {
     cw_event_t event;
 
@@ -126,8 +126,8 @@
     cw_view_result_t  result = cw_server_view_take(&router->server_view, reading, now, &before);
 
     if (result == CW_VIEW_CHANGED) {
-        note_kept(router, kept);
-        use_servers(router, before, before_true_at, now);
+        log_servers_kept(router, kept);
+        apply_servers(router, before, before_true_at, now);
     } else if (result == CW_VIEW_OLDER) {
         cw_router_note_older_servers(router, reading->revision, "read");
     }
@@ -147,52 +147,53 @@
     router->servers_lag = read->lag;
     cw_router_store_result(router, read->list != NULL, cw_router_now(router));
     if (read->list != NULL && cw_router_take_servers(router, &reading) && !router->leadership.leading) {
-        router->view_servers = 0; /* changes that the leader tells cannot be laid over it */
+        router->view_servers = 0; /* the leader's changes cannot be applied to a list read from the store */
     }
 }
 
-/* Servers that were given time to sign in again, and have not. */
+/* Removes servers that were given time to register again and have not done so. */
 static void expire_servers(cw_router_t *router, cw_time_us_t now)
 {
     cw_server_list_t *before;
 
     if (cw_server_view_expire(&router->server_view, now, &before) == CW_VIEW_CHANGED) {
-        use_servers(router, before, router->server_view.true_at, now);
+        apply_servers(router, before, router->server_view.true_at, now);
     }
 }
 
-/* A process that has just started does not know the others yet, and takes it that there are many. */
-static bool is_one_of_many(const cw_router_t *router, cw_time_us_t now)
+/* A process that has just started does not know the other nodes yet, and assumes that there are many. */
+static bool is_in_large_fleet(const cw_router_t *router, cw_time_us_t now)
 {
     return cw_router_is_new(router, now) ||
            cw_peer_link_alive(router->link, router->silence, now) >= CW_FLEET_MANY_NODES;
 }
 
-/* While the store does not answer, many nodes that ask it are a burden, and each call has a price: the readers go on.
- */
-static cw_time_us_t pause_of_reading(const cw_router_t *router, cw_time_us_t usual, cw_time_us_t now)
+/* Pause between two reads. While the store does not answer, calls of many nodes would burden it, and each call has a
+ * cost: so nodes of a large fleet pause for longer, except the readers. */
+static cw_time_us_t read_pause(const cw_router_t *router, cw_time_us_t usual, cw_time_us_t now)
 {
-    cw_time_us_t longer = router->settings.drain * LOST_PERCENT / 100;
-    bool         is_spared = router->store_reach.is_lost && !router->is_reader && is_one_of_many(router, now);
+    cw_time_us_t longer = router->settings.drain * STORE_LOST_PAUSE_PERCENT / 100;
+    bool         is_slowed = router->store_reach.is_lost && !router->is_reader && is_in_large_fleet(router, now);
 
-    return is_spared && longer > usual ? longer : usual;
+    return is_slowed && longer > usual ? longer : usual;
 }
 
-/* Between readings while the store answers. */
-static cw_time_us_t usual_pause_of_reading(const cw_router_t *router, cw_time_us_t now)
+/* Pause between two reads of the list while the store answers. */
+static cw_time_us_t usual_read_pause(const cw_router_t *router, cw_time_us_t now)
 {
     if (cw_router_is_able(router, now)) {
-        return router->settings.drain / (router->servers_lag > 0 ? LIST_PARTS_LAGGING : LIST_PARTS);
+        return router->settings.drain / (router->servers_lag > 0 ? LAGGING_LIST_READS_PER_DRAIN : LIST_READS_PER_DRAIN);
     }
-    return router->settings.drain / (is_one_of_many(router, now) ? LIST_PARTS_MANY : LIST_PARTS);
+    return router->settings.drain /
+           (is_in_large_fleet(router, now) ? FLEET_LIST_READS_PER_DRAIN : LIST_READS_PER_DRAIN);
 }
 
 static void read_servers(cw_router_t *router, cw_time_us_t now)
 {
-    cw_time_us_t pause = usual_pause_of_reading(router, now);
+    cw_time_us_t pause = usual_read_pause(router, now);
     bool         from_copy = router->server_view.list == NULL && !cw_router_is_able(router, now);
 
-    pause = from_copy ? CW_MS(FIRST_READ_EVERY_MS) : pause_of_reading(router, pause, now);
+    pause = from_copy ? CW_MS(FIRST_READ_RETRY_MS) : read_pause(router, pause, now);
     if (router->reading_servers || now - router->servers_read_at < pause) {
         return;
     }
@@ -207,7 +208,7 @@
 
 /* ---- tables ---- */
 
-static const char *id_of_hash(const cw_router_t *router, uint32_t hash)
+static const char *find_server_id(const cw_router_t *router, uint32_t hash)
 {
     const cw_server_t *server = cw_server_pool_find_hash(router->pool, hash);
 
@@ -229,7 +230,7 @@
         route->low = entry->low;
         route->last = entry->last;
         route->fence = entry->fence;
-        cw_text_copy(route->server, sizeof(route->server), id_of_hash(router, entry->server));
+        cw_text_copy(route->server, sizeof(route->server), find_server_id(router, entry->server));
         route->routable = entry->routable && route->server[0] != '\0';
     }
     cw_engine_set_table(router->engine, table->service, routes, table->count, router->view_tables);
@@ -246,25 +247,25 @@
     }
 }
 
-/* For how long tables are routed by after they were surely true. */
-static cw_time_us_t tables_valid(const cw_router_t *router)
+/* Time for which tables may be used after they were last known to be valid. */
+static cw_time_us_t tables_validity(const cw_router_t *router)
 {
     return router->settings.hold * CW_TABLES_VALID_PERCENT / 100;
 }
 
-/* For how long a node without the leader's heartbeat goes by the tables it has. */
-static cw_time_us_t tables_rest(const cw_router_t *router, cw_time_us_t now)
+/* Age of the tables at which a node without the leader's heartbeat reads them from the store. */
+static cw_time_us_t tables_max_age(const cw_router_t *router, cw_time_us_t now)
 {
     if (router->is_reader) {
-        return is_one_of_many(router, now) ? tables_valid(router) * TABLES_READER_PERCENT / 100 : 0;
+        return is_in_large_fleet(router, now) ? tables_validity(router) * READER_TABLES_STALE_PERCENT / 100 : 0;
     }
-    return tables_valid(router) * TABLES_OLD_PERCENT / 100;
+    return tables_validity(router) * TABLES_STALE_PERCENT / 100;
 }
 
 static void validate_tables(cw_router_t *router, cw_time_us_t true_at)
 {
     router->tables_at = true_at > router->tables_at ? true_at : router->tables_at;
-    cw_engine_set_tables_valid(router->engine, router->tables_at, router->tables_at + tables_valid(router));
+    cw_engine_set_tables_valid(router->engine, router->tables_at, router->tables_at + tables_validity(router));
 }
 
 void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t true_at)
@@ -274,7 +275,7 @@
 
 /* ---- the leader's heartbeat ---- */
 
-/* The list in force is the leader's newest, or was true until a moment that the leader tells. */
+/* Confirms the list in force: it is the leader's newest, or was valid until a time that the heartbeat states. */
 static void confirm_servers(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
     cw_time_us_t true_at;
@@ -288,7 +289,7 @@
     cw_server_view_confirm(&router->server_view, router->server_view.revision, true_at);
 }
 
-/* The same of the tables. */
+/* The same for the tables. */
 static void confirm_tables(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
     if (heartbeat->tables == 0) {
@@ -339,18 +340,19 @@
     }
 }
 
-/* ---- reading what no leader tells ---- */
+/* ---- reads without a leader ---- */
 
-/** A record being read. */
+/** A record of assignments that is being read. */
 typedef struct table_read {
     cw_router_t *router;
     cw_time_us_t sent_at;
-    bool         from_copy; /**< what it brings may be seconds old */
+    bool         from_copy; /**< the result may be seconds old */
     char         service[64];
 } table_read_t;
 
-/* While a move is under way the owner may hold the keys by an order carried out late, beside the former holder: only
- * the leader knows when it surely does. So there the record is not routed by. */
+/* Routes by a record. While keys are being moved, the new owner may hold them because of an order that was carried out
+ * late, besides the former holder. Only the leader knows when the owner certainly holds them. So a range with a former
+ * owner is not routable by the record. */
 static void use_record(cw_router_t *router, const char *service, const cw_assignment_record_t *record)
 {
     cw_key_table_t *table = cw_key_tables_service(&router->tables, service);
@@ -370,7 +372,7 @@
 
         cw_key_table_add(table, &entry, 1);
     }
-    router->view_tables = 0; /* the leader's next heartbeat has to bring its own again */
+    router->view_tables = 0; /* the leader has to send its own tables again after its next heartbeat */
     cw_router_use_tables(router);
 }
 
@@ -381,8 +383,8 @@
     cw_time_us_t           true_at = read->sent_at;
     cw_assignment_record_t record;
 
-    if (read->from_copy) { /* used for a while; owners that hold the keys no longer say so */
-        true_at -= tables_valid(router) * TABLES_OLD_PERCENT / 100;
+    if (read->from_copy) { /* used for a shorter time; owners that no longer hold the keys say so */
+        true_at -= tables_validity(router) * TABLES_STALE_PERCENT / 100;
     }
     router->table_reads--;
     cw_router_store_result(router, reply->result == CW_STORE_DONE || reply->result == CW_STORE_NOT_FOUND,
@@ -404,7 +406,7 @@
     size_t index;
 
     if (router->configuration == NULL || router->table_reads > 0 ||
-        now - router->tables_read_at < pause_of_reading(router, CW_MS(TABLES_READ_EVERY_MS), now)) {
+        now - router->tables_read_at < read_pause(router, CW_MS(TABLES_READ_INTERVAL_MS), now)) {
         return;
     }
     router->tables_read_at = now;
@@ -441,14 +443,14 @@
     return true;
 }
 
-/* One line when the leader falls silent, one when the tables get too old to route by. */
-static void note_age(cw_router_t *router, bool heartbeat_is_fresh, cw_time_us_t now)
+/* Logs one line when the leader becomes silent, and one when the tables become too old for routing. */
+static void log_staleness(cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
     bool expired =
         router->tables_at > 0 && now >= router->tables_at + router->settings.hold * CW_TABLES_VALID_PERCENT / 100;
     cw_event_t event;
 
-    if (!heartbeat_is_fresh && !router->leader_silent && router->leader_heartbeat_at > 0 &&
+    if (!is_heartbeat_fresh && !router->leader_silent && router->leader_heartbeat_at > 0 &&
         cw_event_begin(&event, CW_EVENT_LEADER_SILENT)) {
         cw_event_text(&event, CW_FIELD_LEADER, router->leader_node);
         cw_event_ms(&event, CW_FIELD_SILENT_MS, now - router->leader_heartbeat_at);
@@ -459,71 +461,72 @@
         cw_event_ms(&event, CW_FIELD_VIEW_AGE_MS, now - router->tables_at);
         cw_event_end(&event);
     }
-    router->leader_silent = !heartbeat_is_fresh;
+    router->leader_silent = !is_heartbeat_fresh;
     router->tables_expired = expired;
 }
 
-/* How long nodes that would read now all by themselves are to be spread over. While a fleet starts the list here is far
- * shorter than the one that would be read. */
-static cw_time_us_t reading_window(const cw_router_t *router, cw_time_us_t now)
+/* Time over which the reads of nodes that would all read now are spread. While a fleet starts, the list at this node is
+ * far shorter than the one in the store, so that a minimum is assumed. */
+static cw_time_us_t read_window(const cw_router_t *router, cw_time_us_t now)
 {
     size_t nodes = cw_fleet_size_nodes(&router->fleet_size, router->nodes_most, now);
     size_t servers = router->server_view.list == NULL ? 0 : router->server_view.list->count;
-    size_t expected = nodes * SERVERS_A_NODE;
+    size_t expected = nodes * MIN_SERVERS_PER_NODE;
 
     return cw_list_read_window(nodes, servers > expected ? servers : expected);
 }
 
-/* A node that starts gets the list that the leader has from nodes of its zone. To read it takes a call for each page of
- * the store, and a reading of a later revision turns away the pages that come: so it reads only what does not come.
- */
-static bool is_first_read_due(const cw_router_t *router, bool heartbeat_is_fresh, cw_time_us_t now)
+/* A starting node receives the leader's list from nodes of its zone. Reading the list takes a call for each page of the
+ * store, and after reading a later revision the node rejects the pages that it receives. So it reads the list only if
+ * that does not arrive in time. */
+static bool is_first_read_due(const cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
-    cw_time_us_t wait = CW_MS(heartbeat_is_fresh ? FIRST_LIST_MS : LEADER_SEEN_MS);
+    cw_time_us_t wait = CW_MS(is_heartbeat_fresh ? LEADER_LIST_WAIT_MS : LEADER_WAIT_MS);
 
-    wait += cw_list_read_delay(cw_short_name(router->settings.node), reading_window(router, now));
+    wait += cw_list_read_delay(cw_short_name(router->settings.node), read_window(router, now));
     return now - router->started_at >= wait;
 }
 
-/* A list that the leader cannot renew for a moment gets old at all nodes at once (reading_turn.h). Few nodes without
- * the leader's heartbeat do not take turns: what they read is little. */
-static cw_time_us_t list_old_after(const cw_router_t *router, bool heartbeat_is_fresh, cw_time_us_t now)
+/* Age of the list at which this node reads it. A list that the leader cannot renew for a moment becomes stale at all
+ * nodes at the same time, so that their reads are spread (reading_turn.h). In a small fleet without the leader's
+ * heartbeat they are not, since the nodes read little. */
+static cw_time_us_t list_max_age(const cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
-    cw_time_us_t window = reading_window(router, now);
+    cw_time_us_t window = read_window(router, now);
     cw_time_us_t spread = router->settings.drain * LIST_SPREAD_PERCENT / 100;
 
     if (window < spread) {
-        window = heartbeat_is_fresh ? spread : 0;
+        window = is_heartbeat_fresh ? spread : 0;
     }
-    return router->settings.drain * LIST_OLD_PERCENT / 100 +
+    return router->settings.drain * LIST_STALE_PERCENT / 100 +
            cw_list_read_delay(cw_short_name(router->settings.node), window);
 }
 
-/* A reader reads as soon as the leader's heartbeat fails to come; the others when no reader has confirmed their list.
- */
-static bool is_list_due(const cw_router_t *router, bool heartbeat_is_fresh, cw_time_us_t now)
+/* A reader reads as soon as the leader's heartbeat is missing; the other nodes read when no reader has confirmed their
+ * list. */
+static bool is_list_due(const cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
     cw_time_us_t age = now - router->server_view.true_at;
 
     if (router->server_view.list == NULL) {
-        return is_first_read_due(router, heartbeat_is_fresh, now);
+        return is_first_read_due(router, is_heartbeat_fresh, now);
     }
     if (cw_router_is_new(router, now)) {
         return false;
     }
-    if (router->is_reader && (!heartbeat_is_fresh || age > router->settings.drain * HEARTBEAT_OLD_PERCENT / 100)) {
+    if (router->is_reader && (!is_heartbeat_fresh || age > router->settings.drain * HEARTBEAT_STALE_PERCENT / 100)) {
         return true;
     }
-    return age > list_old_after(router, heartbeat_is_fresh, now);
+    return age > list_max_age(router, is_heartbeat_fresh, now);
 }
 
 void cw_router_view_tick(cw_router_t *router, cw_time_us_t now)
 {
-    cw_time_us_t old = router->settings.drain * HEARTBEAT_OLD_PERCENT / 100;
-    bool         heartbeat_is_fresh = now - router->leader_heartbeat_at < old;
+    cw_time_us_t heartbeat_timeout = router->settings.drain * HEARTBEAT_STALE_PERCENT / 100;
+    bool         is_heartbeat_fresh = now - router->leader_heartbeat_at < heartbeat_timeout;
 
     expire_servers(router, now);
-    note_age(router, heartbeat_is_fresh || cw_router_is_able(router, now), now);
+    log_staleness(router, is_heartbeat_fresh || cw_router_is_able(router, now), now);
     if (cw_router_is_able(router, now)) {
         read_servers(router, now);
         if (router->lead_tables > 0) {
@@ -531,10 +534,10 @@
         }
         return;
     }
-    if (is_list_due(router, heartbeat_is_fresh, now)) {
+    if (is_list_due(router, is_heartbeat_fresh, now)) {
         read_servers(router, now);
     }
-    if (!heartbeat_is_fresh && now - router->tables_at > tables_rest(router, now)) {
+    if (!is_heartbeat_fresh && now - router->tables_at > tables_max_age(router, now)) {
         read_tables(router, now);
     }
 }
--- a/src/router/router_zones.c
+++ b/src/router/router_zones.c
@@ -1,14 +1,13 @@
 /**
  * @file router_zones.c
- * @brief Wires zones out of service (zone_service.h) and the rate of cold servers (cold_rate.h) into the node.
+ * @brief Connects zones out of service (zone_service.h) and the rate of cold servers (cold_rate.h) with the node.
  */
 #include <stdlib.h>
 
 #include "router/router_internal.h"
 
 enum {
-    SHARERS_EVERY_MS =
-        100 /* how often the nodes that may send to cold servers are gathered; well below their silence */
+    NODES_REFRESH_MS = 100 /* interval of updating the nodes that share cold servers; well below their silence */
 };
 
 void cw_router_zones_init(cw_router_t *router)
@@ -18,7 +17,7 @@
     cw_server_pool_set_cold_rate(router->pool, router->cold_rate);
 }
 
-static void note_zone(void *context, const char *zone, cw_zone_change_t change)
+static void log_zone_change(void *context, const char *zone, cw_zone_change_t change)
 {
     const cw_router_t *router = context;
     cw_event_t         event;
@@ -38,7 +37,7 @@
 {
     const cw_name_set_t *out = &router->server_view.list->zones_out;
 
-    cw_zone_service_apply(router->zones, out, before_true_at, now, note_zone, router);
+    cw_zone_service_apply(router->zones, out, before_true_at, now, log_zone_change, router);
     cw_server_pool_set_zones(router->pool, router->zones);
     cw_metric_set(CW_METRIC_ZONES_OUT, out->count);
 }
@@ -55,8 +54,8 @@
     }
 }
 
-/* Addresses of the nodes that are heard, in memory that becomes the caller's. */
-static size_t list_heard(const cw_router_t *router, uint32_t **addresses)
+/* Addresses of the nodes that this one receives from, in memory that the caller frees. */
+static size_t list_live_nodes(const cw_router_t *router, uint32_t **addresses)
 {
     size_t           count = 0;
     const cw_peer_t *peer;
@@ -82,11 +81,11 @@
     uint32_t *addresses = NULL;
     size_t    count;
 
-    if (now - router->sharers_gathered_at < CW_MS(SHARERS_EVERY_MS)) {
+    if (now - router->sharers_gathered_at < CW_MS(NODES_REFRESH_MS)) {
         return;
     }
     router->sharers_gathered_at = now;
-    count = list_heard(router, &addresses);
+    count = list_live_nodes(router, &addresses);
     cw_cold_rate_set_nodes(router->cold_rate, addresses, count, now);
     free(addresses);
 }
--- a/src/router/servers_pages.c
+++ b/src/router/servers_pages.c
@@ -1,6 +1,6 @@
 /**
  * @file servers_pages.c
- * @brief Cutting the list of servers into pages.
+ * @brief Divides the list of servers into pages.
  */
 #include "router/servers_pages.h"
 
@@ -21,8 +21,9 @@
     room->pointers[page->n_servers++] = server;
 }
 
-/* The whole has all entries: a node that does not lead does not know when they changed (changed_in is 0). */
-static bool is_told(const cw_server_entry_t *entry, uint64_t base)
+/* The whole list includes all entries, as a node that does not lead does not know when they changed (changed_in is 0).
+ */
+static bool is_included(const cw_server_entry_t *entry, uint64_t base)
 {
     return base == 0 || entry->changed_in > base;
 }
@@ -33,7 +34,7 @@
     size_t   index;
 
     for (index = 0; index < list->count; index++) {
-        count += is_told(&list->entries[index], base) ? 1 : 0;
+        count += is_included(&list->entries[index], base) ? 1 : 0;
     }
     return count == 0 ? 1 : (count + CW_PAGE_SERVERS - 1) / CW_PAGE_SERVERS;
 }
@@ -46,7 +47,7 @@
     page->n_servers = 0;
     page->servers = room->pointers;
     for (index = from; index < list->count && page->n_servers < CW_PAGE_SERVERS; index++) {
-        if (is_told(&list->entries[index], base)) {
+        if (is_included(&list->entries[index], base)) {
             add_server(page, room, &list->entries[index], now);
         }
     }
--- a/src/router/table_pages.c
+++ b/src/router/table_pages.c
@@ -1,6 +1,6 @@
 /**
  * @file table_pages.c
- * @brief Cutting tables of keys into pages, and putting them together.
+ * @brief Divides tables of keys into pages, and reassembles them.
  */
 #include "router/table_pages.h"
 
--- a/src/router/view_parts.c
+++ b/src/router/view_parts.c
@@ -1,6 +1,6 @@
 /**
  * @file view_parts.c
- * @brief Collects the contents of pages, one set for each update under way.
+ * @brief Collects the contents of pages, separately for each update that is being received.
  */
 #include "router/view_parts.h"
 
@@ -11,40 +11,40 @@
 #include "router/table_pages.h"
 
 struct cw_view_parts {
-    cw_list_parts_t  lists[CW_VIEW_ASSEMBLIES_MAX];
-    cw_table_parts_t tables[CW_VIEW_ASSEMBLIES_MAX];
+    cw_list_update_t  lists[CW_VIEW_ASSEMBLIES_MAX];
+    cw_table_update_t tables[CW_VIEW_ASSEMBLIES_MAX];
 };
 
 cw_view_parts_t *cw_view_parts_create(void)
 {
-    cw_view_parts_t *parts = cw_memory_zeroed(sizeof(*parts));
+    cw_view_parts_t *updates = cw_memory_zeroed(sizeof(*updates));
 
-    return parts;
+    return updates;
 }
 
-static void clear_list(cw_list_parts_t *list)
+static void clear_list(cw_list_update_t *update)
 {
-    cw_server_list_release(list->entries);
-    cw_name_set_clear(&list->removed);
-    cw_name_set_clear(&list->zones_out);
-    memset(list, 0, sizeof(*list));
+    cw_server_list_release(update->entries);
+    cw_name_set_clear(&update->removed);
+    cw_name_set_clear(&update->zones_out);
+    memset(update, 0, sizeof(*update));
 }
 
-void cw_table_parts_clear(cw_table_parts_t *tables)
+void cw_table_update_clear(cw_table_update_t *tables)
 {
     cw_key_tables_clear(&tables->tables);
     memset(tables, 0, sizeof(*tables));
 }
 
-void cw_view_parts_free(cw_view_parts_t *parts)
+void cw_view_parts_free(cw_view_parts_t *updates)
 {
     size_t index;
 
     for (index = 0; index < CW_VIEW_ASSEMBLIES_MAX; index++) {
-        clear_list(&parts->lists[index]);
-        cw_table_parts_clear(&parts->tables[index]);
+        clear_list(&updates->lists[index]);
+        cw_table_update_clear(&updates->tables[index]);
     }
-    free(parts);
+    free(updates);
 }
 
 /* ---- the list ---- */
@@ -61,111 +61,111 @@
                                .missing_since = server->missing_ms == 0 ? 0 : now - CW_MS(server->missing_ms)};
 }
 
-static void collect_list(cw_list_parts_t *list, const Cwp__ServersPage *page, cw_time_us_t now)
+static void add_list_page(cw_list_update_t *update, const Cwp__ServersPage *page, cw_time_us_t now)
 {
     size_t index;
 
     for (index = 0; index < page->n_removed; index++) {
-        cw_name_set_add(&list->removed, page->removed[index]);
+        cw_name_set_add(&update->removed, page->removed[index]);
     }
     for (index = 0; index < page->n_zones_out; index++) {
-        cw_name_set_add(&list->zones_out, page->zones_out[index]);
+        cw_name_set_add(&update->zones_out, page->zones_out[index]);
     }
     for (index = 0; index < page->n_servers; index++) {
         cw_server_entry_t entry = entry_of(page->servers[index], now);
 
-        cw_server_list_put(list->entries, 0, &entry);
+        cw_server_list_put(update->entries, 0, &entry);
     }
 }
 
-static cw_list_parts_t *place_of_list(cw_view_parts_t *parts, const cw_page_position_t *position)
+static cw_list_update_t *find_list_update(cw_view_parts_t *updates, const cw_page_position_t *position)
 {
     const cw_view_assembly_t *assemblies[CW_VIEW_ASSEMBLIES_MAX];
     size_t                    index;
     bool                      is_new;
 
     for (index = 0; index < CW_VIEW_ASSEMBLIES_MAX; index++) {
-        assemblies[index] = &parts->lists[index].assembly;
+        assemblies[index] = &updates->lists[index].assembly;
     }
     index = cw_view_assembly_choose(assemblies, position, &is_new);
     if (index == CW_VIEW_ASSEMBLIES_MAX) {
         return NULL;
     }
     if (is_new) {
-        clear_list(&parts->lists[index]);
-        cw_view_assembly_begin(&parts->lists[index].assembly, position);
-        parts->lists[index].entries = cw_server_list_create();
+        clear_list(&updates->lists[index]);
+        cw_view_assembly_begin(&updates->lists[index].assembly, position);
+        updates->lists[index].entries = cw_server_list_create();
     }
-    return &parts->lists[index];
+    return &updates->lists[index];
 }
 
-cw_list_parts_t *cw_view_parts_take_list(cw_view_parts_t *parts, const Cwp__ServersPage *page, cw_time_us_t now)
+cw_list_update_t *cw_view_parts_take_list(cw_view_parts_t *updates, const Cwp__ServersPage *page, cw_time_us_t now)
 {
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
-    cw_list_parts_t   *list = place_of_list(parts, &position);
+    cw_list_update_t  *update = find_list_update(updates, &position);
 
-    if (list == NULL || !cw_view_assembly_note(&list->assembly, page->page, now)) {
+    if (update == NULL || !cw_view_assembly_note(&update->assembly, page->page, now)) {
         return NULL;
     }
-    collect_list(list, page, now);
-    return list;
+    add_list_page(update, page, now);
+    return update;
 }
 
-/* The known list without who was removed, and with the entries that changed. */
-static cw_server_list_t *lay_over(const cw_list_parts_t *list, const cw_server_list_t *known)
+/* The known list without the removed servers, and with the entries that changed. */
+static cw_server_list_t *apply_changes(const cw_list_update_t *update, const cw_server_list_t *known)
 {
-    cw_server_list_t *laid = cw_server_list_copy_without(known, list->removed.names, list->removed.count);
-    size_t            sealed = laid->count;
+    cw_server_list_t *merged = cw_server_list_copy_without(known, update->removed.names, update->removed.count);
+    size_t            sorted_count = merged->count;
     size_t            index;
 
-    for (index = 0; index < list->entries->count; index++) {
-        cw_server_list_put(laid, sealed, &list->entries->entries[index]);
+    for (index = 0; index < update->entries->count; index++) {
+        cw_server_list_put(merged, sorted_count, &update->entries->entries[index]);
     }
-    return laid;
+    return merged;
 }
 
-cw_server_list_t *cw_list_parts_finish(cw_list_parts_t *list, const cw_server_list_t *known)
+cw_server_list_t *cw_list_update_finish(cw_list_update_t *update, const cw_server_list_t *known)
 {
     cw_server_list_t *result = NULL;
 
-    if (list->assembly.base == 0 || known == NULL) {
-        result = list->entries;
-        list->entries = NULL;
+    if (update->assembly.base == 0 || known == NULL) {
+        result = update->entries;
+        update->entries = NULL;
     } else {
-        result = lay_over(list, known);
+        result = apply_changes(update, known);
     }
-    cw_name_set_copy(&result->zones_out, &list->zones_out);
+    cw_name_set_copy(&result->zones_out, &update->zones_out);
     cw_server_list_seal(result);
-    clear_list(list);
+    clear_list(update);
     return result;
 }
 
 /* ---- tables ---- */
 
-static cw_table_parts_t *place_of_tables(cw_view_parts_t *parts, const cw_page_position_t *position)
+static cw_table_update_t *find_table_update(cw_view_parts_t *updates, const cw_page_position_t *position)
 {
     const cw_view_assembly_t *assemblies[CW_VIEW_ASSEMBLIES_MAX];
     size_t                    index;
     bool                      is_new;
 
     for (index = 0; index < CW_VIEW_ASSEMBLIES_MAX; index++) {
-        assemblies[index] = &parts->tables[index].assembly;
+        assemblies[index] = &updates->tables[index].assembly;
     }
     index = cw_view_assembly_choose(assemblies, position, &is_new);
     if (index == CW_VIEW_ASSEMBLIES_MAX) {
         return NULL;
     }
     if (is_new) {
-        cw_table_parts_clear(&parts->tables[index]);
-        cw_view_assembly_begin(&parts->tables[index].assembly, position);
+        cw_table_update_clear(&updates->tables[index]);
+        cw_view_assembly_begin(&updates->tables[index].assembly, position);
     }
-    return &parts->tables[index];
+    return &updates->tables[index];
 }
 
-cw_table_parts_t *cw_view_parts_take_tables(cw_view_parts_t *parts, const Cwp__TablePage *page, cw_time_us_t now)
+cw_table_update_t *cw_view_parts_take_tables(cw_view_parts_t *updates, const Cwp__TablePage *page, cw_time_us_t now)
 {
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
-    cw_table_parts_t  *tables = place_of_tables(parts, &position);
+    cw_table_update_t *tables = find_table_update(updates, &position);
 
     if (tables == NULL || !cw_view_assembly_note(&tables->assembly, page->page, now)) {
         return NULL;
--- a/src/router/view_parts.h
+++ b/src/router/view_parts.h
@@ -2,8 +2,8 @@
  * @file view_parts.h
  * @brief Updates of the list of servers and of the tables of keys that are being received page by page.
  *
- * Pages are kept as they come, in any order, and are laid over what this node has once the last one is here: by then it
- * may have a later list than the one the update was made for.
+ * Pages are collected as they arrive, in any order. The update is applied to what this node has when its last page has
+ * been received, since by then the node may have a later list than the base of the update.
  *
  * No I/O, no clock.
  */
@@ -15,31 +15,35 @@
 #include "router/key_tables.h"
 #include "router/view_assembly.h"
 
-/** An update of the list. */
-typedef struct cw_list_parts {
+/** An update of the list that is being received. */
+typedef struct cw_list_update {
     cw_view_assembly_t assembly;
-    cw_server_list_t  *entries; /**< changed, or all of them */
-    cw_name_set_t      removed; /**< ids */
-    cw_name_set_t      zones_out;
-} cw_list_parts_t;
+    cw_server_list_t  *entries;   /**< entries that changed, or all of them */
+    cw_name_set_t      removed;   /**< ids of removed servers */
+    cw_name_set_t      zones_out; /**< zones out of service */
+} cw_list_update_t;
 
-/** An update of the tables. */
-typedef struct cw_table_parts {
+/** An update of the tables that is being received. */
+typedef struct cw_table_update {
     cw_view_assembly_t assembly;
     cw_key_tables_t    tables;
-} cw_table_parts_t;
+} cw_table_update_t;
 
+/** All updates that are being received. */
 typedef struct cw_view_parts cw_view_parts_t;
 
+/** Creates it without any update. */
 cw_view_parts_t *cw_view_parts_create(void);
-void             cw_view_parts_free(cw_view_parts_t *parts);
+void             cw_view_parts_free(cw_view_parts_t *updates);
 
-/** The update that this page now belongs to; NULL: the page was here already, or is none. */
-cw_list_parts_t *cw_view_parts_take_list(cw_view_parts_t *parts, const Cwp__ServersPage *page, cw_time_us_t now);
-/** The list that a whole update leads to from the known one (NULL: none). The parts are empty after that. */
-cw_server_list_t *cw_list_parts_finish(cw_list_parts_t *list, const cw_server_list_t *known);
+/** Adds a page to its update and returns that; NULL: the page was received before, or is invalid. */
+cw_list_update_t *cw_view_parts_take_list(cw_view_parts_t *updates, const Cwp__ServersPage *page, cw_time_us_t now);
+/** The list that results from a complete update, applied to the known list (NULL: none). Empties the update. */
+cw_server_list_t *cw_list_update_finish(cw_list_update_t *update, const cw_server_list_t *known);
 
-cw_table_parts_t *cw_view_parts_take_tables(cw_view_parts_t *parts, const Cwp__TablePage *page, cw_time_us_t now);
-void              cw_table_parts_clear(cw_table_parts_t *tables);
+/** The same for a page of tables. */
+cw_table_update_t *cw_view_parts_take_tables(cw_view_parts_t *updates, const Cwp__TablePage *page, cw_time_us_t now);
+/** Frees the collected tables; the update is unused afterwards. */
+void cw_table_update_clear(cw_table_update_t *tables);
 
 #endif
--- a/tests/process/history_forgotten.sh
+++ b/tests/process/history_forgotten.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The store forgets its history with a leaving in the gap, while it turns one node of three away: the list is read by its
-# changes, the change is lost, and the leaving is seen all the same, by every node that was not turned away.
+# A server leaves, and the store forgets its history before the nodes have read that change, while it refuses one node of
+# three. The list is read by its changes, and this change is lost. Every node that the store answers must notice the leaving
+# server all the same.
 STORE_ENDPOINTS=4
 STORE_PAGE=2
 . "$(dirname "$0")/../../scripts/cluster.sh"
@@ -24,7 +25,7 @@
     wait "$callers"
     until_true server_ended "h$turn"
     check "$how: no request in the leaving server's last half second" rested_before_end "h$turn"
-    check "$how: most answered" at_least "$(sum_of "$how" s200)" 590
+    check "$how: most requests are answered" at_least "$(sum_of "$how" s200)" 590
     cluster_server "h$((turn + 3))" --service hires --zone z1 --work-ms 15 --hangs
     until_true has 3
     check "$how: all nodes have the same servers again" has 3
--- a/tests/process/list_by_changes.sh
+++ b/tests/process/list_by_changes.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A list of several pages is kept up to date by its changes: servers that come, leave and end are seen all the same, also
-# after the history was forgotten.
+# A list of several pages is kept up to date by reading its changes. Servers that are added, that leave and that end are
+# noticed all the same, also after the store has forgotten its history.
 STORE_PAGE=2
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 3
@@ -12,18 +12,18 @@
 check "the list is read by its changes" changed 3
 cluster_server h4 --service hires --zone z1 --work-ms 15
 until_true has hires 4
-check "a server that comes is seen" has hires 4
+check "a server that is added is listed" has hires 4
 kill -TERM "${SERVER_PIDS[h1]}"
 until_true has hires 3
-check "a server that leaves is seen" has hires 3
+check "a server that leaves is no longer listed" has hires 3
 curl -sf -X POST "http://$STORE/control?forget=1" >/dev/null
 cluster_server h5 --service hires --zone z2 --work-ms 15
 until_true has hires 4
-check "also after the history was forgotten" has hires 4
+check "a server that is added after the history was forgotten is listed" has hires 4
 before=$(by_changes)
 until_true changed "$before"
-check "and then it is read by changes again" changed "$before"
+check "the list is then read by its changes again" changed "$before"
 cluster_callers after --rate 100 --count 200
-check "all answered" at_least "$(sum_of after s200)" 198
+check "all requests are answered" at_least "$(sum_of after s200)" 198
 check "records agree" cluster_check
 finish_test
--- a/tests/process/one_reader.sh
+++ b/tests/process/one_reader.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Four nodes of one zone: one of them watches the store, and the others get each configuration from it. When the leader is
-# killed, and the one that watches with it, they still get the next ones.
+# killed, which watches the store as well, the others still get the next versions.
 CLUSTER_ZONES=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 4
@@ -10,11 +10,11 @@
 all_have() { [ "$(versions)" = "$1" ]; }
 all_know_one_another() { local n; for n in $MEMBERS; do [ "$(metric "$n" cedarwinch_peers)" = 3 ] || return 1; done; }
 readings() { local n; for n in $MEMBERS; do metric "$n" cedarwinch_store_reads_total; done | xargs; }
-# How many nodes made at most five reading calls between two lists of counts.
+# Number of nodes that made at most five read calls between two lists of counts.
 quiet_nodes() { paste <(tr ' ' '\n' <<<"$1") <(tr ' ' '\n' <<<"$2") | awk '$2 - $1 <= 5' | wc -l; }
 until_true all_have 1
 until_true all_know_one_another
-sleep 4 # a process that has just started reads for nobody, and from copies
+sleep 4 # a process that has just started is no reader, and reads from copies itself
 cluster_configure "$(configuration 2)"
 until_true all_have 2
 before=$(readings)
@@ -22,14 +22,14 @@
     cluster_configure "$(configuration "$version")"
     until_true all_have "$version"
 done
-check "twenty changes are read by the leader and one more node at most" at_least "$(quiet_nodes "$before" "$(readings)")" 2
+check "at most the leader and one more node read twenty changes from the store" at_least "$(quiet_nodes "$before" "$(readings)")" 2
 killed=$(leader)
 kill -KILL "${NODE_PIDS[$killed]}"
 MEMBERS=$(for n in $MEMBERS; do [ "$n" = "$killed" ] || echo "$n"; done | xargs)
 cluster_configure "$(configuration 30)"
 until_true all_have 30
-check "after the leader was killed the others have the next one" all_have 30
+check "after the leader was killed the others have the next version" all_have 30
 cluster_configure "$(configuration 31)"
 until_true all_have 31
-check "and the one after it" all_have 31
+check "the others have the version after that one" all_have 31
 finish_test
--- a/tests/test_configuration_freshness.c
+++ b/tests/test_configuration_freshness.c
@@ -1,6 +1,6 @@
 /**
  * @file test_configuration_freshness.c
- * @brief Evidence that the configuration in force is the newest one, and which node checks it when.
+ * @brief Evidence that the configuration in force is the newest one, and when a node in each role checks it.
  */
 #include <check.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 
 enum { WITHIN_S = 2, START_S = 100 };
 
-static cw_configuration_freshness_t begin(uint64_t version)
+static cw_configuration_freshness_t with_version(uint64_t version)
 {
     cw_configuration_freshness_t freshness;
 
@@ -24,9 +24,9 @@
     return cw_configuration_freshness_watch(freshness, role, now);
 }
 
-START_TEST(a_node_that_knows_nothing_checks_itself_whatever_its_role)
+START_TEST(a_node_without_evidence_checks_in_every_role)
 {
-    cw_configuration_freshness_t freshness = begin(4);
+    cw_configuration_freshness_t freshness = with_version(4);
     cw_time_us_t                 now = CW_SECONDS(START_S);
 
     ck_assert_int_gt(watch(&freshness, CW_CONFIGURATION_FOLLOWER, now), 0);
@@ -34,9 +34,9 @@
 }
 END_TEST
 
-START_TEST(fresh_evidence_lets_followers_rest_and_readers_wait_long_but_not_the_checker)
+START_TEST(with_fresh_evidence_followers_do_not_watch_and_readers_wait_long_but_the_checker_checks)
 {
-    cw_configuration_freshness_t freshness = begin(4);
+    cw_configuration_freshness_t freshness = with_version(4);
     cw_time_us_t                 now = CW_SECONDS(START_S);
 
     cw_configuration_freshness_confirm(&freshness, 4, now);
@@ -46,10 +46,10 @@
 }
 END_TEST
 
-/* A watch that is never answered, a reading, and the way to the other nodes: all within the time of a change. */
+/* A watch that is never answered, a read, and sending to the other nodes have to fit into the time for a change. */
 START_TEST(readers_and_then_followers_check_early_enough)
 {
-    cw_configuration_freshness_t freshness = begin(4);
+    cw_configuration_freshness_t freshness = with_version(4);
     cw_time_us_t                 now = CW_SECONDS(START_S);
     cw_time_us_t                 reader_at = now;
     cw_time_us_t                 follower_at = now;
@@ -68,7 +68,7 @@
 
 START_TEST(evidence_for_a_version_not_in_force_counts_only_once_it_is)
 {
-    cw_configuration_freshness_t freshness = begin(4);
+    cw_configuration_freshness_t freshness = with_version(4);
     cw_time_us_t                 now = CW_SECONDS(START_S);
 
     cw_configuration_freshness_confirm(&freshness, 9, now);
@@ -80,9 +80,9 @@
 }
 END_TEST
 
-START_TEST(evidence_of_a_node_with_an_older_version_counts_and_never_takes_back)
+START_TEST(evidence_for_an_older_version_counts_and_never_lowers_complete_at)
 {
-    cw_configuration_freshness_t freshness = begin(8);
+    cw_configuration_freshness_t freshness = with_version(8);
     cw_time_us_t                 now = CW_SECONDS(START_S);
 
     cw_configuration_freshness_confirm(&freshness, 6, now);
@@ -94,10 +94,10 @@
 }
 END_TEST
 
-START_TEST(an_age_goes_from_node_to_node_and_ignorance_stays_ignorance)
+START_TEST(ages_are_passed_between_nodes_and_an_unknown_age_stays_unknown)
 {
-    cw_configuration_freshness_t here = begin(8);
-    cw_configuration_freshness_t there = begin(8);
+    cw_configuration_freshness_t here = with_version(8);
+    cw_configuration_freshness_t there = with_version(8);
     cw_time_us_t                 now = CW_SECONDS(START_S);
 
     cw_configuration_freshness_unpack(&there, 8, cw_configuration_freshness_pack(&here, now), now);
@@ -113,12 +113,12 @@
     Suite *suite = suite_create("configuration freshness");
     TCase *cases = tcase_create("freshness");
 
-    tcase_add_test(cases, a_node_that_knows_nothing_checks_itself_whatever_its_role);
-    tcase_add_test(cases, fresh_evidence_lets_followers_rest_and_readers_wait_long_but_not_the_checker);
+    tcase_add_test(cases, a_node_without_evidence_checks_in_every_role);
+    tcase_add_test(cases, with_fresh_evidence_followers_do_not_watch_and_readers_wait_long_but_the_checker_checks);
     tcase_add_test(cases, readers_and_then_followers_check_early_enough);
     tcase_add_test(cases, evidence_for_a_version_not_in_force_counts_only_once_it_is);
-    tcase_add_test(cases, evidence_of_a_node_with_an_older_version_counts_and_never_takes_back);
-    tcase_add_test(cases, an_age_goes_from_node_to_node_and_ignorance_stays_ignorance);
+    tcase_add_test(cases, evidence_for_an_older_version_counts_and_never_lowers_complete_at);
+    tcase_add_test(cases, ages_are_passed_between_nodes_and_an_unknown_age_stays_unknown);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_list_requests.c
+++ b/tests/test_list_requests.c
@@ -1,7 +1,7 @@
 /**
  * @file test_list_requests.c
- * @brief A node's part in the exchange of whole lists: which requests it answers, when it asks, what the leader leaves
- * to the zone.
+ * @brief Exchange of whole lists at one node: which requests it answers, when it sends requests, and what the leader
+ * leaves to the nodes of a zone.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -28,7 +28,7 @@
     return sent(node, CWP__DATAGRAM__CONTENT_LIST_REQUEST, CW_DISTANCE_ZONE);
 }
 
-/* It has this list of the leader's. */
+/* A report of a node that has the leader's list of this number. */
 static void receive_report(node_fixture_t *node, const char *from, const char *zone, uint64_t number)
 {
     static uint32_t sequence;
@@ -85,7 +85,7 @@
     cw_router_list_exchange_heartbeat(&node->router, &heartbeat, cw_router_now(&node->router));
 }
 
-static node_fixture_t *node_with_place(void)
+static node_fixture_t *node_in_zone(void)
 {
     node_fixture_t             *node = node_fixture_create();
     const cw_router_settings_t *settings = &node->router.settings;
@@ -95,9 +95,9 @@
 }
 
 /* A node that has the leader's list. */
-static node_fixture_t *holder(void)
+static node_fixture_t *node_with_list(void)
 {
-    node_fixture_t *node = node_with_place();
+    node_fixture_t *node = node_in_zone();
 
     node_fixture_read_servers(node, "docks", SERVERS, "10.0.1.1:80");
     node->router.view_term = TERM;
@@ -110,17 +110,17 @@
 /* One of many nodes, of which only ASKING has the list. */
 static node_fixture_t *node_without_list(void)
 {
-    node_fixture_t *node = node_with_place();
+    node_fixture_t *node = node_in_zone();
     char            address[INET_ADDRSTRLEN];
     int             index;
-    int             passed;
+    int             elapsed_ms;
 
     for (index = 0; index < NODES; index++) {
         snprintf(address, sizeof(address), "10.0.3.%d", index + 1);
         receive_report(node, address, "z1", 0);
     }
     receive_report(node, ASKING, "z1", NUMBER);
-    for (passed = 0; passed < 300; passed += CW_TICK_MS) {
+    for (elapsed_ms = 0; elapsed_ms < 300; elapsed_ms += CW_TICK_MS) {
         node_fixture_tick(node, CW_TICK_MS);
     }
     ck_assert(cw_router_nodes_are_many(&node->router));
@@ -129,21 +129,21 @@
     return node;
 }
 
-START_TEST(a_request_is_answered_with_the_pages_that_are_missing)
+START_TEST(a_request_is_answered_with_the_missing_pages)
 {
-    node_fixture_t *node = holder();
+    node_fixture_t *node = node_with_list();
 
     receive_request(node, ASKING, TERM, NUMBER, 0);
-    ck_assert_uint_eq(pages_sent(node), 2); /* of CW_PAGE_SERVERS each */
+    ck_assert_uint_eq(pages_sent(node), 2); /* a hundred servers, CW_PAGE_SERVERS to a page */
     receive_request(node, ASKING, TERM, NUMBER, 1);
     ck_assert_uint_eq(pages_sent(node), 3);
     node_fixture_free(node);
 }
 END_TEST
 
-START_TEST(requests_for_lists_that_it_has_not_got_are_not_answered)
+START_TEST(requests_for_lists_that_the_node_does_not_have_are_not_answered)
 {
-    node_fixture_t *node = holder();
+    node_fixture_t *node = node_with_list();
 
     receive_request(node, ASKING, TERM, NUMBER - 1, 0);
     receive_request(node, ASKING, TERM, NUMBER + 1, 0);
@@ -155,9 +155,9 @@
 }
 END_TEST
 
-START_TEST(a_list_that_is_not_the_leaders_by_its_hash_is_not_sent)
+START_TEST(a_list_whose_hash_differs_from_the_leaders_is_not_sent)
 {
-    node_fixture_t *node = holder();
+    node_fixture_t *node = node_with_list();
 
     receive_heartbeat(node, NUMBER, node->router.server_view.hash + 1);
     receive_request(node, ASKING, TERM, NUMBER, 0);
@@ -166,16 +166,16 @@
 }
 END_TEST
 
-START_TEST(a_transfer_under_way_goes_on_when_a_newer_list_is_in_force)
+START_TEST(a_transfer_continues_when_a_newer_list_is_in_force)
 {
-    node_fixture_t *node = holder();
+    node_fixture_t *node = node_with_list();
 
     receive_request(node, ASKING, TERM, NUMBER, 0);
     node_fixture_read_servers(node, "docks", 2 * SERVERS, "10.0.1.1:80");
     node->router.view_servers = NUMBER + 1;
     receive_request(node, ASKING, TERM, NUMBER, 1);
     ck_assert_uint_eq(pages_sent(node), 3);
-    receive_request(node, ASKING, TERM, NUMBER, 0); /* one that begins is not */
+    receive_request(node, ASKING, TERM, NUMBER, 0); /* a new transfer of the older list is not started */
     ck_assert_uint_eq(pages_sent(node), 3);
     node_fixture_free(node);
 }
@@ -183,7 +183,7 @@
 
 START_TEST(a_node_of_another_zone_is_not_answered)
 {
-    node_fixture_t *node = holder();
+    node_fixture_t *node = node_with_list();
 
     receive_report(node, "10.0.0.11", "z2", 0);
     receive_request(node, "10.0.0.11", TERM, NUMBER, 0);
@@ -193,7 +193,7 @@
 }
 END_TEST
 
-START_TEST(a_node_without_a_list_asks_the_one_of_its_zone_that_has_it)
+START_TEST(a_node_without_a_list_requests_it_from_the_holder_in_its_zone)
 {
     node_fixture_t *node = node_without_list();
 
@@ -206,17 +206,17 @@
 }
 END_TEST
 
-START_TEST(a_node_that_has_got_the_list_tells_a_few_others)
+START_TEST(a_node_that_has_received_the_list_announces_it_to_a_few_others)
 {
     node_fixture_t *node = node_without_list();
     uint64_t        before = sent(node, CWP__DATAGRAM__CONTENT_ACK, CW_DISTANCE_ZONE);
-    uint64_t        told;
+    uint64_t        acks_sent;
 
     receive_page(node, TERM, NUMBER, 7, 0, 1);
     ck_assert_uint_eq(node->router.view_servers, NUMBER);
-    told = sent(node, CWP__DATAGRAM__CONTENT_ACK, CW_DISTANCE_ZONE) - before;
-    ck_assert_uint_ge(told, 8);
-    ck_assert_uint_le(told, NODES + 2);
+    acks_sent = sent(node, CWP__DATAGRAM__CONTENT_ACK, CW_DISTANCE_ZONE) - before;
+    ck_assert_uint_ge(acks_sent, 8);
+    ck_assert_uint_le(acks_sent, NODES + 2);
     node_fixture_free(node);
 }
 END_TEST
@@ -233,10 +233,10 @@
 }
 END_TEST
 
-START_TEST(a_list_of_a_lower_revision_replaces_nothing_and_is_asked_for_once)
+START_TEST(a_list_of_a_lower_revision_is_rejected_and_requested_only_once)
 {
     node_fixture_t *node = node_without_list();
-    int             passed;
+    int             elapsed_ms;
 
     node_fixture_read_servers(node, "docks", SERVERS, "10.0.1.1:80");
     node->router.server_view.revision = 9;
@@ -245,7 +245,7 @@
     receive_page(node, TERM, NUMBER, 8, 0, 1);
     ck_assert_uint_eq(node->router.server_view.list->count, SERVERS);
     ck_assert_uint_eq(node->router.view_servers, 0);
-    for (passed = 0; passed < SETTLE_MS; passed += CW_TICK_MS) {
+    for (elapsed_ms = 0; elapsed_ms < SETTLE_MS; elapsed_ms += CW_TICK_MS) {
         receive_heartbeat(node, NUMBER, 1);
         node_fixture_tick(node, CW_TICK_MS);
     }
@@ -259,15 +259,15 @@
     Suite *suite = suite_create("list requests");
     TCase *cases = tcase_create("list requests");
 
-    tcase_add_test(cases, a_request_is_answered_with_the_pages_that_are_missing);
-    tcase_add_test(cases, requests_for_lists_that_it_has_not_got_are_not_answered);
-    tcase_add_test(cases, a_list_that_is_not_the_leaders_by_its_hash_is_not_sent);
-    tcase_add_test(cases, a_transfer_under_way_goes_on_when_a_newer_list_is_in_force);
+    tcase_add_test(cases, a_request_is_answered_with_the_missing_pages);
+    tcase_add_test(cases, requests_for_lists_that_the_node_does_not_have_are_not_answered);
+    tcase_add_test(cases, a_list_whose_hash_differs_from_the_leaders_is_not_sent);
+    tcase_add_test(cases, a_transfer_continues_when_a_newer_list_is_in_force);
     tcase_add_test(cases, a_node_of_another_zone_is_not_answered);
-    tcase_add_test(cases, a_node_without_a_list_asks_the_one_of_its_zone_that_has_it);
-    tcase_add_test(cases, a_node_that_has_got_the_list_tells_a_few_others);
+    tcase_add_test(cases, a_node_without_a_list_requests_it_from_the_holder_in_its_zone);
+    tcase_add_test(cases, a_node_that_has_received_the_list_announces_it_to_a_few_others);
     tcase_add_test(cases, a_page_of_an_earlier_term_is_dropped);
-    tcase_add_test(cases, a_list_of_a_lower_revision_replaces_nothing_and_is_asked_for_once);
+    tcase_add_test(cases, a_list_of_a_lower_revision_is_rejected_and_requested_only_once);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -1,6 +1,6 @@
 /**
  * @file test_sharing.c
- * @brief What nodes share without asking one another: the retry budget, and the view of servers' loads.
+ * @brief State that nodes share without requests: the retry budget, servers' loads, the list and the tables.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
 static const cw_budget_settings_t budget_settings = {
     .ratio = 0.2, .extra = 56, .window = CW_SECONDS(10), .share = 0.75};
 
-/* Arrivals that a node manages to repeat when it tries at each step. */
+/* Number of retries of a node that uses all that the budget allows at each of its requests. */
 static uint32_t spend(cw_shared_budget_t *budget, uint32_t nodes, uint32_t requests, cw_time_us_t from,
                       cw_time_us_t length)
 {
@@ -35,7 +35,7 @@
     return spent;
 }
 
-START_TEST(nodes_that_spend_all_stay_within_the_sum)
+START_TEST(retries_of_all_nodes_stay_within_the_common_budget)
 {
     cw_shared_budget_t budgets[8];
     uint32_t           sum = 0;
@@ -50,7 +50,7 @@
 }
 END_TEST
 
-START_TEST(a_node_that_knows_no_others_uses_none_of_the_fixed_part)
+START_TEST(a_node_that_knows_no_others_uses_none_of_the_extra_retries)
 {
     cw_shared_budget_t budget;
 
@@ -60,7 +60,7 @@
 }
 END_TEST
 
-START_TEST(what_was_spent_counts_for_a_whole_window)
+START_TEST(spent_retries_count_for_a_whole_window)
 {
     cw_shared_budget_t budget;
     uint32_t           first;
@@ -134,7 +134,7 @@
 }
 END_TEST
 
-START_TEST(requests_of_other_nodes_take_slots_until_they_fall_silent)
+START_TEST(requests_of_other_nodes_take_slots_until_their_reports_expire)
 {
     uint32_t           dropped;
     bool               full;
@@ -169,7 +169,7 @@
     return list;
 }
 
-/* All servers of all pages. */
+/* Number of servers on all pages. */
 static size_t count_paged(const cw_server_list_t *list, uint64_t base)
 {
     static cw_servers_page_room_t room;
@@ -186,19 +186,19 @@
     return sum;
 }
 
-START_TEST(the_whole_list_has_all_servers_also_where_their_changes_are_not_known)
+START_TEST(the_whole_list_includes_all_servers_even_without_change_numbers)
 {
-    cw_server_list_t *followed = list_of(150, 0);
-    cw_server_list_t *led = list_of(150, 7);
+    cw_server_list_t *at_follower = list_of(150, 0);
+    cw_server_list_t *at_leader = list_of(150, 7);
 
-    ck_assert_uint_eq(cw_servers_pages_of(followed, 0), 3);
-    ck_assert_uint_eq(count_paged(followed, 0), 150);
-    ck_assert_uint_eq(count_paged(led, 0), 150);
-    ck_assert_uint_eq(count_paged(led, 6), 150);
-    ck_assert_uint_eq(count_paged(led, 7), 0);
-    ck_assert_uint_eq(cw_servers_pages_of(led, 7), 1); /* that nothing changed is told too */
-    cw_server_list_release(followed);
-    cw_server_list_release(led);
+    ck_assert_uint_eq(cw_servers_pages_of(at_follower, 0), 3);
+    ck_assert_uint_eq(count_paged(at_follower, 0), 150);
+    ck_assert_uint_eq(count_paged(at_leader, 0), 150);
+    ck_assert_uint_eq(count_paged(at_leader, 6), 150);
+    ck_assert_uint_eq(count_paged(at_leader, 7), 0);
+    ck_assert_uint_eq(cw_servers_pages_of(at_leader, 7), 1); /* one page also states that nothing changed */
+    cw_server_list_release(at_follower);
+    cw_server_list_release(at_leader);
 }
 END_TEST
 
@@ -212,16 +212,16 @@
     ck_assert(!cw_page_is_usable(&whole, 2, 7));
     ck_assert(cw_page_is_usable(&change, 2, 5));
     ck_assert(cw_page_is_usable(&change, 2, 6));
-    ck_assert(!cw_page_is_usable(&change, 2, 4)); /* it lacks what came between */
+    ck_assert(!cw_page_is_usable(&change, 2, 4)); /* the changes in between are missing */
     ck_assert(!cw_page_is_usable(&change, 1, 6));
-    /* a record of the next leader has been read: what is on its way from this one comes too late */
+    /* after a record of the next leader was read, pages of the earlier leader that are still in transit are too late */
     ck_assert(cw_record_is_usable(3, 2));
     ck_assert(!cw_page_is_usable(&whole, 3, 0));
     ck_assert(!cw_record_is_usable(1, 2));
 }
 END_TEST
 
-START_TEST(what_waits_at_other_nodes_for_an_owner_is_known_until_they_fall_silent)
+START_TEST(requests_waiting_at_other_nodes_are_known_until_the_reports_expire)
 {
     uint32_t           dropped;
     cw_server_pool_t  *pool = new_pool(&dropped);
@@ -251,7 +251,7 @@
     return strcmp(server->id, context) != 0;
 }
 
-START_TEST(a_zones_sum_is_of_its_own_nodes_and_of_the_servers_asked_for)
+START_TEST(a_zone_sum_covers_only_the_nodes_and_servers_of_its_filter)
 {
     uint32_t           dropped;
     cw_server_pool_t  *pool = new_pool(&dropped);
@@ -265,7 +265,7 @@
 
     cw_server_pool_report(pool, 5, report, 2, 0);
     cw_server_pool_report(pool, 6, report, 1, 0);
-    cw_server_pool_report(pool, 50, report, 2, 0); /* of another zone */
+    cw_server_pool_report(pool, 50, report, 2, 0); /* a node of another zone */
     cw_server_pool_begin(near, 0);
     ck_assert_uint_eq(cw_server_pool_sum(pool, &filter, sums, 4, 0, &left_out), 1);
     ck_assert_uint_eq(sums[0].hash, near->hash);
@@ -281,7 +281,7 @@
 }
 END_TEST
 
-START_TEST(a_server_that_cannot_be_reached_is_left_out_for_a_while)
+START_TEST(an_unreachable_server_is_skipped_for_a_while)
 {
     uint32_t          dropped;
     bool              full;
@@ -294,7 +294,7 @@
 }
 END_TEST
 
-START_TEST(a_server_whose_address_has_another_life_is_not_chosen)
+START_TEST(a_server_whose_address_has_another_incarnation_is_not_chosen)
 {
     uint32_t          dropped;
     bool              full;
@@ -306,7 +306,7 @@
 }
 END_TEST
 
-/* Nodes that have heard nothing of one another's requests yet. */
+/* The nodes have not received any report of each other's requests yet. */
 START_TEST(many_nodes_do_not_all_choose_the_same_server)
 {
     enum { NODES = 60, SERVERS = 60, MOST = 6 };
@@ -348,7 +348,7 @@
 }
 END_TEST
 
-START_TEST(a_slow_server_is_passed_over_and_others_learn_it)
+START_TEST(a_server_that_other_nodes_report_as_slow_is_skipped)
 {
     uint32_t          dropped;
     bool              full;
@@ -366,8 +366,9 @@
 }
 END_TEST
 
-/* A leader gives up when servers that its orders do not reach answer others: rare reports must not look like that. */
-START_TEST(answers_told_of_count_from_the_report_before)
+/* A leader steps down when servers that its orders do not reach answer other nodes. Rare reports must not cause that,
+ * so that an answer counts from the report before the one that revealed it. */
+START_TEST(reported_answers_are_dated_at_the_previous_report)
 {
     uint32_t          dropped;
     cw_server_pool_t *pool = new_pool(&dropped);
@@ -383,7 +384,7 @@
 }
 END_TEST
 
-START_TEST(what_was_told_of_servers_that_are_gone_is_forgotten)
+START_TEST(reports_about_removed_servers_are_discarded)
 {
     uint32_t          dropped;
     cw_server_pool_t *pool = new_pool(&dropped);
@@ -400,7 +401,7 @@
 }
 END_TEST
 
-START_TEST(a_server_that_is_gone_from_the_list_goes_with_its_last_request)
+START_TEST(a_removed_server_is_freed_after_its_last_request)
 {
     uint32_t          dropped;
     cw_server_pool_t *pool = new_pool(&dropped);
@@ -421,7 +422,7 @@
 
 enum { MANY_RANGES = 1000, WIDTH = 65 };
 
-/* A table of so many ranges, side by side. */
+/* A list of so many adjacent ranges. */
 static void fill_ranges(cw_range_list_t *list, size_t count)
 {
     size_t index;
@@ -441,7 +442,7 @@
 {
     static cw_table_page_room_t room;
     cw_range_list_t             list;
-    cw_key_tables_t             told = {0};
+    cw_key_tables_t             leader_tables = {0};
     cw_key_tables_t             received = {0};
     Cwp__TablePage              page = CWP__TABLE_PAGE__INIT;
     uint32_t                    part;
@@ -449,13 +450,13 @@
 
     fill_ranges(&list, MANY_RANGES);
     page.service = (char *)"docks";
-    ck_assert(cw_key_tables_update(&told, "docks", &list, 1));
+    ck_assert(cw_key_tables_update(&leader_tables, "docks", &list, 1));
     for (part = cw_table_pages_of(list.count); part > 0; part--) {
-        cw_table_page_fill(&page, &room, told.items[0].entries, told.items[0].count, part - 1);
+        cw_table_page_fill(&page, &room, leader_tables.items[0].entries, leader_tables.items[0].count, part - 1);
         cw_table_page_take(&received, &page);
     }
     cw_key_tables_seal(&received);
-    ck_assert_uint_eq(cw_key_tables_hash(&received), cw_key_tables_hash(&told));
+    ck_assert_uint_eq(cw_key_tables_hash(&received), cw_key_tables_hash(&leader_tables));
     ck_assert_uint_eq(received.count, 1);
     ck_assert_uint_eq(received.items[0].count, MANY_RANGES);
     for (index = 0; index < MANY_RANGES; index++) {
@@ -465,27 +466,27 @@
         ck_assert(received.items[0].entries[index].routable);
     }
     cw_key_tables_clear(&received);
-    cw_key_tables_clear(&told);
+    cw_key_tables_clear(&leader_tables);
     cw_range_list_clear(&list);
 }
 END_TEST
 
-/* Random cuts, moves and joins of ranges: whoever has an older number and lays over what changed since has the newest.
- */
-START_TEST(changes_laid_over_an_older_table_give_the_newest)
+/* Ranges are split, moved and joined at random. A node that has an older number and applies what changed since then has
+ * the newest tables. */
+START_TEST(applying_changes_to_an_older_table_yields_the_newest)
 {
     enum { NUMBERS = 120, FOLLOWERS = 4 };
     static cw_table_page_room_t room;
     static cw_table_entry_t     changes[CW_KEY_LAST + 1];
     cw_range_list_t             list;
-    cw_key_tables_t             told = {0};
-    cw_key_tables_t             has[FOLLOWERS];
+    cw_key_tables_t             leader_tables = {0};
+    cw_key_tables_t             follower_tables[FOLLOWERS];
     uint64_t                    number_of[FOLLOWERS] = {0};
     uint64_t                    random = 12345;
     uint64_t                    number;
     size_t                      follower;
 
-    memset(has, 0, sizeof(has));
+    memset(follower_tables, 0, sizeof(follower_tables));
     fill_ranges(&list, 20);
     for (number = 1; number <= NUMBERS; number++) {
         size_t index;
@@ -502,32 +503,32 @@
         }
         list.items[index].owner.fence = 1000 + number;
         snprintf(list.items[index].owner.id, sizeof(list.items[index].owner.id), "i-%d", (int)((random >> 20) % 9));
-        ck_assert(cw_key_tables_update(&told, "docks", &list, number));
-        ck_assert(!cw_key_tables_update(&told, "docks", &list, number + 1));
+        ck_assert(cw_key_tables_update(&leader_tables, "docks", &list, number));
+        ck_assert(!cw_key_tables_update(&leader_tables, "docks", &list, number + 1));
         for (follower = 0; follower < FOLLOWERS; follower++) {
             Cwp__TablePage  page = CWP__TABLE_PAGE__INIT;
             cw_key_tables_t partial = {0};
             size_t          count;
 
             if ((random >> (10 + follower)) % (follower + 1) != 0 && number != NUMBERS) {
-                continue; /* this one is left behind for now */
+                continue; /* this follower stays behind for now */
             }
-            count = cw_table_changes(&told.items[0], number_of[follower], changes, CW_KEY_LAST + 1);
+            count = cw_table_changes(&leader_tables.items[0], number_of[follower], changes, CW_KEY_LAST + 1);
             ck_assert(number < 2 || number_of[follower] + 1 < number || count < 4);
             page.service = (char *)"docks";
             cw_table_page_fill(&page, &room, changes, count, 0);
             cw_table_page_take(&partial, &page);
             cw_key_tables_seal(&partial);
-            cw_key_tables_overlay(&has[follower], &partial);
+            cw_key_tables_apply_changes(&follower_tables[follower], &partial);
             cw_key_tables_clear(&partial);
             number_of[follower] = number;
-            ck_assert_uint_eq(cw_key_tables_hash(&has[follower]), cw_key_tables_hash(&told));
+            ck_assert_uint_eq(cw_key_tables_hash(&follower_tables[follower]), cw_key_tables_hash(&leader_tables));
         }
     }
     for (follower = 0; follower < FOLLOWERS; follower++) {
-        cw_key_tables_clear(&has[follower]);
+        cw_key_tables_clear(&follower_tables[follower]);
     }
-    cw_key_tables_clear(&told);
+    cw_key_tables_clear(&leader_tables);
     cw_range_list_clear(&list);
 }
 END_TEST
@@ -545,7 +546,7 @@
     cw_server_list_seal(list);
 }
 
-START_TEST(changes_of_the_list_are_told_by_number)
+START_TEST(changes_of_the_list_are_found_by_number)
 {
     static cw_list_history_t history;
     cw_server_list_t        *first = cw_server_list_create();
@@ -583,7 +584,7 @@
 }
 END_TEST
 
-START_TEST(a_list_from_before_what_is_remembered_has_to_come_whole)
+START_TEST(a_list_older_than_the_history_cannot_be_updated_by_changes)
 {
     static cw_list_history_t history;
     cw_server_list_t        *with = cw_server_list_create();
@@ -616,26 +617,26 @@
     Suite *suite = suite_create("sharing");
     TCase *cases = tcase_create("sharing");
 
-    tcase_add_test(cases, nodes_that_spend_all_stay_within_the_sum);
-    tcase_add_test(cases, a_node_that_knows_no_others_uses_none_of_the_fixed_part);
-    tcase_add_test(cases, what_was_spent_counts_for_a_whole_window);
+    tcase_add_test(cases, retries_of_all_nodes_stay_within_the_common_budget);
+    tcase_add_test(cases, a_node_that_knows_no_others_uses_none_of_the_extra_retries);
+    tcase_add_test(cases, spent_retries_count_for_a_whole_window);
     tcase_add_test(cases, the_near_server_first_then_the_far_one_then_none);
-    tcase_add_test(cases, requests_of_other_nodes_take_slots_until_they_fall_silent);
-    tcase_add_test(cases, the_whole_list_has_all_servers_also_where_their_changes_are_not_known);
+    tcase_add_test(cases, requests_of_other_nodes_take_slots_until_their_reports_expire);
+    tcase_add_test(cases, the_whole_list_includes_all_servers_even_without_change_numbers);
     tcase_add_test(cases, pages_and_records_are_ordered_by_term_and_number);
-    tcase_add_test(cases, what_waits_at_other_nodes_for_an_owner_is_known_until_they_fall_silent);
-    tcase_add_test(cases, a_zones_sum_is_of_its_own_nodes_and_of_the_servers_asked_for);
-    tcase_add_test(cases, a_server_that_cannot_be_reached_is_left_out_for_a_while);
-    tcase_add_test(cases, a_server_whose_address_has_another_life_is_not_chosen);
+    tcase_add_test(cases, requests_waiting_at_other_nodes_are_known_until_the_reports_expire);
+    tcase_add_test(cases, a_zone_sum_covers_only_the_nodes_and_servers_of_its_filter);
+    tcase_add_test(cases, an_unreachable_server_is_skipped_for_a_while);
+    tcase_add_test(cases, a_server_whose_address_has_another_incarnation_is_not_chosen);
     tcase_add_test(cases, many_nodes_do_not_all_choose_the_same_server);
-    tcase_add_test(cases, a_slow_server_is_passed_over_and_others_learn_it);
-    tcase_add_test(cases, answers_told_of_count_from_the_report_before);
-    tcase_add_test(cases, what_was_told_of_servers_that_are_gone_is_forgotten);
-    tcase_add_test(cases, a_server_that_is_gone_from_the_list_goes_with_its_last_request);
+    tcase_add_test(cases, a_server_that_other_nodes_report_as_slow_is_skipped);
+    tcase_add_test(cases, reported_answers_are_dated_at_the_previous_report);
+    tcase_add_test(cases, reports_about_removed_servers_are_discarded);
+    tcase_add_test(cases, a_removed_server_is_freed_after_its_last_request);
     tcase_add_test(cases, a_table_of_many_ranges_arrives_whole_in_any_order_of_pages);
-    tcase_add_test(cases, changes_laid_over_an_older_table_give_the_newest);
-    tcase_add_test(cases, changes_of_the_list_are_told_by_number);
-    tcase_add_test(cases, a_list_from_before_what_is_remembered_has_to_come_whole);
+    tcase_add_test(cases, applying_changes_to_an_older_table_yields_the_newest);
+    tcase_add_test(cases, changes_of_the_list_are_found_by_number);
+    tcase_add_test(cases, a_list_older_than_the_history_cannot_be_updated_by_changes);
     tcase_add_test(cases, an_empty_table_takes_one_page);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_view_parts.c
+++ b/tests/test_view_parts.c
@@ -1,8 +1,8 @@
 /**
  * @file test_view_parts.c
- * @brief Updates that are received page by page: pages of several of them may come mixed, and in any order.
+ * @brief Updates that are received page by page: pages of several of them may arrive interleaved, and in any order.
  *
- * Pattern of load: two relays and the leader send long updates, for different lists, at the same time.
+ * Load pattern: two relays and the leader send long updates, for different lists, at the same time.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 
 enum { PAGES = 6 };
 
-static cw_list_parts_t *take(cw_view_parts_t *parts, uint64_t base, uint64_t number, uint32_t page, cw_time_us_t now)
+static cw_list_update_t *take(cw_view_parts_t *updates, uint64_t base, uint64_t number, uint32_t page, cw_time_us_t now)
 {
     char             id[32];
     char             removed[32];
@@ -37,7 +37,7 @@
     message.n_servers = 1;
     message.removed = removals;
     message.n_removed = page == 0 && base != 0 ? 1 : 0;
-    return cw_view_parts_take_list(parts, &message, now);
+    return cw_view_parts_take_list(updates, &message, now);
 }
 
 static cw_server_list_t *known_list(void)
@@ -53,73 +53,73 @@
     return list;
 }
 
-START_TEST(pages_of_several_updates_may_come_mixed)
+START_TEST(pages_of_several_updates_may_arrive_interleaved)
 {
-    cw_view_parts_t  *parts = cw_view_parts_create();
+    cw_view_parts_t  *updates = cw_view_parts_create();
     cw_server_list_t *list;
-    cw_list_parts_t  *last = NULL;
+    cw_list_update_t *last = NULL;
     uint32_t          page;
 
     for (page = 0; page < PAGES; page++) {
-        ck_assert_ptr_nonnull(take(parts, 0, 9, page, page));
-        ck_assert_ptr_nonnull(take(parts, 4, 9, PAGES - 1 - page, page));
-        last = take(parts, 5, 9, page, page);
+        ck_assert_ptr_nonnull(take(updates, 0, 9, page, page));
+        ck_assert_ptr_nonnull(take(updates, 4, 9, PAGES - 1 - page, page));
+        last = take(updates, 5, 9, page, page);
         ck_assert_int_eq(cw_view_assembly_is_whole(&last->assembly), page == PAGES - 1);
     }
-    list = cw_list_parts_finish(last, NULL);
+    list = cw_list_update_finish(last, NULL);
     ck_assert_uint_eq(list->count, PAGES);
     cw_server_list_release(list);
-    cw_view_parts_free(parts);
+    cw_view_parts_free(updates);
 }
 END_TEST
 
-START_TEST(changes_are_laid_over_what_is_known_in_the_end)
+START_TEST(changes_are_applied_to_the_list_known_at_the_last_page)
 {
-    cw_view_parts_t  *parts = cw_view_parts_create();
+    cw_view_parts_t  *updates = cw_view_parts_create();
     cw_server_list_t *known = known_list();
     cw_server_list_t *list;
-    cw_list_parts_t  *last = NULL;
+    cw_list_update_t *last = NULL;
     uint32_t          page;
 
     for (page = PAGES; page > 0; page--) {
-        last = take(parts, 8, 9, page - 1, page); /* who was removed is told last */
+        last = take(updates, 8, 9, page - 1, page); /* the page with the removals arrives last */
     }
-    list = cw_list_parts_finish(last, known);
+    list = cw_list_update_finish(last, known);
     ck_assert_uint_eq(list->count, PAGES + 1);
     ck_assert_ptr_nonnull(cw_server_list_find(list, "kept@1"));
     ck_assert_ptr_null(cw_server_list_find(list, "old@1"));
     ck_assert_uint_eq(cw_server_list_find(list, "s-3@1")->capacity, 9);
     cw_server_list_release(list);
     cw_server_list_release(known);
-    cw_view_parts_free(parts);
+    cw_view_parts_free(updates);
 }
 END_TEST
 
-START_TEST(a_page_that_was_here_is_not_taken_again)
+START_TEST(a_repeated_or_invalid_page_is_ignored)
 {
-    cw_view_parts_t *parts = cw_view_parts_create();
-    cw_list_parts_t *list = take(parts, 0, 9, 0, 0);
+    cw_view_parts_t  *updates = cw_view_parts_create();
+    cw_list_update_t *list = take(updates, 0, 9, 0, 0);
 
     ck_assert_uint_eq(cw_view_assembly_first_missing(&list->assembly), 1);
-    ck_assert_ptr_null(take(parts, 0, 9, 0, 1));
-    ck_assert_ptr_null(take(parts, 0, 9, PAGES, 1)); /* no such page */
-    cw_view_parts_free(parts);
+    ck_assert_ptr_null(take(updates, 0, 9, 0, 1));
+    ck_assert_ptr_null(take(updates, 0, 9, PAGES, 1)); /* no such page */
+    cw_view_parts_free(updates);
 }
 END_TEST
 
-START_TEST(one_more_takes_the_place_of_the_longest_idle)
+START_TEST(a_further_update_replaces_the_one_idle_for_longest)
 {
-    cw_view_parts_t *parts = cw_view_parts_create();
+    cw_view_parts_t *updates = cw_view_parts_create();
     uint64_t         base;
 
     for (base = 1; base <= CW_VIEW_ASSEMBLIES_MAX; base++) {
-        ck_assert_ptr_nonnull(take(parts, base, 9, 0, CW_MS((int64_t)base)));
+        ck_assert_ptr_nonnull(take(updates, base, 9, 0, CW_MS((int64_t)base)));
     }
-    ck_assert_ptr_nonnull(take(parts, 1, 9, 1, CW_MS(100))); /* the oldest goes on */
-    ck_assert_ptr_nonnull(take(parts, base, 9, 0, CW_MS(200)));
-    ck_assert_ptr_null(take(parts, 1, 9, 0, CW_MS(300)));    /* still here */
-    ck_assert_ptr_nonnull(take(parts, 2, 9, 0, CW_MS(300))); /* begins again */
-    cw_view_parts_free(parts);
+    ck_assert_ptr_nonnull(take(updates, 1, 9, 1, CW_MS(100))); /* the oldest update receives a further page */
+    ck_assert_ptr_nonnull(take(updates, base, 9, 0, CW_MS(200)));
+    ck_assert_ptr_null(take(updates, 1, 9, 0, CW_MS(300)));    /* has been kept */
+    ck_assert_ptr_nonnull(take(updates, 2, 9, 0, CW_MS(300))); /* was replaced and starts over */
+    cw_view_parts_free(updates);
 }
 END_TEST
 
@@ -128,10 +128,10 @@
     Suite *suite = suite_create("view_parts");
     TCase *cases = tcase_create("view_parts");
 
-    tcase_add_test(cases, pages_of_several_updates_may_come_mixed);
-    tcase_add_test(cases, changes_are_laid_over_what_is_known_in_the_end);
-    tcase_add_test(cases, a_page_that_was_here_is_not_taken_again);
-    tcase_add_test(cases, one_more_takes_the_place_of_the_longest_idle);
+    tcase_add_test(cases, pages_of_several_updates_may_arrive_interleaved);
+    tcase_add_test(cases, changes_are_applied_to_the_list_known_at_the_last_page);
+    tcase_add_test(cases, a_repeated_or_invalid_page_is_ignored);
+    tcase_add_test(cases, a_further_update_replaces_the_one_idle_for_longest);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
