--- a/src/router/configuration_exchange.h
+++ b/src/router/configuration_exchange.h
@@ -23,6 +23,7 @@
 
 #include "peer/configuration_pages.h"
 
+/** Requests and replies of one node. */
 typedef struct cw_configuration_exchange cw_configuration_exchange_t;
 
 /** Callbacks and settings that the owner of an exchange provides. */
--- a/src/router/configuration_freshness.c
+++ b/src/router/configuration_freshness.c
@@ -9,10 +9,8 @@
 enum {
     IDLE_WATCH_WAIT_S = 25, /* the store holds a call for 30 s at most; a longer wait saves calls */
     CHECK_PERCENT = 30,     /* wait of a check: one node makes about two calls a second if a change may take 2 s */
-    READER_PERCENT =
-        55, /* usual age of evidence at a follower: wait and slack of a check (50 %) and the delay of a heartbeat */
-    FOLLOWER_PERCENT =
-        70 /* tolerates one lost heartbeat, and leaves time to read the configuration from a slow store */
+    READER_PERCENT = 55,    /* usual age at a follower: wait and slack of a check (50) and a heartbeat's delay */
+    FOLLOWER_PERCENT = 70   /* tolerates a lost heartbeat; a read and its answer from a slow store still come in time */
 };
 
 void cw_configuration_freshness_init(cw_configuration_freshness_t *freshness, cw_time_us_t within)
--- a/src/router/key_tables.h
+++ b/src/router/key_tables.h
@@ -15,7 +15,7 @@
 
 #include "assignment/range.h"
 
-enum { CW_TABLE_SERVICES_MAX = 16 };
+enum { CW_TABLE_SERVICES_MAX = 16 /**< services divided by key */ };
 
 /** A range of keys and its owner. */
 typedef struct cw_table_entry {
--- a/src/router/list_exchange.h
+++ b/src/router/list_exchange.h
@@ -28,9 +28,10 @@
 #include "base/time.h"
 
 enum {
-    CW_LIST_WINDOW_PAGES = 8 /**< pages of one request: 40 KB, 0.1 s of a third of 10 Mbit/s */
+    CW_LIST_WINDOW_PAGES = 8 /**< pages of one request: 40 KB, which take 0.1 s at a third of 10 Mbit/s */
 };
 
+/** Requests and replies of one node. */
 typedef struct cw_list_exchange cw_list_exchange_t;
 
 /** Identifies a list by the number that the leader gave it. */
@@ -60,6 +61,7 @@
     uint32_t own_address; /**< start of the rotation, so that nodes that start together ask different ones */
 } cw_list_exchange_owner_t;
 
+/** Creates an exchange that neither wants nor sends a list yet. The owner's settings are copied. */
 cw_list_exchange_t *cw_list_exchange_create(const cw_list_exchange_owner_t *owner);
 void                cw_list_exchange_destroy(cw_list_exchange_t *exchange);
 
--- a/src/router/list_history.h
+++ b/src/router/list_history.h
@@ -10,7 +10,10 @@
 
 #include "model/server_list.h"
 
-enum { CW_REMOVED_MAX = 256, CW_REMOVED_ID_MAX = 48 };
+enum {
+    CW_REMOVED_MAX = 256,  /**< removals kept */
+    CW_REMOVED_ID_MAX = 48 /**< bytes of an id with its terminator */
+};
 
 /** A server that was removed from the list. */
 typedef struct cw_list_removal {
--- a/src/router/router_share.c
+++ b/src/router/router_share.c
@@ -17,7 +17,7 @@
     RANKING_INTERVAL_MS = 200,
     LINK_DIVISOR = 3, /* a third of the link's bandwidth is for pages of configurations; requests need the rest */
     BITS_PER_BYTE = 8,
-    NEW_NODE_MS = 3500 /* the bounds that nodes must keep apply four seconds after a start at the earliest */
+    NEW_NODE_MS = 3500 /* bounds apply to machines in touch with others, four seconds after a start at the earliest */
 };
 
 bool cw_router_is_new(const cw_router_t *router, cw_time_us_t now)
@@ -166,14 +166,14 @@
     return before < cw_store_reader_count(zone_nodes);
 }
 
-static bool is_leader_heard(const cw_router_t *router, cw_time_us_t now)
+static bool has_recent_heartbeat(const cw_router_t *router, cw_time_us_t now)
 {
     return now - router->leader_heartbeat_at < CW_MS(CW_READER_SILENCE_MS);
 }
 
 static cw_configuration_role_t configuration_role(const cw_router_t *router, cw_time_us_t now)
 {
-    if (router->leadership.leading || (router->is_reader && !is_leader_heard(router, now))) {
+    if (router->leadership.leading || (router->is_reader && !has_recent_heartbeat(router, now))) {
         return CW_CONFIGURATION_CHECKER;
     }
     return router->is_reader ? CW_CONFIGURATION_READER : CW_CONFIGURATION_FOLLOWER;
--- a/src/router/router_take.c
+++ b/src/router/router_take.c
@@ -188,7 +188,7 @@
 
 /* Whole tables forwarded by a relay may be older than a record that this node has read (router_pass_on.c). They are
  * accepted only if this node has no tables yet. */
-static bool is_from_leader_or_first(const cw_router_t *router, const cw_peer_t *sender, const Cwp__TablePage *page)
+static bool is_table_page_accepted(const cw_router_t *router, const cw_peer_t *sender, const Cwp__TablePage *page)
 {
     return page->since != 0 || router->tables_at == 0 || strcmp(sender->node, router->leader_node) == 0;
 }
@@ -198,7 +198,7 @@
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
     cw_table_update_t *update;
 
-    if (!is_usable(router, &position, router->view_tables) || !is_from_leader_or_first(router, peer, page)) {
+    if (!is_usable(router, &position, router->view_tables) || !is_table_page_accepted(router, peer, page)) {
         return;
     }
     update = cw_view_parts_take_tables(router->view_parts, page, cw_router_now(router));
--- a/src/router/store_reach.h
+++ b/src/router/store_reach.h
@@ -24,7 +24,7 @@
 /** Change of the state that the outcome of a call has caused. */
 typedef enum cw_store_change { CW_STORE_UNCHANGED, CW_STORE_LOST, CW_STORE_BACK } cw_store_change_t;
 
-/** All zeros: no call has failed yet. */
+/** Outcomes of the calls so far. All zeros: no call has failed yet. */
 typedef struct cw_store_reach {
     bool         is_lost;
     cw_time_us_t failing_since; /**< first failure since the last answer; 0: none */
--- a/src/router/view_parts.h
+++ b/src/router/view_parts.h
@@ -34,7 +34,8 @@
 
 /** Creates it without any update. */
 cw_view_parts_t *cw_view_parts_create(void);
-void             cw_view_parts_free(cw_view_parts_t *updates);
+/** Frees it with all updates. */
+void cw_view_parts_free(cw_view_parts_t *updates);
 
 /** Adds a page to its update and returns that; NULL: the page was received before, or is invalid. */
 cw_list_update_t *cw_view_parts_take_list(cw_view_parts_t *updates, const Cwp__ServersPage *page, cw_time_us_t now);
--- a/tests/test_list_exchange.c
+++ b/tests/test_list_exchange.c
@@ -303,7 +303,7 @@
 }
 END_TEST
 
-/* The third of three nodes lacks the list. */
+/* The third of three nodes lacks the list. In the tests below the node that it asks fails before the second window. */
 static void set_up_two_holders(void)
 {
     set_up_zone(3, 0);
