--- a/src/router/fleet_size.c
+++ b/src/router/fleet_size.c
@@ -1,6 +1,6 @@
 /**
  * @file fleet_size.c
- * @brief The number stated, and when this process's own count replaces it.
+ * @brief The stated number of nodes, and when this process's own count replaces it.
  */
 #include "router/fleet_size.h"
 
@@ -10,7 +10,7 @@
 {
     memset(fleet, 0, sizeof(*fleet));
     fleet->started_at = now;
-    fleet->counted_at = now + counting;
+    fleet->count_reliable_at = now + counting;
 }
 
 void cw_fleet_size_note(cw_fleet_size_t *fleet, uint32_t nodes)
@@ -22,31 +22,31 @@
 
 uint32_t cw_fleet_size_nodes(const cw_fleet_size_t *fleet, uint32_t counted, cw_time_us_t now)
 {
-    uint32_t stated = now < fleet->counted_at ? fleet->stated : 0;
+    uint32_t stated = now < fleet->count_reliable_at ? fleet->stated : 0;
 
     return stated > counted ? stated : counted;
 }
 
-/* Rises at once, falls by half at a time. */
-static void follow(cw_fleet_size_t *fleet, uint32_t nodes, cw_time_us_t now)
+/* Updates the number that this node states: it rises at once and falls by at most half at a time. */
+static void update_own_stated(cw_fleet_size_t *fleet, uint32_t nodes, cw_time_us_t now)
 {
-    if (nodes < fleet->states) {
-        if (now < fleet->falls_at) {
+    if (nodes < fleet->own_stated) {
+        if (now < fleet->may_fall_at) {
             return;
         }
-        nodes = nodes > fleet->states / 2 ? nodes : fleet->states / 2;
+        nodes = nodes > fleet->own_stated / 2 ? nodes : fleet->own_stated / 2;
     }
-    fleet->states = nodes;
-    fleet->falls_at = now + CW_MS(CW_FLEET_FALL_MS);
+    fleet->own_stated = nodes;
+    fleet->may_fall_at = now + CW_MS(CW_FLEET_HALVING_MS);
 }
 
 uint32_t cw_fleet_size_to_state(cw_fleet_size_t *fleet, uint32_t counted, cw_time_us_t now)
 {
-    if (fleet->stated == 0 && now < fleet->counted_at) {
+    if (fleet->stated == 0 && now < fleet->count_reliable_at) {
         return 0;
     }
-    follow(fleet, cw_fleet_size_nodes(fleet, counted, now), now);
-    return fleet->states;
+    update_own_stated(fleet, cw_fleet_size_nodes(fleet, counted, now), now);
+    return fleet->own_stated;
 }
 
 bool cw_fleet_size_is_reached(const cw_fleet_size_t *fleet, uint32_t in_reach, cw_time_us_t now)
--- a/src/router/pass_on_queue.c
+++ b/src/router/pass_on_queue.c
@@ -1,6 +1,6 @@
 /**
  * @file pass_on_queue.c
- * @brief Updates in the order in which they came, each with the nodes that are still to be sent it.
+ * @brief Updates in the order in which they were received, each with the nodes that still have to be sent it.
  */
 #include "router/pass_on_queue.h"
 
@@ -9,26 +9,26 @@
 
 #include "base/memory.h"
 
-/** A node that is sent an update. */
+/** A node that an update is being sent to. */
 typedef struct receiver {
     uint32_t address;
-    uint32_t sent; /* pages */
+    uint32_t sent; /* number of pages sent so far */
 } receiver_t;
 
-/** An update, and how far it is passed on. */
+/** An update and the progress of passing it on. */
 typedef struct waiting_update {
     cw_pass_on_update_t update;
-    cw_datagram_batch_t pages; /* as they came */
-    uint8_t            *seen;  /* by number of the page */
-    uint32_t            have;
-    receiver_t         *receivers; /* those that are not sent all of it yet; NULL: not all pages have come */
+    cw_datagram_batch_t pages;     /* in the order in which they were received */
+    uint8_t            *seen;      /* 1 for each page received, by page number */
+    uint32_t            received;  /* number of pages received */
+    receiver_t         *receivers; /* nodes that have not been sent all pages; NULL: not all pages are received */
     size_t              receiver_count;
     cw_time_us_t        begun_at;
 } waiting_update_t;
 
 struct cw_pass_on_queue {
     cw_pass_on_owner_t owner;
-    waiting_update_t   updates[CW_PASS_ON_UPDATES]; /* the oldest first */
+    waiting_update_t   updates[CW_PASS_ON_UPDATES_MAX]; /* oldest first */
     size_t             count;
 };
 
@@ -40,7 +40,7 @@
     return queue;
 }
 
-static void clear(waiting_update_t *waiting)
+static void free_update(waiting_update_t *waiting)
 {
     free(waiting->pages.bytes.data);
     free(waiting->pages.lengths);
@@ -48,9 +48,9 @@
     free(waiting->receivers);
 }
 
-static void drop(cw_pass_on_queue_t *queue, size_t place)
+static void drop_update(cw_pass_on_queue_t *queue, size_t place)
 {
-    clear(&queue->updates[place]);
+    free_update(&queue->updates[place]);
     queue->count--;
     memmove(&queue->updates[place], &queue->updates[place + 1], (queue->count - place) * sizeof(queue->updates[0]));
 }
@@ -58,7 +58,7 @@
 void cw_pass_on_queue_free(cw_pass_on_queue_t *queue)
 {
     while (queue->count > 0) {
-        drop(queue, queue->count - 1);
+        drop_update(queue, queue->count - 1);
     }
     free(queue);
 }
@@ -68,7 +68,7 @@
     return queue->count;
 }
 
-/* ---- pages that come ---- */
+/* ---- receiving pages ---- */
 
 static bool is_same(const cw_pass_on_update_t *left, const cw_pass_on_update_t *right)
 {
@@ -92,7 +92,7 @@
 {
     waiting_update_t *waiting;
 
-    if (queue->count == CW_PASS_ON_UPDATES) {
+    if (queue->count == CW_PASS_ON_UPDATES_MAX) {
         return NULL;
     }
     waiting = &queue->updates[queue->count++];
@@ -131,9 +131,9 @@
         return true;
     }
     waiting->seen[page] = 1;
-    waiting->have++;
+    waiting->received++;
     cw_datagram_batch_add(&waiting->pages, packed->kind, (const uint8_t *)packed->bytes.data, packed->lengths[0]);
-    if (waiting->have == update->pages) {
+    if (waiting->received == update->pages) {
         uint32_t *addresses = NULL;
         size_t    count = queue->owner.list_nodes(queue->owner.context, &addresses);
 
@@ -153,7 +153,7 @@
                               pages->lengths[index]);
         offset += pages->lengths[index];
     }
-    waiting->have = waiting->update.pages;
+    waiting->received = waiting->update.pages;
 }
 
 static bool has_receiver(const waiting_update_t *waiting, uint32_t address)
@@ -195,13 +195,13 @@
 
 /* ---- sending ---- */
 
-/* The next pages for one node; those that it has, or got the last page, are done. */
-static void send_part(const cw_pass_on_queue_t *queue, waiting_update_t *waiting, receiver_t *receiver,
-                      cw_send_allowance_t *allowance)
+/* Sends the next pages to one node. A node that no longer needs the update counts as having been sent all pages. */
+static void send_next_pages(const cw_pass_on_queue_t *queue, waiting_update_t *waiting, receiver_t *receiver,
+                            cw_send_allowance_t *allowance)
 {
     const cw_pass_on_owner_t *owner = &queue->owner;
     size_t                    left = waiting->pages.count - receiver->sent;
-    size_t                    count = left < CW_PASS_ON_PAGES ? left : CW_PASS_ON_PAGES;
+    size_t                    count = left < CW_PASS_ON_PAGES_PER_TURN ? left : CW_PASS_ON_PAGES_PER_TURN;
 
     if (!owner->is_wanted(owner->context, receiver->address, &waiting->update)) {
         receiver->sent = (uint32_t)waiting->pages.count;
@@ -212,7 +212,7 @@
     receiver->sent += (uint32_t)count;
 }
 
-static void drop_done(waiting_update_t *waiting)
+static void drop_complete_receivers(waiting_update_t *waiting)
 {
     size_t kept = 0;
     size_t index;
@@ -225,22 +225,22 @@
     waiting->receiver_count = kept;
 }
 
-/* The first nodes' next pages, as far as the allowance goes. */
+/* Sends the next pages to the first nodes of the list, until the allowance is used up. */
 static void send_turn(const cw_pass_on_queue_t *queue, waiting_update_t *waiting, cw_send_allowance_t *allowance)
 {
-    size_t under_way = 0;
+    size_t incomplete = 0;
     size_t index;
 
-    for (index = 0; index < waiting->receiver_count && under_way < CW_PASS_ON_AT_ONCE; index++) {
+    for (index = 0; index < waiting->receiver_count && incomplete < CW_PASS_ON_INCOMPLETE_MAX; index++) {
         receiver_t *receiver = &waiting->receivers[index];
 
         if (!cw_send_allowance_has_any(allowance)) {
             break;
         }
-        send_part(queue, waiting, receiver, allowance);
-        under_way += receiver->sent < waiting->pages.count ? 1 : 0;
+        send_next_pages(queue, waiting, receiver, allowance);
+        incomplete += receiver->sent < waiting->pages.count ? 1 : 0;
     }
-    drop_done(waiting);
+    drop_complete_receivers(waiting);
 }
 
 void cw_pass_on_queue_send(cw_pass_on_queue_t *queue, cw_send_allowance_t *allowance, cw_time_us_t now)
@@ -250,13 +250,13 @@
     cw_send_allowance_refill(allowance, now);
     while (place < queue->count) {
         waiting_update_t *waiting = &queue->updates[place];
-        bool              is_whole = waiting->have == waiting->update.pages;
+        bool              is_whole = waiting->received == waiting->update.pages;
 
         if (is_whole) {
             send_turn(queue, waiting, allowance);
         }
-        if (now - waiting->begun_at > CW_MS(CW_PASS_ON_WAIT_MS) || (is_whole && waiting->receiver_count == 0)) {
-            drop(queue, place);
+        if (now - waiting->begun_at > CW_MS(CW_PASS_ON_WAIT_MAX_MS) || (is_whole && waiting->receiver_count == 0)) {
+            drop_update(queue, place);
         } else {
             place++;
         }
--- a/src/router/pass_on_queue.h
+++ b/src/router/pass_on_queue.h
@@ -1,15 +1,15 @@
 /**
  * @file pass_on_queue.h
- * @brief Changes of the leader that a relay passes on to the nodes of its zone, one node after the other.
+ * @brief Queue of the leader's updates that a relay passes on to the nodes of its zone, a few nodes at a time.
  *
- * A change of the list may be many pages, and a zone hundreds of nodes: all of it at once would be dropped by the
- * socket. Rules:
- *  - An update is passed on once all of its pages are here, to each node that does not have it yet.
- *  - What is sent is taken from an allowance; the rest goes on as that is filled.
- *  - The two relays of a zone begin at opposite ends of its nodes, and serve a few of them at once. What a node has
- *    acknowledged to one of them, or got from the leader, the other one need not send.
- *  - Updates go in the order in which they came, so that each can be laid over the one before. One that has waited for
- *    long is dropped: the leader sends it by itself.
+ * A change of the list may be many pages, and a zone may have hundreds of nodes. If all of it were sent at once, the
+ * socket would drop datagrams. Rules:
+ *  - An update is passed on once all of its pages have been received, to each node that does not have it yet.
+ *  - The bytes sent are taken from an allowance; the remaining pages are sent as the allowance is refilled.
+ *  - The two relays of a zone begin at opposite ends of its list of nodes, and each sends to a few nodes at once. An
+ *    update that a node has acknowledged to one relay, or received from the leader, is not sent by the other relay.
+ *  - Updates are sent in the order in which they were received, so that each can be applied on top of the one before.
+ * An update that has waited for too long is dropped; the leader then sends it to the nodes directly.
  *
  * No I/O, no clock.
  */
@@ -22,47 +22,50 @@
 #include "peer/datagram_batch.h"
 
 enum {
-    CW_PASS_ON_UPDATES = 16,   /**< that may wait; the leader makes some a second */
-    CW_PASS_ON_PAGES = 4,      /**< for one node in one turn: 20 KB, some 10 ms of 20 Mbit/s */
-    CW_PASS_ON_AT_ONCE = 16,   /**< nodes that have got a part of an update, and not all of it */
-    CW_PASS_ON_WAIT_MS = 10000 /**< longest wait of an update */
+    CW_PASS_ON_UPDATES_MAX = 16,    /**< most updates that wait; the leader makes several a second */
+    CW_PASS_ON_PAGES_PER_TURN = 4,  /**< pages sent to one node in one turn: 20 KB, about 10 ms at 20 Mbit/s */
+    CW_PASS_ON_INCOMPLETE_MAX = 16, /**< most nodes that have received a part of an update, but not all of it */
+    CW_PASS_ON_WAIT_MAX_MS = 10000  /**< an update that has waited for longer is dropped */
 };
 
 typedef struct cw_pass_on_queue cw_pass_on_queue_t;
 
-/** What pages belong to. */
+/** Identifies the update that a page belongs to. */
 typedef struct cw_pass_on_update {
-    bool     is_list;    /**< of servers; else tables of keys */
-    bool     is_relayed; /**< for relays, which pass it on */
-    uint64_t term;
-    uint64_t base; /**< 0: a whole */
-    uint64_t number;
+    bool     is_list;    /**< true: list of servers; false: tables of keys */
+    bool     is_relayed; /**< its receivers are relays, which pass it on */
+    uint64_t term;       /**< of the leader that made it */
+    uint64_t base;       /**< number that the changes apply to; 0: the whole list or tables */
+    uint64_t number;     /**< of the list or the tables that result */
     uint32_t pages;
 } cw_pass_on_update_t;
 
-/** What a queue asks of its owner. */
+/** Callbacks by which a queue asks its owner about nodes and sends pages. */
 typedef struct cw_pass_on_owner {
     void *context;
-    /** Addresses of the nodes of the zone in the order in which they are to be sent to, in memory that becomes the
-     * queue's. Returns how many. */
+    /** Lists the addresses of the zone's nodes in the order in which they are sent to. The queue frees the memory.
+     * Returns their count. */
     size_t (*list_nodes)(void *context, uint32_t **addresses);
-    /** Does the node need it, as far as known? */
+    /** Whether the node needs the update, as far as this node knows. */
     bool (*is_wanted)(void *context, uint32_t address, const cw_pass_on_update_t *update);
-    /** Sends some of the pages to one node. Returns their bytes. */
+    /** Sends `count` pages, from page `first` on, to one node. Returns the number of bytes sent. */
     size_t (*send)(void *context, uint32_t address, const cw_datagram_batch_t *pages, size_t first, size_t count);
 } cw_pass_on_owner_t;
 
+/** Creates an empty queue. owner: copied. */
 cw_pass_on_queue_t *cw_pass_on_queue_create(const cw_pass_on_owner_t *owner);
 void                cw_pass_on_queue_free(cw_pass_on_queue_t *queue);
-/** A packed page has come. False: it is dropped, since too many updates wait. */
+/** Adds a packed page that this relay has received. False: the page is invalid, or is dropped because too many updates
+ * wait. */
 bool cw_pass_on_queue_add(cw_pass_on_queue_t *queue, const cw_pass_on_update_t *update, uint32_t page,
                           const cw_datagram_batch_t *packed, cw_time_us_t now);
-/** All pages of an update, for this node; nothing if it is still being sent them. False: too many updates wait. */
+/** Queues all pages of an update for one node. Does nothing if they are still being sent to it. False: too many updates
+ * wait. */
 bool cw_pass_on_queue_add_receiver(cw_pass_on_queue_t *queue, const cw_pass_on_update_t *update,
                                    const cw_datagram_batch_t *pages, uint32_t address, cw_time_us_t now);
-/** A turn: sends what the allowance lets through. */
+/** Sends as many pages as the allowance permits. Called once a turn of the loop. */
 void cw_pass_on_queue_send(cw_pass_on_queue_t *queue, cw_send_allowance_t *allowance, cw_time_us_t now);
-/** Updates that are not passed on whole yet. */
+/** Number of updates that have not been passed on completely yet. */
 size_t cw_pass_on_queue_waiting(const cw_pass_on_queue_t *queue);
 
 #endif
--- a/src/router/relay_choice.c
+++ b/src/router/relay_choice.c
@@ -1,6 +1,6 @@
 /**
  * @file relay_choice.c
- * @brief The two first nodes of a zone by capability and rendezvous hash.
+ * @brief Selects the first two nodes of a zone by capability and rendezvous hash.
  */
 #include "router/relay_choice.h"
 
@@ -8,7 +8,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-static const uint64_t relay_seed = 0x72656c6179; /* another order than for slots: the work of both is spread */
+static const uint64_t relay_seed =
+    0x72656c6179; /* differs from the seed for slots, so that both kinds of work are spread over nodes */
 
 static uint64_t rank_of(const cw_broker_candidate_t *candidate)
 {
--- a/src/router/relay_choice.h
+++ b/src/router/relay_choice.h
@@ -1,14 +1,15 @@
 /**
  * @file relay_choice.h
- * @brief Which nodes of a zone send for it to other zones, and receive for it what these send.
+ * @brief Chooses the relays of a zone: the nodes that exchange state with other zones on behalf of the whole zone.
  *
- * What all nodes of one zone say to all nodes of another would cross the border as often as both have nodes,
- * multiplied. So each zone has two relays: what is said crosses once for each of them, and each passes on inside what
- * it receives. Two, since a datagram may be lost and a relay may stop: each carries the whole state, none waits for the
- * other.
+ * If every node of one zone sent to every node of another, the number of datagrams between the zones would be the
+ * product of their numbers of nodes. So each zone has two relays: each message crosses between two zones once for each
+ * relay, and the receiving relay passes it on inside its zone. There are two relays since a datagram may be lost and a
+ * relay may stop: each sends the whole state, and neither waits for the other.
  *
- * Rules: the most capable nodes of the zone, by rendezvous hashing among equals, as for slots (broker_choice.h). Each
- * node works this out from the nodes that it knows; while two know different ones, a zone has more relays or fewer.
+ * Rules: the relays are the most capable nodes of the zone; rendezvous hashing decides among nodes of equal capability,
+ * as for slots (broker_choice.h). Each node computes this from the nodes that it knows. While nodes know different
+ * sets, a zone may have more or fewer relays.
  *
  * No I/O, no clock.
  */
@@ -17,12 +18,13 @@
 
 #include "router/broker_choice.h"
 
-enum { CW_RELAYS = 2 /**< of a zone */ };
+enum { CW_RELAYS = 2 /**< relays of each zone */ };
 
-/** Addresses of the relays of a zone, the first one first; 0 where the zone has fewer nodes. Returns how many. */
+/** Fills in the addresses of the relays of a zone by rank; 0 where the zone has fewer nodes. Returns their count. */
 size_t cw_relay_choose(const cw_broker_candidate_t *candidates, size_t count, const char *zone,
                        uint32_t relays[CW_RELAYS]);
-/** The relay of another zone that relay number `place` (0, 1) of this zone sends to; 0: that zone has none. */
+/** Returns the relay of another zone that relay number `place` (0 or 1) of this zone sends to; 0: that zone has none.
+ * relays, count: of the other zone. */
 uint32_t cw_relay_partner(const uint32_t relays[CW_RELAYS], size_t count, size_t place);
 
 #endif
--- a/src/router/router_broadcast.c
+++ b/src/router/router_broadcast.c
@@ -1,9 +1,10 @@
 /**
  * @file router_broadcast.c
- * @brief Datagrams that all nodes get, by way of the relays of zones.
+ * @brief Sends datagrams to all nodes, by way of the relays of zones.
  *
- * A node sends one to its own zone, and to others that no relay informs; the zone's relays send it to relays of the
- * other zones, which send it to theirs. Datagrams are lost: who broadcasts repeats, and those who have it do nothing.
+ * A node sends the datagram to the nodes of its own zone, and to nodes of zones that no relay covers. The relays of its
+ * zone send it to the relays of the other zones, which send it to the nodes of theirs. Datagrams may be lost, so the
+ * node that broadcasts repeats each one; nodes that have received it already ignore the repetition.
  */
 #include "router/router_internal.h"
 
@@ -20,8 +21,8 @@
     }
 }
 
-/* To whom a relay sends a datagram of this stage on. */
-static bool is_next(const cw_router_t *router, const cw_peer_t *peer, uint32_t stage)
+/* Whether a relay sends a datagram that is now at this stage (CW_BROADCAST_) to the peer. */
+static bool is_receiver_at(const cw_router_t *router, const cw_peer_t *peer, uint32_t stage)
 {
     if (peer->is_lost) {
         return false;
@@ -44,7 +45,7 @@
     *stage += 1;
     length = cw_peer_link_pack(router->link, datagram);
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        if (is_next(router, peer, *stage)) {
+        if (is_receiver_at(router, peer, *stage)) {
             cw_peer_link_send_packed(router->link, peer, length);
         }
     }
--- a/src/router/router_detours.c
+++ b/src/router/router_detours.c
@@ -1,10 +1,11 @@
 /**
  * @file router_detours.c
- * @brief Wires detours (peer/detours.h) into the node: who is suspect, who passes probes on, datagrams by way of
- * others.
+ * @brief Connects detours (peer/detours.h) to the node: which peers are probed by way of other nodes, which nodes pass
+ * probes on, and which datagrams are sent by way of another node.
  *
- * Only datagrams about tenants' limits and servers' slots go by detours: those on which all nodes have to agree on one
- * that counts. Reports do not: a node that is reached by a detour alone still counts as lost for all else.
+ * Only datagrams about tenants' limits and servers' slots are sent by detours, because all nodes have to agree on the
+ * one node that counts these. Reports are not: a node that is reached only by a detour still counts as lost for all
+ * other purposes.
  */
 #include <stdlib.h>
 
@@ -13,8 +14,8 @@
 #include "router/router_internal.h"
 
 enum {
-    SUSPECT_MS = 500,                   /* the slowest pause between reports of few nodes is 300 ms (router_peers.c) */
-    WELL_KNOWN_MS = CW_FLEET_UNKNOWN_MS /* by then a process has received from all nodes that reach it */
+    SUSPECT_MS = 500, /* the longest interval between reports among few nodes is 300 ms (router_peers.c) */
+    DISCOVERY_MS = CW_FLEET_UNKNOWN_MS /* after it a process has received from all nodes whose datagrams reach it */
 };
 
 void cw_router_detours_init(cw_router_t *router)
@@ -27,25 +28,26 @@
     return cw_peer_link_own_address(router->link);
 }
 
-/* ---- who is suspect ---- */
+/* ---- suspect peers: those that may be unreachable directly ---- */
 
-static bool is_received(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+static bool is_received_lately(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    cw_time_us_t patience = router->silence / 2 > CW_MS(SUSPECT_MS) ? router->silence / 2 : CW_MS(SUSPECT_MS);
+    cw_time_us_t silence_max = router->silence / 2 > CW_MS(SUSPECT_MS) ? router->silence / 2 : CW_MS(SUSPECT_MS);
 
-    return peer->last_received_at != 0 && now - peer->last_received_at <= patience;
+    return peer->last_received_at != 0 && now - peer->last_received_at <= silence_max;
 }
 
 static bool is_silent(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    bool is_well_known = now - router->started_at >= CW_MS(WELL_KNOWN_MS);
+    bool has_discovered_peers = now - router->started_at >= CW_MS(DISCOVERY_MS);
 
-    return !is_received(router, peer, now) && (peer->last_received_at != 0 || is_well_known);
+    return !is_received_lately(router, peer, now) && (peer->last_received_at != 0 || has_discovered_peers);
 }
 
-/* By its own report: where relays report for it, nobody knows. A process that has just started is missed by all, since
- * the one before it ended, until its own reports have come. */
-static bool is_missing_this(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+/* Whether the peer states in its own report that it misses this node. Where relays report for the peer, this is not
+ * known. A process that has just started does not count as missed: all peers miss it since the process before it ended,
+ * until its own reports have arrived. */
+static bool misses_this_node(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     bool has_reported = now - router->started_at >= CW_MS(CW_PEER_SILENCE_MS);
 
@@ -54,7 +56,7 @@
 
 static bool is_suspect(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    return !peer->stopping && (is_missing_this(router, peer, now) || is_silent(router, peer, now));
+    return !peer->stopping && (misses_this_node(router, peer, now) || is_silent(router, peer, now));
 }
 
 bool cw_router_is_alive(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
@@ -64,10 +66,11 @@
     return is_known || cw_detours_via(router->detours, peer->address, now) != 0;
 }
 
-/* Sooner than a silent node counts as lost: what is given out on its behalf it may be serving by itself meanwhile. */
+/* False earlier than a silent node counts as lost: while other nodes give out limits and slots in its place, the silent
+ * node may still be giving them out as well. */
 bool cw_router_is_in_touch(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    bool is_direct = is_received(router, peer, now) && !is_missing_this(router, peer, now);
+    bool is_direct = is_received_lately(router, peer, now) && !misses_this_node(router, peer, now);
 
     return is_direct || cw_detours_via(router->detours, peer->address, now) != 0;
 }
@@ -87,16 +90,16 @@
     return detour;
 }
 
-static void send_detour(cw_router_t *router, const cw_peer_t *between, Cwp__Detour *detour)
+static void send_detour(cw_router_t *router, const cw_peer_t *intermediate, Cwp__Detour *detour)
 {
     Cwp__Datagram datagram = CWP__DATAGRAM__INIT;
 
     datagram.content_case = CWP__DATAGRAM__CONTENT_DETOUR;
     datagram.detour = detour;
-    cw_peer_link_send(router->link, between, &datagram);
+    cw_peer_link_send(router->link, intermediate, &datagram);
 }
 
-static void send_by(cw_router_t *router, const cw_peer_t *between, const cw_peer_t *peer, size_t length)
+static void send_by_way_of(cw_router_t *router, const cw_peer_t *intermediate, const cw_peer_t *peer, size_t length)
 {
     Cwp__Detour detour = detour_to(router, peer->address);
     uint8_t    *bytes = cw_memory_zeroed(length);
@@ -105,7 +108,7 @@
     detour.datagram.data = bytes;
     detour.datagram.len = length;
     cw_metric_add(CW_METRIC_DETOURS_TAKEN, 1);
-    send_detour(router, between, &detour);
+    send_detour(router, intermediate, &detour);
     free(bytes);
 }
 
@@ -113,16 +116,16 @@
 {
     cw_time_us_t     now = cw_router_now(router);
     uint32_t         via = is_suspect(router, peer, now) ? cw_detours_via(router->detours, peer->address, now) : 0;
-    const cw_peer_t *between = via == 0 ? NULL : cw_peer_link_find(router->link, via);
+    const cw_peer_t *intermediate = via == 0 ? NULL : cw_peer_link_find(router->link, via);
     size_t           length = cw_peer_link_pack(router->link, datagram);
 
     if (length == 0) {
         return false;
     }
-    if (between == NULL) {
+    if (intermediate == NULL) {
         cw_peer_link_send_packed(router->link, peer, length);
     } else {
-        send_by(router, between, peer, length);
+        send_by_way_of(router, intermediate, peer, length);
     }
     return true;
 }
@@ -134,8 +137,9 @@
     return peer->last_received_at != 0 && !peer->is_lost && !is_suspect(router, peer, now);
 }
 
-/* The node at this place among those that may pass a probe on, counted in turns. NULL: there is none. */
-static const cw_peer_t *node_between(const cw_router_t *router, uint32_t place, cw_time_us_t now)
+/* The node at this place among those that may pass a probe on; places beyond the last wrap around. NULL: there is none.
+ */
+static const cw_peer_t *intermediate_at(const cw_router_t *router, uint32_t place, cw_time_us_t now)
 {
     const cw_peer_t *peer;
     uint32_t         count = 0;
@@ -158,18 +162,18 @@
 static void probe(cw_router_t *router, const cw_peer_t *suspect, uint32_t turn, cw_time_us_t now)
 {
     uint32_t         via = cw_detours_via(router->detours, suspect->address, now);
-    const cw_peer_t *between = via == 0 ? NULL : cw_peer_link_find(router->link, via);
+    const cw_peer_t *intermediate = via == 0 ? NULL : cw_peer_link_find(router->link, via);
     Cwp__Detour      detour = detour_to(router, suspect->address);
     uint32_t         way;
 
     detour.is_probe = true;
-    if (between != NULL) {
-        send_detour(router, between, &detour);
+    if (intermediate != NULL) {
+        send_detour(router, intermediate, &detour);
     }
     for (way = 0; way < CW_DETOUR_WAYS; way++) {
-        between = node_between(router, turn * CW_DETOUR_WAYS + way, now);
-        if (between != NULL && between->address != via) {
-            send_detour(router, between, &detour);
+        intermediate = intermediate_at(router, turn * CW_DETOUR_WAYS + way, now);
+        if (intermediate != NULL && intermediate->address != via) {
+            send_detour(router, intermediate, &detour);
         }
     }
 }
@@ -190,8 +194,8 @@
 
 /* ---- receiving ---- */
 
-/* One that this node has never received from is known by what it says here. */
-static void introduce(const cw_router_t *router, cw_peer_t *origin, const Cwp__Detour *detour)
+/* Takes the name, zone and capability of an origin that this node has never received from directly. */
+static void take_identity(const cw_router_t *router, cw_peer_t *origin, const Cwp__Detour *detour)
 {
     if (origin->last_received_at != 0) {
         return;
@@ -223,7 +227,7 @@
     Cwp__Datagram *datagram = cwp__datagram__unpack(NULL, detour->datagram.len, detour->datagram.data);
 
     if (datagram == NULL) {
-        return; /* of a later version, as any datagram that cannot be read */
+        return; /* of a later version; like every datagram that cannot be decoded, it is ignored */
     }
     if (may_go_by_detour(datagram)) {
         cw_router_datagram(router, origin, datagram);
@@ -231,18 +235,18 @@
     cwp__datagram__free_unpacked(datagram, NULL);
 }
 
-/* A probe proves only that the origin's datagrams arrive here; its reply, and what follows it, that both ways are good.
- */
-static void take_own(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
+/* Handles a detour whose destination is this node. A probe proves only that the origin's datagrams arrive here. The
+ * reply to it, and all later datagrams, prove that both directions work. */
+static void take_addressed_here(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
 {
     cw_time_us_t now = cw_router_now(router);
     cw_peer_t   *origin = cw_peer_link_learn(router->link, detour->origin, now);
     Cwp__Detour  reply;
 
     if (origin == NULL) {
-        return; /* this node itself, or no address */
+        return; /* the origin is this node itself, or not an address */
     }
-    introduce(router, origin, detour);
+    take_identity(router, origin, detour);
     if (detour->is_probe) {
         reply = detour_to(router, detour->origin);
         send_detour(router, sender, &reply);
@@ -267,8 +271,8 @@
 void cw_router_take_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
 {
     if (detour->destination == own_address(router)) {
-        take_own(router, sender, detour);
-    } else if (detour->origin == sender->address) { /* one node in between, no more: so nothing goes in circles */
+        take_addressed_here(router, sender, detour);
+    } else if (detour->origin == sender->address) { /* only one intermediate node, so that no datagram circulates */
         pass_on(router, detour);
     }
 }
--- a/src/router/router_pass_on.c
+++ b/src/router/router_pass_on.c
@@ -1,25 +1,25 @@
 /**
  * @file router_pass_on.c
- * @brief A relay's part in bringing its zone up to date: the leader's changes and heartbeats, passed on.
+ * @brief How a relay passes the leader's changes and heartbeats on to the nodes of its zone.
  *
- * Pages go on as they came, to the nodes of the zone that lack them (pass_on_queue.h): those that they do not fit leave
- * them. Nodes acknowledge to the relay and to the leader. Whole lists are asked for inside the zone
- * (router_list_exchange.c).
+ * Pages are passed on unchanged to the nodes of the zone that lack them (pass_on_queue.h). A node to whose state the
+ * changes do not apply ignores them. Nodes acknowledge both to the relay and to the leader. Nodes request whole lists
+ * from other nodes of their zone (router_list_exchange.c).
  *
- * Whole tables are passed on only to nodes that have none at all. A node that has read a later record of assignments in
- * the store has no number of the tables; a relay's tables, true a moment ago, would replace what it read and live on
- * for as long as the record may, so that keys could be routed to an owner whose hold a next leader takes to be over.
- * Lists are ordered by the store's revision, tables are not.
+ * Whole tables are passed on only to nodes that have no tables at all. A node that has read a later record of
+ * assignments in the store has no number of the tables. A relay's tables, correct a moment ago, would replace those
+ * that the node read and be used for as long as the record may be, so that keys could be routed to an owner whose hold
+ * a later leader considers over. Lists are ordered by the store's revision, tables are not.
  *
- * A heartbeat goes on in the turn in which it came, or not at all: to those who get it, it is as young as when it was
- * received here.
+ * A heartbeat is passed on in the turn of the loop in which it was received, or not at all: its receivers treat it as
+ * being as recent as when this node received it.
  */
 #include <stdlib.h>
 
 #include "base/text.h"
 #include "router/router_internal.h"
 
-static bool is_of_zone(const cw_peer_t *peer)
+static bool is_alive_in_zone(const cw_peer_t *peer)
 {
     return peer->last_received_at != 0 && !peer->is_lost && peer->distance == CW_DISTANCE_ZONE;
 }
@@ -34,7 +34,7 @@
     return (first > second) - (first < second);
 }
 
-static void reverse(uint32_t *addresses, size_t count)
+static void reverse_addresses(uint32_t *addresses, size_t count)
 {
     size_t index;
 
@@ -53,7 +53,7 @@
     const cw_peer_t *peer;
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        count += is_of_zone(peer) ? 1 : 0;
+        count += is_alive_in_zone(peer) ? 1 : 0;
     }
     *addresses = calloc(count + 1, sizeof(**addresses));
     if (*addresses == NULL) {
@@ -61,13 +61,13 @@
     }
     count = 0;
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        if (is_of_zone(peer)) {
+        if (is_alive_in_zone(peer)) {
             (*addresses)[count++] = peer->address;
         }
     }
     qsort(*addresses, count, sizeof(**addresses), compare_addresses);
     if (!cw_router_is_first_relay(router)) {
-        reverse(*addresses, count);
+        reverse_addresses(*addresses, count);
     }
     return count;
 }
@@ -85,7 +85,7 @@
     return has < update->number && (update->base != 0 || has == 0);
 }
 
-static size_t send_to(void *context, uint32_t address, const cw_datagram_batch_t *pages, size_t first, size_t count)
+static size_t send_pages(void *context, uint32_t address, const cw_datagram_batch_t *pages, size_t first, size_t count)
 {
     cw_router_t     *router = context;
     const cw_peer_t *peer = cw_peer_link_find(router->link, address);
@@ -95,7 +95,8 @@
 
 void cw_router_pass_on_init(cw_router_t *router)
 {
-    cw_pass_on_owner_t owner = {.context = router, .list_nodes = list_nodes, .is_wanted = is_wanted, .send = send_to};
+    cw_pass_on_owner_t owner = {
+        .context = router, .list_nodes = list_nodes, .is_wanted = is_wanted, .send = send_pages};
 
     router->pass_on = cw_pass_on_queue_create(&owner);
 }
@@ -129,19 +130,19 @@
 
 void cw_router_pass_on_page(cw_router_t *router, const Cwp__Datagram *datagram)
 {
-    static cw_datagram_batch_t packed; /* its memory is kept */
+    static cw_datagram_batch_t packed; /* its memory is reused */
     cw_time_us_t               now = cw_router_now(router);
     uint32_t                   page;
     cw_pass_on_update_t        update = update_of(datagram, &page);
 
     if (update.pages > CW_PAGES_MAX) {
-        return; /* no node can take it either */
+        return; /* no node accepts so many pages */
     }
     set_pass_on(datagram, false);
     cw_datagram_batch_empty(&packed);
     cw_peer_link_pack_into(router->link, &packed, datagram);
     if (packed.count == 1 && !cw_pass_on_queue_add(router->pass_on, &update, page, &packed, now)) {
-        cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, 1); /* the leader sends it by itself */
+        cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, 1); /* the leader sends it to the nodes directly */
     }
     cw_router_pass_on_tick(router, now);
 }
@@ -175,13 +176,14 @@
     datagram.passed_heartbeat = &passed;
     length = cw_peer_link_pack(router->link, &datagram);
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        if (is_of_zone(peer)) {
+        if (is_alive_in_zone(peer)) {
             cw_peer_link_send_packed(router->link, peer, length);
         }
     }
 }
 
-/* False: it is late, repeated, or of an earlier incarnation. */
+/* Takes the incarnation and sequence number of a heartbeat. False: it is delayed, repeated or of an earlier
+ * incarnation. */
 static bool take_sequence(cw_peer_t *leader, const Cwp__PassedHeartbeat *passed, cw_time_us_t now)
 {
     if (leader->incarnation == passed->incarnation && passed->sequence <= leader->sequence) {
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -1,13 +1,13 @@
 /**
  * @file router_peers.c
- * @brief When this node reports to which others (router_report.c makes the reports).
+ * @brief When this node reports to which other nodes (router_report.c builds the reports).
  *
- * Nodes of one zone tell one another soon after each change. Few nodes tell those of other zones the same, at a slower
- * pace, since bytes between zones cost; among many, relays do it for the zone (router_relay.c), and a node reports by
- * itself only to zones that it has no such link with, to nodes that it knows nothing of, and, without its requests, to
- * the leader. A leader reports to all. A report tells a whole state, so
- * a lost one is mended by the next. The pace falls with the number of peers reported to, so that a node's datagrams
- * stay within a budget.
+ * Nodes of one zone report to one another soon after each change. In a small fleet, nodes report to those of other
+ * zones in the same way but less often, since traffic between zones is costly. In a large fleet, relays send
+ * summaries for the whole zone (router_relay.c). A node then reports directly only to zones with which its relays
+ * exchange no summaries, to nodes that it knows nothing of, and, without its requests, to the leader. A leader reports
+ * to all nodes. A report carries the whole state, so the next report makes up for a lost one. The interval between
+ * reports grows with the number of peers reported to, so that a node's datagrams stay within a budget.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,26 +16,32 @@
 #include "router/router_internal.h"
 
 enum {
-    ZONE_PAUSE_MS = 20,
-    ALL_PAUSE_MS = 150,
-    IDLE_PAUSE_MS = 300,
-    FULL_PAUSE_MS = 1000, /* between reports with names and paces, among few nodes; */
-    FULL_NODES = 16,      /* so much longer again for each so many nodes */
-    KEYS_PAUSE_MS = 100,
-    KEYS_NODES = 64,          /* with so many nodes the pause has doubled: the leader gets them from all */
-    DATAGRAMS_A_SECOND = 150, /* of reports to all, and within the zone, among few nodes; */
-    MANY_ZONE_DATAGRAMS_A_SECOND =
-        100,                /* and among many, whose datagrams are most of what all nodes do: in the zone, */
-    RELAY_WAY_MS = 300,     /* a relay's pause, and the way by two relays */
-    REPORT_SLACK_MS = 700,  /* by which a report may come later than planned: a busy node's turn, two ticks */
-    SILENCE_IN_PAUSES = 3,  /* reports that may be lost before a node counts as lost */
-    LEADER_PAUSE_MS = 1000, /* between reports to a leader that sees this node by its relays; what has come from it
-                             * is acknowledged at once */
-    FEW_NODES = 96,         /* up to so many, loads of other zones still come in time to be of use */
-    FORGET_S = 15
+    ZONE_INTERVAL_MS = 20,
+    ALL_INTERVAL_MS = 150,
+    IDLE_INTERVAL_MS = 300,
+    /* Interval between reports with names and service times in a small fleet. It grows by the same amount for every
+     * FULL_INTERVAL_NODES nodes. */
+    FULL_INTERVAL_MS = 1000,
+    FULL_INTERVAL_NODES = 16,
+    /* Interval between reports of keys to the leader. It has doubled at KEYS_INTERVAL_NODES nodes, since the leader
+     * receives these reports from all nodes. */
+    KEYS_INTERVAL_MS = 100,
+    KEYS_INTERVAL_NODES = 64,
+    /* Budget of reports to all nodes, and of those within the zone, up to FEW_NODES nodes. */
+    DATAGRAMS_A_SECOND = 150,
+    /* Budget of reports within the zone above FEW_NODES nodes, where datagrams are most of the work of
+     * all nodes. */
+    MANY_ZONE_DATAGRAMS_A_SECOND = 100,
+    RELAY_LATENCY_MS = 300, /* interval between a relay's summaries, and the transit through two relays */
+    REPORT_SLACK_MS = 700, /* largest delay of a report beyond its planned time: a turn of a busy node, and two ticks */
+    SILENCE_INTERVALS = 3, /* number of successive reports that may be lost before a node counts as lost */
+    LEADER_INTERVAL_MS = 1000, /* interval between reports to a leader that relays inform of this node; pages of
+                                * the leader are acknowledged at once, apart from these reports */
+    FEW_NODES = 96,            /* up to this number of nodes, loads of other zones arrive early enough to be useful */
+    FORGET_PEER_S = 15         /* a lost peer is forgotten after this further time */
 };
 
-/* ---- whom ---- */
+/* ---- targets ---- */
 
 static bool is_in_zone(const cw_peer_t *peer)
 {
@@ -48,19 +54,19 @@
            strcmp(peer->node, router->leader_node) == 0;
 }
 
-/* A leader's heartbeat, and that it has given up the lock, are waited for. That a node starts or stops is told by its
- * zone's relays. */
+/* Nodes wait for a leader's heartbeat, and for the report that a leader has given up its lock, so these are sent to all
+ * nodes directly. The start or stop of a node is reported by the relays of its zone. */
 static bool has_news_for_all(const cw_router_t *router, cw_time_us_t now)
 {
     return router->leadership.leading || cw_leader_tenure_announced(&router->tenure, now) != 0;
 }
 
-/** Nodes that this one reports to, and why. */
+/** Numbers of the nodes that this one reports to, by reason. */
 typedef struct report_targets {
-    uint32_t near;      /**< of this zone */
-    uint32_t uncovered; /**< of other zones that no relay informs, or not known yet */
-    uint32_t covered;   /**< of other zones that relays inform: they are sent to where there is news for all */
-    uint32_t relays;    /**< of the covered ones: they pass a leader's heartbeat on */
+    uint32_t in_zone;   /**< nodes of this zone */
+    uint32_t uncovered; /**< nodes of other zones that relays do not inform */
+    uint32_t covered;   /**< nodes of other zones that relays inform: they are sent only news for all nodes */
+    uint32_t relays;    /**< those of the covered nodes that are relays: they pass a leader's heartbeat on */
 } report_targets_t;
 
 static report_targets_t count_targets(const cw_router_t *router, cw_time_us_t now)
@@ -72,7 +78,7 @@
         if (peer->is_lost) {
             continue;
         }
-        targets.near += is_in_zone(peer) ? 1 : 0;
+        targets.in_zone += is_in_zone(peer) ? 1 : 0;
         if (peer->distance != CW_DISTANCE_ZONE && cw_router_is_covered(router, peer, now)) {
             targets.covered++;
             targets.relays += cw_router_is_relay(router, peer) ? 1 : 0;
@@ -93,10 +99,11 @@
     cw_router_take_samples(router, cw_short_name(service), &taken, cw_router_now(router));
 }
 
-/* Names and paces are most of a report's bytes, and what they tell changes slowly: the more nodes, the rarer. */
-static uint32_t parts_of_full(cw_router_t *router, uint32_t peers, cw_time_us_t now)
+/* Parts that are included only at intervals. Names and service times are most of a report's bytes and change
+ * slowly, so the interval grows with the number of nodes. */
+static uint32_t parts_due_at_intervals(cw_router_t *router, uint32_t peers, cw_time_us_t now)
 {
-    if (now - router->reported_full_at < CW_MS(FULL_PAUSE_MS) * (1 + peers / FULL_NODES)) {
+    if (now - router->reported_full_at < CW_MS(FULL_INTERVAL_MS) * (1 + peers / FULL_INTERVAL_NODES)) {
         return 0;
     }
     router->reported_full_at = now;
@@ -125,9 +132,9 @@
     }
 }
 
-/* To other zones: where relays inform them, only what is news for all, without this node's requests; of it a heartbeat
- * to the relays alone. */
-static void send_beyond_zone(cw_router_t *router, bool to_covered, cw_time_us_t now)
+/* Reports to the nodes of other zones. to_covered: to the zones that relays inform, without this node's requests; a
+ * leader's heartbeat goes to their relays only. Otherwise: to the zones that relays do not inform. */
+static void send_outside_zone(cw_router_t *router, bool to_covered, cw_time_us_t now)
 {
     uint32_t         parts = to_covered ? CW_REPORT_NAMES : CW_REPORT_NAMES | CW_REPORT_LOADS;
     bool             to_relays = to_covered && router->leadership.leading;
@@ -143,7 +150,7 @@
     }
 }
 
-/* The leader plans by the keys of recent requests: it hears of them sooner than all others hear of loads. */
+/* The leader plans by the keys of recent requests, so it receives these more often than other nodes receive loads. */
 static void send_keys(cw_router_t *router, cw_time_us_t now)
 {
     cw_peer_t *peer;
@@ -156,7 +163,7 @@
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         if (is_leader(router, peer)) {
             uint32_t loads = cw_router_is_covered(router, peer, now) ? 0 : CW_REPORT_LOADS;
-            /* it must know soon which owners answer: its own orders may not reach them */
+            /* service times: the leader must know soon which owners answer, since its own orders may not reach them */
             size_t length = cw_router_pack_report(router, CW_REPORT_KEYS | CW_REPORT_PACES_TO_LEADER | loads, now);
 
             cw_peer_link_send_packed(router->link, peer, length);
@@ -179,16 +186,17 @@
 
 /* ---- how often ---- */
 
-/* Pause between reports to so many peers: as short as wished, while a node's datagrams stay within their budget. */
-static int64_t paced(const cw_router_t *router, int64_t pause_ms, uint32_t peers, int64_t datagrams_a_second)
+/* Interval in ms between reports to `peers` peers: least_ms, or as much longer as keeps the node's datagrams within
+ * their budget. */
+static int64_t interval_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers, int64_t datagrams_a_second)
 {
     bool    is_new = cw_router_is_new(router, cw_router_now(router));
     int64_t budget = router->leadership.leading ? CW_LEADERS_DATAGRAMS_A_SECOND
-                     : is_new                   ? DATAGRAMS_A_SECOND /* the others have to learn of it */
+                     : is_new                   ? DATAGRAMS_A_SECOND /* other nodes have to learn of this one soon */
                                                 : datagrams_a_second;
     int64_t affordable_ms = (int64_t)peers * 1000 / budget;
 
-    return affordable_ms > pause_ms ? affordable_ms : pause_ms;
+    return affordable_ms > least_ms ? affordable_ms : least_ms;
 }
 
 static int64_t budget_to_all(uint32_t peers)
@@ -196,28 +204,29 @@
     return peers > FEW_NODES ? CW_MANY_DATAGRAMS_A_SECOND : DATAGRAMS_A_SECOND;
 }
 
-static int64_t paced_to_all(const cw_router_t *router, int64_t pause_ms, uint32_t peers)
+static int64_t interval_to_all_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers)
 {
-    return paced(router, pause_ms, peers, budget_to_all(peers));
+    return interval_ms(router, least_ms, peers, budget_to_all(peers));
 }
 
-static int64_t paced_in_zone(const cw_router_t *router, uint32_t near, uint32_t all)
+static int64_t interval_in_zone_ms(const cw_router_t *router, uint32_t in_zone, uint32_t all)
 {
-    return paced(router, ZONE_PAUSE_MS, near, all > FEW_NODES ? MANY_ZONE_DATAGRAMS_A_SECOND : DATAGRAMS_A_SECOND);
+    return interval_ms(router, ZONE_INTERVAL_MS, in_zone,
+                       all > FEW_NODES ? MANY_ZONE_DATAGRAMS_A_SECOND : DATAGRAMS_A_SECOND);
 }
 
-static cw_time_us_t keys_pause(const cw_router_t *router, cw_time_us_t now)
+static cw_time_us_t keys_interval(const cw_router_t *router, cw_time_us_t now)
 {
     uint32_t nodes = cw_peer_link_alive(router->link, router->silence, now);
 
-    return CW_MS(KEYS_PAUSE_MS) * (KEYS_NODES + nodes) / KEYS_NODES;
+    return CW_MS(KEYS_INTERVAL_MS) * (KEYS_INTERVAL_NODES + nodes) / KEYS_INTERVAL_NODES;
 }
 
-static void set_silence(cw_router_t *router, cw_time_us_t idle, cw_time_us_t way)
+static void set_silence(cw_router_t *router, cw_time_us_t idle, cw_time_us_t relay_latency)
 {
-    cw_time_us_t silence = idle * SILENCE_IN_PAUSES;
+    cw_time_us_t silence = idle * SILENCE_INTERVALS;
 
-    router->silence = (silence > CW_MS(CW_PEER_SILENCE_MS) ? silence : CW_MS(CW_PEER_SILENCE_MS)) + way;
+    router->silence = (silence > CW_MS(CW_PEER_SILENCE_MS) ? silence : CW_MS(CW_PEER_SILENCE_MS)) + relay_latency;
 }
 
 static void report_among_few(cw_router_t *router, cw_time_us_t now)
@@ -225,68 +234,71 @@
     cw_time_us_t since_all = now - router->reported_all_at;
     cw_time_us_t since_zone = now - router->reported_zone_at;
     uint32_t     all = cw_peer_link_alive(router->link, router->silence, now);
-    uint32_t     near = count_targets(router, now).near;
-    cw_time_us_t idle = CW_MS(paced_to_all(router, IDLE_PAUSE_MS, all));
+    uint32_t     in_zone = count_targets(router, now).in_zone;
+    cw_time_us_t idle = CW_MS(interval_to_all_ms(router, IDLE_INTERVAL_MS, all));
 
     set_silence(router, idle, 0);
-    if ((router->all_due && since_all >= CW_MS(paced_to_all(router, ALL_PAUSE_MS, all))) || since_all >= idle) {
-        send_to_all(router, CW_REPORT_LOADS | parts_of_full(router, all, now), now);
+    if ((router->all_due && since_all >= CW_MS(interval_to_all_ms(router, ALL_INTERVAL_MS, all))) ||
+        since_all >= idle) {
+        send_to_all(router, CW_REPORT_LOADS | parts_due_at_intervals(router, all, now), now);
         router->reported_all_at = now;
         router->reported_zone_at = now;
         router->all_due = false;
         router->zone_due = false;
-    } else if (router->zone_due && since_zone >= CW_MS(paced_in_zone(router, near, all))) {
+    } else if (router->zone_due && since_zone >= CW_MS(interval_in_zone_ms(router, in_zone, all))) {
         send_to_zone(router, CW_REPORT_LOADS, now);
         router->reported_zone_at = now;
         router->zone_due = false;
     }
 }
 
-/* How long the least frequent reporter among the others may take, whatever this node's own pace is. */
-static void judge_silence(cw_router_t *router, const report_targets_t *targets)
+/* Sets the silence after which a peer counts as lost, by the interval of the node that reports least often. This node's
+ * own interval does not matter. */
+static void update_silence(cw_router_t *router, const report_targets_t *targets)
 {
-    uint32_t all = targets->near + targets->covered + targets->uncovered;
-    uint32_t most = targets->uncovered > 0 ? all : cw_router_largest_zone(router);
-    int64_t  idle_ms = (int64_t)most * 1000 / budget_to_all(all);
+    uint32_t all = targets->in_zone + targets->covered + targets->uncovered;
+    uint32_t reported_to_max = targets->uncovered > 0 ? all : cw_router_largest_zone(router);
+    int64_t  idle_ms = (int64_t)reported_to_max * 1000 / budget_to_all(all);
 
-    set_silence(router, CW_MS(idle_ms > IDLE_PAUSE_MS ? idle_ms : IDLE_PAUSE_MS), CW_MS(RELAY_WAY_MS));
+    set_silence(router, CW_MS(idle_ms > IDLE_INTERVAL_MS ? idle_ms : IDLE_INTERVAL_MS), CW_MS(RELAY_LATENCY_MS));
 }
 
-static void report_beyond_zone(cw_router_t *router, const report_targets_t *targets, cw_time_us_t now)
+static void report_outside_zone(cw_router_t *router, const report_targets_t *targets, cw_time_us_t now)
 {
     cw_time_us_t since = now - router->reported_all_at;
     bool         has_news = has_news_for_all(router, now);
-    uint32_t     informed = router->leadership.leading ? targets->relays : targets->covered;
-    uint32_t     count = targets->uncovered + (has_news ? informed : 0);
-    bool         is_due = router->all_due && since >= CW_MS(paced_to_all(router, ALL_PAUSE_MS, count));
+    uint32_t     news_targets = router->leadership.leading ? targets->relays : targets->covered;
+    uint32_t     count = targets->uncovered + (has_news ? news_targets : 0);
+    bool         is_due = router->all_due && since >= CW_MS(interval_to_all_ms(router, ALL_INTERVAL_MS, count));
 
-    if (!is_due && since < CW_MS(paced_to_all(router, IDLE_PAUSE_MS, count))) {
+    if (!is_due && since < CW_MS(interval_to_all_ms(router, IDLE_INTERVAL_MS, count))) {
         return;
     }
     router->reported_all_at = now;
     router->all_due = false;
-    send_beyond_zone(router, false, now);
+    send_outside_zone(router, false, now);
     if (has_news) {
-        send_beyond_zone(router, true, now);
+        send_outside_zone(router, true, now);
     }
 }
 
 static void report_among_many(cw_router_t *router, cw_time_us_t now)
 {
     report_targets_t targets = count_targets(router, now);
-    uint32_t         all = targets.near + targets.covered + targets.uncovered;
+    uint32_t         all = targets.in_zone + targets.covered + targets.uncovered;
     cw_time_us_t     since_zone = now - router->reported_zone_at;
-    cw_time_us_t     idle = CW_MS(paced(router, IDLE_PAUSE_MS, targets.near, budget_to_all(all)));
+    cw_time_us_t     idle = CW_MS(interval_ms(router, IDLE_INTERVAL_MS, targets.in_zone, budget_to_all(all)));
 
-    judge_silence(router, &targets);
+    update_silence(router, &targets);
     router->all_due = router->all_due || (router->zone_due && targets.uncovered > 0);
-    if ((router->zone_due && since_zone >= CW_MS(paced_in_zone(router, targets.near, all))) || since_zone >= idle) {
-        send_to_zone(router, CW_REPORT_LOADS | parts_of_full(router, targets.near, now), now);
+    if ((router->zone_due && since_zone >= CW_MS(interval_in_zone_ms(router, targets.in_zone, all))) ||
+        since_zone >= idle) {
+        send_to_zone(router, CW_REPORT_LOADS | parts_due_at_intervals(router, targets.in_zone, now), now);
         router->reported_zone_at = now;
         router->zone_due = false;
     }
-    report_beyond_zone(router, &targets, now);
-    if (now - router->reported_leader_at >= CW_MS(LEADER_PAUSE_MS) && !router->leadership.leading) {
+    report_outside_zone(router, &targets, now);
+    if (now - router->reported_leader_at >= CW_MS(LEADER_INTERVAL_MS) && !router->leadership.leading) {
         report_to_leader(router, now);
     }
 }
@@ -310,7 +322,7 @@
 
 cw_time_us_t cw_router_report_life(const cw_router_t *router)
 {
-    cw_time_us_t life = router->silence / SILENCE_IN_PAUSES + CW_MS(REPORT_SLACK_MS); /* the next one replaces it */
+    cw_time_us_t life = router->silence / SILENCE_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
 
     return life > CW_MS(CW_POOL_REPORT_LIFE_MS) ? life : CW_MS(CW_POOL_REPORT_LIFE_MS);
 }
@@ -336,7 +348,7 @@
     }
 }
 
-static void find_lost(cw_router_t *router, cw_time_us_t now)
+static void mark_lost_peers(cw_router_t *router, cw_time_us_t now)
 {
     cw_peer_t *peer;
 
@@ -351,10 +363,10 @@
 void cw_router_peers_tick(cw_router_t *router, cw_time_us_t now)
 {
     report(router, now);
-    if (now - router->sent_keys_at >= keys_pause(router, now) && cw_engine_has_samples(router->engine)) {
+    if (now - router->sent_keys_at >= keys_interval(router, now) && cw_engine_has_samples(router->engine)) {
         send_keys(router, now);
     }
-    find_lost(router, now);
+    mark_lost_peers(router, now);
     cw_server_pool_expire(router->pool, cw_router_report_life(router), now);
-    cw_peer_link_expire(router->link, router->silence + CW_SECONDS(FORGET_S), now);
+    cw_peer_link_expire(router->link, router->silence + CW_SECONDS(FORGET_PEER_S), now);
 }
--- a/src/router/router_push.c
+++ b/src/router/router_push.c
@@ -1,16 +1,17 @@
 /**
  * @file router_push.c
- * @brief The leader's list of servers and tables of keys, in pages, to the nodes that have older ones.
+ * @brief How the leader sends its list of servers and its tables of keys, in pages, to nodes that have older ones.
  *
- * A node that has an earlier number of this term is sent just what changed since; others are sent everything, but only
- * after they have had time to see that what they have is the same (the leader's heartbeat carries hashes). Each node
- * says at once what has come. What is sent again waits longer each time, and all of it stays within a part of the link.
- * Pages are packed once for all nodes that lack the same in one turn: to pack is most of what a large list costs.
+ * A node that has an earlier number of this term is sent only the changes since that number. Other nodes are sent
+ * everything, but only after they have had time to find that their own copy is equal (the leader's heartbeat carries
+ * hashes). Each node acknowledges at once what it has received. The wait before pages are sent again doubles up to a
+ * bound, and all pages together stay within a part of the link's bandwidth. Pages are packed once a turn for all nodes
+ * that lack the same, since packing is most of the cost of a large list.
  *
- * To a zone that relays inform, each change is sent to its relays alone, which pass it on. The whole list goes to two
- * nodes of each zone, its relays, at once: the others ask for it inside their zone (router_list_exchange.c; tables come
- * from the leader alone, as router_pass_on.c says). To one that still lacks it after a while, the leader sends it by
- * itself: so a relay that stops costs time, but nothing waits for it.
+ * In a zone that relays inform, each change is sent to the relays only, which pass it on. The whole list is sent at
+ * once to the two relays of each zone; the other nodes request it inside their zone (router_list_exchange.c). Whole
+ * tables come from the leader alone, for the reason that router_pass_on.c gives. To a node that still lacks them after
+ * a while, the leader sends the pages directly: a relay that stops causes a delay, but no node depends on it.
  */
 #include <string.h>
 
@@ -19,26 +20,33 @@
 
 enum {
     RESEND_MS = 250,
-    RESEND_DOUBLINGS = 1, /* a node that has read a later list itself takes the leader's next one */
-    ADOPT_MS = 250,       /* time to see that what a node has is the leader's */
-    RELAY_WAIT_MS = 300,  /* for a relay to pass a change on, and for the acknowledgement: some ten times both */
-    WHOLE_WAIT_MS = 800,  /* for the whole: a relay gets it, learns by the next heartbeat that it is right, is asked; */
-    WHOLE_WAIT_NODE_MS = 5,        /* and so much more for each node: with many, sources have to double more often */
-    NODES_OF_PAGE = 1024,          /* 5 KB: a page that is lost is told again */
-    NODES_AGAIN_MS = 500,          /* until it has heard them: they report at their pace */
-    NODES_AGAIN_COVERED_MS = 3000, /* where relays tell of other zones' nodes; those of its own it may still not know */
-    LINK_PART = 3,                 /* of the link's bandwidth */
+    RESEND_DOUBLINGS = 1, /* not more: a node that has read a later list itself accepts the leader's next list */
+    ADOPT_MS = 250,       /* time in which a node may find that its copy equals the leader's */
+    /* Time for a relay to pass a change on and for the node's acknowledgement: about ten times what both take. */
+    RELAY_WAIT_MS = 300,
+    /* Time for a node to get the whole list in its zone: a relay receives it, learns from the next heartbeat that it is
+     * the newest, and is asked for it. WHOLE_WAIT_PER_NODE_MS is added for each node: with more nodes, the number of
+     * nodes that have the list must double more often before all have it. */
+    WHOLE_WAIT_MS = 800,
+    WHOLE_WAIT_PER_NODE_MS = 5,
+    NODES_PER_PAGE = 1024, /* 5 KB a page; a lost page is sent again with the next round */
+    /* Interval between rounds of nodes' addresses, until the peer has heard the nodes, which report at their own
+     * rate. */
+    NODES_RESEND_MS = 500,
+    /* The same where relays inform the peer of nodes of other zones. It may still not know nodes of its own zone. */
+    NODES_RESEND_COVERED_MS = 3000,
+    LINK_DIVISOR = 3, /* pages use the link's bandwidth divided by this */
     BURST_MS = 200,
-    BITS = 8,
-    SERVERS_PAGE_BYTES = 5000, /* a full page, some 75 bytes a server */
+    BITS_PER_BYTE = 8,
+    SERVERS_PAGE_BYTES = 5000, /* a full page, about 75 bytes a server */
     TABLE_RANGE_BYTES = 20
 };
 
-/* ---- the link ---- */
+/* ---- sending within the allowance ---- */
 
 void cw_router_push_init(cw_router_t *router)
 {
-    double bytes_per_s = (double)router->settings.link_mbps * 1e6 / BITS / LINK_PART;
+    double bytes_per_s = (double)router->settings.link_mbps * 1e6 / BITS_PER_BYTE / LINK_DIVISOR;
 
     cw_send_allowance_init(&router->push_allowance, bytes_per_s, CW_MS(BURST_MS));
 }
@@ -51,16 +59,17 @@
     cw_peer_link_send_packed(router->link, peer, length);
 }
 
-/* What is short goes at once; the rest is left to the queue, which spreads it over time (pass_on_queue.h). */
+/* Sends a batch of few pages at once. A longer one goes into the queue, which spreads it over time (pass_on_queue.h).
+ */
 static void send_batch(cw_router_t *router, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
                        const cw_pass_on_update_t *update)
 {
     cw_time_us_t now = cw_router_now(router);
 
-    if (batch->count <= CW_PASS_ON_PAGES) {
+    if (batch->count <= CW_PASS_ON_PAGES_PER_TURN) {
         cw_send_allowance_spend(&router->push_allowance, cw_peer_link_send_batch(router->link, peer, batch));
     } else if (!cw_pass_on_queue_add_receiver(router->pass_on, update, batch, peer->address, now)) {
-        cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, batch->count); /* it is sent again */
+        cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, batch->count); /* the pages are sent again later */
     }
 }
 
@@ -75,7 +84,7 @@
                                  .pages = (uint32_t)batch->count};
 }
 
-/* Are these pages those that the scope needs? Else they are begun anew. */
+/* Whether these pages were packed for this scope in this turn. If not, empties the batch for packing them. */
 static bool is_packed(cw_packed_pages_t *packed, const cw_push_scope_t *scope)
 {
     if (packed->is_packed && packed->scope.base == scope->base && packed->scope.pass_on == scope->pass_on) {
@@ -87,10 +96,11 @@
     return false;
 }
 
-/* Whole ones and changes, to pass on or not, are packed apart: peers of all kinds come in any order. */
+/* The whole and the changes, each with and without the mark to pass it on, are packed separately, since peers that need
+ * different ones follow one another in any order. */
 enum { SCOPES = 4 };
 
-static cw_packed_pages_t *place_of(cw_packed_pages_t packed[SCOPES], const cw_push_scope_t *scope)
+static cw_packed_pages_t *packed_for(cw_packed_pages_t packed[SCOPES], const cw_push_scope_t *scope)
 {
     return &packed[(scope->base == 0 ? 0 : 2) + (scope->pass_on ? 1 : 0)];
 }
@@ -104,7 +114,7 @@
     }
 }
 
-/* ---- when ---- */
+/* ---- timing ---- */
 
 cw_time_us_t cw_router_next_push(cw_push_state_t *push, cw_time_us_t now)
 {
@@ -121,8 +131,8 @@
            cw_router_is_covered(router, peer, now);
 }
 
-/* Time in which the relays of the largest zone pass so many bytes on, each to half of it, as far as they are as capable
- * as this node. */
+/* Time that the relays of the largest zone need to pass `bytes` on, each to half of the zone's nodes, if they are as
+ * capable as this node. */
 static cw_time_us_t relay_delay(const cw_router_t *router, size_t bytes)
 {
     double sent = (double)bytes * cw_router_largest_zone(router) / 2;
@@ -137,11 +147,11 @@
     if (!is_whole) {
         return CW_MS(RELAY_WAIT_MS) + delay;
     }
-    return delay +
-           CW_MS(WHOLE_WAIT_MS + WHOLE_WAIT_NODE_MS * (int64_t)cw_peer_link_alive(router->link, router->silence, now));
+    return delay + CW_MS(WHOLE_WAIT_MS +
+                         WHOLE_WAIT_PER_NODE_MS * (int64_t)cw_peer_link_alive(router->link, router->silence, now));
 }
 
-/* Does it come from another node than this one? */
+/* Whether the peer gets what it lacks from another node than this one. */
 static bool comes_from_others(const cw_router_t *router, const cw_peer_t *peer, bool is_list, bool is_whole,
                               cw_time_us_t now)
 {
@@ -151,7 +161,7 @@
     return cw_router_is_fed_by_relay(router, peer, now);
 }
 
-/* Is it this node's turn to be sent what it lacks? */
+/* Whether the peer is to be sent what it lacks now. has, newest: numbers of its and of the leader's list or tables. */
 static bool is_due(const cw_router_t *router, const cw_peer_t *peer, cw_push_state_t *push, uint64_t has,
                    uint64_t newest, bool is_list, cw_time_us_t now)
 {
@@ -168,7 +178,7 @@
         return false;
     }
     if (wants_whole && push->is_waiting && !comes_from_others(router, peer, is_list, wants_whole, now)) {
-        push->due_at = now; /* it has become a relay of its zone */
+        push->due_at = now; /* the peer has become a relay of its zone */
     }
     if (now < push->due_at || !cw_send_allowance_has_any(&router->push_allowance)) {
         return false;
@@ -250,15 +260,15 @@
     send_batch(router, peer, &packed->batch, &update);
 }
 
-/* Whole ones are asked for by those that have none. */
-static bool is_to_pass_on(const cw_router_t *router, const cw_peer_t *peer)
+/* Whether the peer is to pass changes on to its zone. Nodes that have no list ask for the whole list themselves. */
+static bool shall_pass_on(const cw_router_t *router, const cw_peer_t *peer)
 {
     return peer->distance != CW_DISTANCE_ZONE && cw_router_is_relay(router, peer);
 }
 
 void cw_router_push_servers(cw_router_t *router, cw_time_us_t now)
 {
-    static cw_packed_pages_t packed[SCOPES]; /* its memory is kept */
+    static cw_packed_pages_t packed[SCOPES]; /* its memory is reused */
     cw_peer_t               *peer;
 
     forget_packed(packed);
@@ -273,8 +283,8 @@
         if (is_due(router, peer, &peer->servers_push, peer->servers, router->lead_servers, true, now)) {
             peer->servers_push.due_at = cw_router_next_push(&peer->servers_push, now);
             base = cw_list_history_covers(&router->list_history, base) ? base : 0;
-            scope = (cw_push_scope_t){.base = base, .pass_on = base != 0 && is_to_pass_on(router, peer)};
-            cw_router_send_servers(router, peer, &scope, place_of(packed, &scope));
+            scope = (cw_push_scope_t){.base = base, .pass_on = base != 0 && shall_pass_on(router, peer)};
+            cw_router_send_servers(router, peer, &scope, packed_for(packed, &scope));
         }
     }
 }
@@ -288,7 +298,7 @@
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         if (peer->term == router->leadership.lock.term && peer->servers + 1 >= router->lead_servers) {
-            peer->servers_push.due_at = 0; /* it had the newest: one change is on its way at once */
+            peer->servers_push.due_at = 0; /* it had the previous list: the change is sent to it at once */
         }
     }
     cw_router_push_servers(router, now);
@@ -296,19 +306,20 @@
 
 /* ---- nodes ----
  *
- * A node knows its seeds and, from the lock, the leader; so the leader hears every node. It tells the others to those
- * that have heard fewer. That is apart from the list: a node that has read the list itself is sent no page of it.
+ * A node knows its seeds and, from the lock, the leader, so the leader hears every node. The leader sends the addresses
+ * of all nodes to those that have heard fewer nodes. This is separate from the list of servers, since a node that has
+ * read the list itself is sent no page of it.
  */
 
-/* A page of the nodes from `known` on, as many as one holds. Returns the first that is left; NULL: none. */
+/* Sends one page of the known nodes, beginning at `known`. Returns the first node that did not fit; NULL: none. */
 static const cw_peer_t *send_nodes_page(cw_router_t *router, const cw_peer_t *peer, const cw_peer_t *known)
 {
-    static uint32_t nodes[NODES_OF_PAGE];
+    static uint32_t nodes[NODES_PER_PAGE];
     Cwp__NodesPage  page = CWP__NODES_PAGE__INIT;
     Cwp__Datagram   datagram = CWP__DATAGRAM__INIT;
 
     page.nodes = nodes;
-    for (; known != NULL && page.n_nodes < NODES_OF_PAGE; known = known->next) {
+    for (; known != NULL && page.n_nodes < NODES_PER_PAGE; known = known->next) {
         if (known->last_received_at != 0 && !known->is_lost) {
             nodes[page.n_nodes++] = known->address;
         }
@@ -337,7 +348,7 @@
         if (peer->last_received_at != 0 && !peer->is_lost && peer->peers < alive && now >= peer->nodes_due_at &&
             cw_send_allowance_has_any(&router->push_allowance)) {
             peer->nodes_due_at =
-                now + CW_MS(cw_router_is_covered(router, peer, now) ? NODES_AGAIN_COVERED_MS : NODES_AGAIN_MS);
+                now + CW_MS(cw_router_is_covered(router, peer, now) ? NODES_RESEND_COVERED_MS : NODES_RESEND_MS);
             send_nodes(router, peer);
         }
     }
@@ -345,8 +356,8 @@
 
 /* ---- tables ---- */
 
-static void pack_table(cw_router_t *router, cw_datagram_batch_t *batch, Cwp__TablePage *page,
-                       const cw_table_entry_t *entries, size_t count)
+static void pack_service_table(cw_router_t *router, cw_datagram_batch_t *batch, Cwp__TablePage *page,
+                               const cw_table_entry_t *entries, size_t count)
 {
     static cw_table_page_room_t room;
     Cwp__Datagram               datagram = CWP__DATAGRAM__INIT;
@@ -379,7 +390,7 @@
         size_t count = cw_table_changes(&router->tables.items[index], scope->base, changes, CW_KEY_LAST + 1);
 
         page.service = router->tables.items[index].service;
-        pack_table(router, batch, &page, changes, count);
+        pack_service_table(router, batch, &page, changes, count);
     }
 }
 
@@ -397,7 +408,7 @@
 
 void cw_router_push_tables(cw_router_t *router, cw_time_us_t now)
 {
-    static cw_packed_pages_t packed[SCOPES]; /* its memory is kept */
+    static cw_packed_pages_t packed[SCOPES]; /* its memory is reused */
     cw_peer_t               *peer;
 
     forget_packed(packed);
@@ -410,13 +421,13 @@
         if (is_due(router, peer, &peer->tables_push, peer->tables, router->lead_tables, false, now)) {
             peer->tables_push.due_at = cw_router_next_push(&peer->tables_push, now);
             scope.base = base_of(router, peer, peer->tables);
-            scope.pass_on = is_to_pass_on(router, peer);
-            cw_router_send_tables(router, peer, &scope, place_of(packed, &scope));
+            scope.pass_on = shall_pass_on(router, peer);
+            cw_router_send_tables(router, peer, &scope, packed_for(packed, &scope));
         }
     }
 }
 
-/* Bytes of the ranges that the newest tables have changed. */
+/* Bytes of the ranges that changed in the newest tables. */
 static size_t bytes_of_change(const cw_router_t *router)
 {
     size_t changed = 0;
@@ -439,7 +450,7 @@
     router->relay_delays.tables = relay_delay(router, bytes_of_change(router));
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        bool had_newest = peer->tables + 1 >= router->lead_tables; /* others are waited for as long as before */
+        bool had_newest = peer->tables + 1 >= router->lead_tables; /* the waits for other peers go on */
 
         if (peer->term == router->leadership.lock.term && peer->tables != 0 &&
             (had_newest || !cw_router_is_fed_by_relay(router, peer, now))) {
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -1,6 +1,7 @@
 /**
  * @file router_receive.c
- * @brief Datagrams of other nodes: reports, pages of the list, tables.
+ * @brief Handles datagrams of other nodes: takes reports, and hands other kinds to the part of the node that handles
+ * them.
  */
 #include <string.h>
 
@@ -10,7 +11,7 @@
 
 enum {
     LOADS_MAX = 512,
-    NAMED_MS = 700, /* names go with each report after a node was first heard */
+    SEND_NAMES_MS = 700, /* after a node is heard for the first time, this node's reports carry its name for so long */
 };
 
 static void take_loads(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
@@ -44,7 +45,7 @@
     }
 }
 
-static bool is_missed(const cw_router_t *router, const Cwp__NodeReport *received)
+static bool is_missed_by(const cw_router_t *router, const Cwp__NodeReport *received)
 {
     uint32_t own = cw_peer_link_own_address(router->link);
     size_t   index;
@@ -57,17 +58,18 @@
     return false;
 }
 
+/* Takes what the peer reports about itself. False: the report is delayed or repeated, and is ignored. */
 static bool take_identity(cw_router_t *router, cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
 {
     if (peer->incarnation == received->incarnation && received->sequence <= peer->sequence &&
         peer->last_received_at != 0) {
-        return false; /* late or repeated */
+        return false; /* delayed or repeated */
     }
     if (cw_peer_is_former(peer, received->incarnation, now)) {
-        return false; /* late: the node has started anew since */
+        return false; /* delayed: the node has restarted since */
     }
     if (peer->last_received_at == 0 || peer->is_lost || peer->incarnation != received->incarnation) {
-        router->named_until = now + CW_MS(NAMED_MS);
+        router->named_until = now + CW_MS(SEND_NAMES_MS);
         if (received->node[0] != '\0') {
             cw_text_copy(peer->node, sizeof(peer->node), received->node);
         }
@@ -85,7 +87,7 @@
     peer->stopping = received->stopping;
     peer->store_lost = received->store_lost;
     peer->peers = received->peers;
-    peer->misses_this = is_missed(router, received);
+    peer->misses_this = is_missed_by(router, received);
     peer->term = received->term;
     peer->servers = received->servers;
     peer->tables = received->tables;
@@ -98,7 +100,7 @@
     return true;
 }
 
-static void sum_queue(void *context, const char *service, uint32_t queued)
+static void update_queued_elsewhere(void *context, const char *service, uint32_t queued)
 {
     cw_router_t *router = context;
     uint32_t     sum = cw_queue_lengths_sum(&router->queue_lengths, cw_short_name(service));
@@ -110,7 +112,7 @@
 void cw_router_take_queues(cw_router_t *router, uint64_t sender, bool is_near, Cwp__QueueLength *const *queues,
                            size_t count, cw_time_us_t now)
 {
-    bool   any = cw_queue_lengths_begin(&router->queue_lengths, sender, cw_router_report_life(router), now);
+    bool   had_any = cw_queue_lengths_begin(&router->queue_lengths, sender, cw_router_report_life(router), now);
     bool   fits = true;
     size_t index;
 
@@ -124,8 +126,8 @@
     }
     cw_dropped_entries_note("queue lengths of other nodes: services seem less busy there", CW_QUEUE_LENGTHS_MAX,
                             fits ? 0 : count - index + 1);
-    if (any || router->queue_lengths.count > 0) {
-        cw_engine_each_service(router->engine, sum_queue, router);
+    if (had_any || router->queue_lengths.count > 0) {
+        cw_engine_each_service(router->engine, update_queued_elsewhere, router);
     }
 }
 
@@ -136,7 +138,7 @@
     if (!take_identity(router, peer, received, now)) {
         return;
     }
-    if (cw_router_is_summed(router, peer, now)) { /* counted in its zone's sums already */
+    if (cw_router_is_summed(router, peer, now)) { /* its requests are included in its zone's sums */
         cw_server_pool_report(router->pool, peer->address, NULL, 0, now);
         cw_router_take_queues(router, peer->address, false, NULL, 0, now);
     } else {
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -1,12 +1,13 @@
 /**
  * @file router_relay.c
- * @brief Wires relays into the node: summaries of this zone to other zones, and theirs into what this node knows.
+ * @brief Connects relays to the node: sends summaries of this zone to other zones, and takes in the summaries of these.
  *
- * Among many nodes a report to the nodes of other zones would be most of all that crosses between zones. A relay sends
- * a summary of its zone to a relay of each other zone every CW_SUMMARY_PAUSE_MS; that one passes it on inside its zone
- * as it came. A summary tells a whole state: which nodes are alive and since when each was received, and, every
- * LOADS_PAUSE_MS, the sums of the zone's requests at owners of keys and of those that wait. What changes rarely
- * (names, incarnations) stands in it for DETAILS_NEWS_MS after a change, and of all nodes every DETAILS_PAUSE_MS.
+ * In a large fleet, reports of each node to the nodes of other zones would be most of the traffic between zones.
+ * Instead, a relay sends a summary of its zone to a relay of each other zone every CW_SUMMARY_INTERVAL_MS. The
+ * receiving relay passes it on inside its zone unchanged. A summary carries a whole state: which nodes are alive and
+ * how long ago each was received, and, every LOADS_INTERVAL_MS, sums over the zone of the requests at owners of keys
+ * and of the waiting ones. Details that change rarely (names, incarnations) are included for DETAILS_CHANGED_MS after a
+ * change, and for all nodes every DETAILS_INTERVAL_MS (router_summary.c).
  */
 #include <stdlib.h>
 #include <string.h>
@@ -19,21 +20,27 @@
 #include "router/view_check.h"
 
 enum {
-    STILL_MS =
-        CW_SUMMARY_PAUSE_MS,  /* without a tick: what came meanwhile is no later than a lost summary's successor */
-    SERVERS_UNEQUAL_S = 10,   /* what a node has seen of a server's leaving may differ from the leader's for a while */
-    SERVERS_AGAIN_S = 60,     /* and is forgotten by then (FORGET_S of server_view.c) */
+    /* A node that has not ticked for longer has stalled. In a shorter time, what arrived meanwhile is read no later
+     * than the summary that follows a lost one would be. */
+    STALL_MS = CW_SUMMARY_INTERVAL_MS,
+    /* The list may differ from the leader's for this time before the whole list is asked for, since what a node has
+     * seen of a server's leaving may differ from what the leader has seen. */
+    SERVERS_UNEQUAL_S = 10,
+    SERVERS_REPEAT_S = 60,    /* interval between requests: what was seen of a leave is forgotten within it (FORGET_S of
+                               * server_view.c) */
     TABLES_UNEQUAL_MS = 1000, /* three heartbeats */
-    TABLES_AGAIN_MS = 5000,
-    BACKLOG_MS = 100 /* after that: the socket holds 212,992 bytes, which are read 32 datagrams a turn of the loop */
+    TABLES_REPEAT_MS = 5000,
+    /* Time after a stall in which datagrams of the backlog are read: the socket holds 212,992 bytes, and 32 datagrams
+     * are read in a turn of the loop. */
+    BACKLOG_MS = 100
 };
 
-/** Relays of one zone, as this node sees it. */
+/** Relays of one zone, computed from the nodes that this node knows. */
 typedef struct zone_relays {
     char     name[64];
-    uint32_t nodes;
-    uint32_t relays[CW_RELAYS];
-    size_t   count;
+    uint32_t nodes;             /* nodes of the zone */
+    uint32_t relays[CW_RELAYS]; /* addresses by rank; 0: none */
+    size_t   count;             /* of the relays */
 } zone_relays_t;
 
 struct cw_router_relay {
@@ -41,12 +48,12 @@
     cw_summary_times_t times;
     cw_time_us_t       sent_at;
     uint32_t           largest_zone;
-    zone_relays_t      zones[CW_ZONES_MAX]; /* this node's own first */
+    zone_relays_t      zones[CW_ZONES_MAX]; /* this node's own zone first */
     size_t             zone_count;
     cw_view_check_t    servers_check;
     cw_view_check_t    tables_check;
-    cw_time_us_t       ticked_at;     /* 0: not yet */
-    cw_time_us_t       backlog_until; /* this node stood still: datagrams read before then may have come meanwhile */
+    cw_time_us_t       ticked_at;     /* last tick; 0: none yet */
+    cw_time_us_t       backlog_until; /* datagrams read before this time may have arrived during a stall of this node */
 };
 
 void cw_router_relay_init(cw_router_t *router)
@@ -59,7 +66,7 @@
     return peer->last_received_at != 0 && peer->distance == CW_DISTANCE_ZONE;
 }
 
-/* ---- what reports may leave out ---- */
+/* ---- what reports may omit ---- */
 
 bool cw_router_is_covered(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
@@ -68,7 +75,7 @@
 
 bool cw_router_is_summed(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    return peer->distance != CW_DISTANCE_ZONE && cw_zone_links_is_summed(&router->relay->links, peer->zone, now);
+    return peer->distance != CW_DISTANCE_ZONE && cw_zone_links_is_summarized(&router->relay->links, peer->zone, now);
 }
 
 uint32_t cw_router_largest_zone(const cw_router_t *router)
@@ -76,7 +83,7 @@
     return router->relay->largest_zone;
 }
 
-/* ---- who ---- */
+/* ---- choice of relays ---- */
 
 static zone_relays_t *find_zone(cw_router_relay_t *relay, const char *zone)
 {
@@ -103,7 +110,7 @@
     return found;
 }
 
-/* All zones that have nodes, this node's own first, and their relays. */
+/* Computes the list of all zones that have nodes, this node's own zone first, and their relays. */
 static void gather_zones(cw_router_t *router)
 {
     cw_router_relay_t           *relay = router->relay;
@@ -129,38 +136,38 @@
     }
 }
 
-/* Which of a zone's relays the node is: 0, 1; CW_RELAYS: none. */
-static size_t place_of(const zone_relays_t *zone, uint32_t address)
+/* Rank of the node among a zone's relays: 0 or 1; CW_RELAYS: it is none. */
+static size_t relay_rank(const zone_relays_t *zone, uint32_t address)
 {
-    size_t place;
+    size_t rank;
 
-    for (place = 0; place < zone->count && zone->relays[place] != address; place++) {
+    for (rank = 0; rank < zone->count && zone->relays[rank] != address; rank++) {
     }
-    return place < zone->count ? place : CW_RELAYS;
+    return rank < zone->count ? rank : CW_RELAYS;
 }
 
 bool cw_router_is_relay(const cw_router_t *router, const cw_peer_t *peer)
 {
     const zone_relays_t *zone = find_zone(router->relay, peer->zone);
 
-    return zone != NULL && place_of(zone, peer->address) != CW_RELAYS;
+    return zone != NULL && relay_rank(zone, peer->address) != CW_RELAYS;
 }
 
 bool cw_router_is_own_relay(const cw_router_t *router)
 {
     return router->relay->zone_count > 0 && cw_router_nodes_are_many(router) &&
-           place_of(&router->relay->zones[0], cw_peer_link_own_address(router->link)) != CW_RELAYS;
+           relay_rank(&router->relay->zones[0], cw_peer_link_own_address(router->link)) != CW_RELAYS;
 }
 
 bool cw_router_is_first_relay(const cw_router_t *router)
 {
     return router->relay->zone_count > 0 &&
-           place_of(&router->relay->zones[0], cw_peer_link_own_address(router->link)) == 0;
+           relay_rank(&router->relay->zones[0], cw_peer_link_own_address(router->link)) == 0;
 }
 
 /* ---- sending ---- */
 
-static void send_summary(cw_router_t *router, size_t place, cw_time_us_t now)
+static void send_summary(cw_router_t *router, size_t rank, cw_time_us_t now)
 {
     cw_router_relay_t *relay = router->relay;
     size_t             length = cw_router_pack_summary(router, &relay->times, &relay->links, now);
@@ -168,7 +175,7 @@
 
     for (index = 1; index < relay->zone_count; index++) {
         const zone_relays_t *zone = &relay->zones[index];
-        const cw_peer_t *partner = cw_peer_link_find(router->link, cw_relay_partner(zone->relays, zone->count, place));
+        const cw_peer_t *partner = cw_peer_link_find(router->link, cw_relay_partner(zone->relays, zone->count, rank));
 
         if (partner != NULL) {
             cw_peer_link_send_packed(router->link, partner, length);
@@ -176,7 +183,7 @@
     }
 }
 
-static void note_unequal(const char *what, uint64_t term, uint64_t number)
+static void log_unequal_view(const char *what, uint64_t term, uint64_t number)
 {
     cw_event_t event;
 
@@ -188,28 +195,28 @@
     }
 }
 
-/* A node without a number is sent the whole. */
+/* Without a number, this node is sent the whole list. */
 static void check_servers(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    static const cw_view_patience_t patience = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_AGAIN_S)};
+    static const cw_view_patience_t patience = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_REPEAT_S)};
     bool                            is_equal = heartbeat->servers_hash == router->server_view.hash;
 
     if (heartbeat->term == router->view_term && router->view_servers != 0 &&
         heartbeat->servers == router->view_servers &&
         cw_view_check_note(&router->relay->servers_check, is_equal, &patience, now)) {
-        note_unequal("servers", heartbeat->term, heartbeat->servers);
+        log_unequal_view("servers", heartbeat->term, heartbeat->servers);
         router->view_servers = 0;
     }
 }
 
 static void check_tables(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    static const cw_view_patience_t patience = {CW_MS(TABLES_UNEQUAL_MS), CW_MS(TABLES_AGAIN_MS)};
+    static const cw_view_patience_t patience = {CW_MS(TABLES_UNEQUAL_MS), CW_MS(TABLES_REPEAT_MS)};
     bool                            is_equal = heartbeat->tables_hash == router->tables_hash;
 
     if (heartbeat->term == router->view_term && router->view_tables != 0 && heartbeat->tables == router->view_tables &&
         cw_view_check_note(&router->relay->tables_check, is_equal, &patience, now)) {
-        note_unequal("tables", heartbeat->term, heartbeat->tables);
+        log_unequal_view("tables", heartbeat->term, heartbeat->tables);
         router->view_tables = 0;
     }
 }
@@ -220,14 +227,14 @@
     check_tables(router, heartbeat, now);
 }
 
-static bool has_stood_still(const cw_router_relay_t *relay, cw_time_us_t now)
+static bool has_stalled(const cw_router_relay_t *relay, cw_time_us_t now)
 {
-    return relay->ticked_at != 0 && now - relay->ticked_at > CW_MS(STILL_MS);
+    return relay->ticked_at != 0 && now - relay->ticked_at > CW_MS(STALL_MS);
 }
 
 static void note_tick(cw_router_relay_t *relay, cw_time_us_t now)
 {
-    if (has_stood_still(relay, now)) {
+    if (has_stalled(relay, now)) {
         relay->backlog_until = now + CW_MS(BACKLOG_MS);
     }
     relay->ticked_at = now;
@@ -236,25 +243,26 @@
 void cw_router_relay_tick(cw_router_t *router, cw_time_us_t now)
 {
     cw_router_relay_t *relay = router->relay;
-    size_t             place;
+    size_t             rank;
 
     note_tick(relay, now);
-    if (now - relay->sent_at < CW_MS(CW_SUMMARY_PAUSE_MS)) {
+    if (now - relay->sent_at < CW_MS(CW_SUMMARY_INTERVAL_MS)) {
         return;
     }
     relay->sent_at = now;
     gather_zones(router);
-    place = place_of(&relay->zones[0], cw_peer_link_own_address(router->link));
-    if (place == CW_RELAYS || !cw_router_nodes_are_many(router)) {
+    rank = relay_rank(&relay->zones[0], cw_peer_link_own_address(router->link));
+    if (rank == CW_RELAYS || !cw_router_nodes_are_many(router)) {
         return;
     }
-    send_summary(router, place, now);
+    send_summary(router, rank, now);
 }
 
 /* ---- receiving ---- */
 
-/* It was packed by a relay of another zone: what is passed on differs in one mark, so that it goes no further. */
-static void pass_on(cw_router_t *router, const Cwp__Datagram *datagram)
+/* Passes a summary of another zone's relay on to this zone. It is marked as passed on, so that its receivers do not
+ * pass it on again. */
+static void pass_on_summary(cw_router_t *router, const Cwp__Datagram *datagram)
 {
     const cw_peer_t *peer;
     size_t           length;
@@ -268,7 +276,7 @@
     }
 }
 
-static bool answers(const cw_router_t *router, const Cwp__ZoneSummary *summary)
+static bool acknowledges_own_zone(const cw_router_t *router, const Cwp__ZoneSummary *summary)
 {
     uint32_t own = cw_short_name(router->settings.zone);
     size_t   index;
@@ -281,7 +289,8 @@
     return false;
 }
 
-/* A relay has received from this node: later than this one has, and lately enough for it to count as alive. */
+/* Takes the time at which a relay received from the node, if it is later than the time known here, and recent enough
+ * for the node to count as alive. */
 static void take_node(cw_router_t *router, const Cwp__ZoneSummary *summary, size_t index, cw_time_us_t now)
 {
     cw_time_us_t at = now - CW_MS(summary->ages_ms[index]);
@@ -301,12 +310,12 @@
     peer->last_received_at = at;
 }
 
-/* What a node said by itself lately is newer. */
+/* Takes the details of a node, unless a recent report of the node itself has newer ones. */
 static void take_detail(cw_router_t *router, const Cwp__ZoneNode *detail, cw_time_us_t now)
 {
     cw_peer_t *peer = cw_peer_link_find(router->link, detail->address);
 
-    if (peer == NULL || (peer->direct_at != 0 && now - peer->direct_at < CW_MS(CW_SUMMARY_TRUST_MS)) ||
+    if (peer == NULL || (peer->direct_at != 0 && now - peer->direct_at < CW_MS(CW_SUMMARY_RECENT_MS)) ||
         cw_peer_is_former(peer, detail->incarnation, now)) {
         return;
     }
@@ -331,7 +340,7 @@
 static void take_sums(cw_router_t *router, const Cwp__ZoneSummary *summary, cw_time_us_t now)
 {
     static cw_server_report_t sums[CW_SUMMARY_SERVERS_MAX];
-    uint64_t                  number = cw_zone_numbers | cw_short_name(summary->zone);
+    uint64_t                  number = cw_zone_sender_ids | cw_short_name(summary->zone);
     size_t                    index;
 
     for (index = 0; index < summary->n_servers && index < CW_SUMMARY_SERVERS_MAX; index++) {
@@ -344,13 +353,13 @@
     cw_router_take_queues(router, number, false, summary->queues, summary->n_queues, now);
 }
 
-/* How old a summary is nobody knows then: its ages of nodes count from when it was sent. */
+/* The age of a datagram from the backlog is unknown, and the ages of nodes in a summary are relative to its sending. */
 bool cw_router_is_of_backlog(const cw_router_t *router, cw_time_us_t now)
 {
-    return has_stood_still(router->relay, now) || now < router->relay->backlog_until;
+    return has_stalled(router->relay, now) || now < router->relay->backlog_until;
 }
 
-static void note_late(const cw_router_relay_t *relay, const Cwp__ZoneSummary *summary, cw_time_us_t now)
+static void log_late_summary(const cw_router_relay_t *relay, const Cwp__ZoneSummary *summary, cw_time_us_t now)
 {
     cw_event_t event;
 
@@ -371,11 +380,11 @@
 void cw_router_take_zone_summary(cw_router_t *router, const Cwp__Datagram *datagram, cw_time_us_t now)
 {
     const Cwp__ZoneSummary *summary = datagram->zone_summary;
-    cw_summary_head_t       head = {.zone = summary->zone,
-                                    .relay = summary->relay,
-                                    .incarnation = summary->incarnation,
-                                    .sequence = summary->sequence,
-                                    .answers = answers(router, summary)};
+    cw_summary_header_t     header = {.zone = summary->zone,
+                                      .relay = summary->relay,
+                                      .incarnation = summary->incarnation,
+                                      .sequence = summary->sequence,
+                                      .acknowledges = acknowledges_own_zone(router, summary)};
     cw_peer_t              *relay;
     size_t                  index;
 
@@ -383,10 +392,10 @@
         return;
     }
     if (cw_router_is_of_backlog(router, now)) {
-        note_late(router->relay, summary, now);
+        log_late_summary(router->relay, summary, now);
         return;
     }
-    if (!cw_zone_links_note(&router->relay->links, &head, now)) {
+    if (!cw_zone_links_note(&router->relay->links, &header, now)) {
         return;
     }
     for (index = 0; index < summary->n_nodes; index++) {
@@ -403,7 +412,7 @@
         cw_router_note_configuration(router, relay, summary->configuration, now);
     }
     if (!summary->passed_on) {
-        pass_on(router, datagram);
+        pass_on_summary(router, datagram);
     }
     cw_engine_wake(router->engine);
 }
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -1,7 +1,7 @@
 /**
  * @file router_report.c
- * @brief Making a report: what this node has under way at each server, how fast these answered, keys seen, the leader's
- * heartbeat.
+ * @brief Builds a report of this node: requests under way at each server, servers' service times, keys of recent
+ * requests, and the leader's heartbeat.
  */
 #include <string.h>
 
@@ -11,10 +11,11 @@
     LOADS_MAX = 512,
     QUEUES_MAX = 32,
     SAMPLES_MAX = 16,
-    MISSED_MAX = 16 /* where more are lost at once, most of them are gone, and ways to the others are found by probes */
+    /* Where more nodes are lost at once, most of them have ended, and probes find the ways to the others. */
+    MISSED_MAX = 16
 };
 
-/** A report while it is being made. */
+/** A report that is being built. */
 typedef struct report_builder {
     Cwp__NodeReport      report;
     Cwp__LeaderHeartbeat leader;
@@ -61,7 +62,7 @@
     builder.report.loads = builder.load_pointers;
 }
 
-/* What has changed since it was last sent, to the leader or to all. */
+/* Adds the service times that have changed since they were last sent, to the leader or to all nodes. */
 static void add_paces(cw_router_t *router, bool to_leader)
 {
     cw_server_t *server;
@@ -121,8 +122,8 @@
     builder.sample_pointers[builder.sample_count++] = samples;
 }
 
-/* While changes wait to be published, a number is stated that nobody has yet: the last tables were true until the first
- * of them. */
+/* While changes wait to be published, the heartbeat states the next number, which no node has yet. It states that the
+ * last tables were valid until the first of these changes. */
 static void add_tables(const cw_router_t *router, cw_time_us_t now)
 {
     const cw_table_publication_t *publication = &router->table_publication;
@@ -157,7 +158,7 @@
     builder.report.leader = &builder.leader;
 }
 
-/* Whoever finds itself among them knows that its datagrams do not arrive here. */
+/* Adds the lost nodes. A node that finds itself among them knows that its datagrams do not arrive here. */
 static void add_missed(const cw_router_t *router)
 {
     const cw_peer_t *peer;
--- a/src/router/router_signals.c
+++ b/src/router/router_signals.c
@@ -1,19 +1,20 @@
 /**
  * @file router_signals.c
- * @brief Rate limits of servers between nodes: notices of them, broadcast (router_broadcast.c), and with asks for
- * slots.
+ * @brief Exchange of servers' rate limits and leaves between nodes, in notices that are broadcast (router_broadcast.c),
+ * and, for limits, in the messages about slots.
  */
 #include <stdlib.h>
 
 #include "router/router_internal.h"
 
-static const double ended = -1; /* in messages */
+static const double ended_rate = -1; /* rate in a message: the limit has ended */
 
-/* What another node sent, in bounds: what is no number has ended. */
-static double bounded(double per_s)
+/* Rate received from another node, restricted to valid values. A rate that is not a number means that the limit has
+ * ended. */
+static double bounded_rate(double per_s)
 {
     if (!(per_s >= 0)) {
-        return ended;
+        return ended_rate;
     }
     return per_s > CW_SERVER_LIMIT_MOST ? CW_SERVER_LIMIT_MOST : per_s;
 }
@@ -37,7 +38,7 @@
     cw_signal_notices_note_leave(router->signal_notices, server->hash, cw_router_now(router));
 }
 
-/* ---- out ---- */
+/* ---- sending ---- */
 
 bool cw_router_limits_pack(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message)
 {
@@ -53,7 +54,7 @@
     return true;
 }
 
-/* False: it is not known any more, or never had one. */
+/* Packs the limit of a server, or its end. False: the server is no longer known, or never had a limit. */
 static bool pack_limit_or_end(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message)
 {
     const cw_server_t *server = cw_server_pool_find_hash(router->pool, hash);
@@ -65,13 +66,14 @@
         return false;
     }
     message->server = hash;
-    message->per_s = ended;
+    message->per_s = ended_rate;
     message->age_ms = age_ms(server->limit.ended_at, cw_router_now(router));
     return true;
 }
 
-/* Is its leave still to be told? The list says so soon, or has lost it. */
-static bool is_leave_told(cw_router_t *router, uint32_t hash)
+/* Whether notices still have to state that the server leaves. Ends them once the list shows the leave, or no longer
+ * contains the server. */
+static bool must_state_leave(cw_router_t *router, uint32_t hash)
 {
     const cw_server_t       *server = cw_server_pool_find_hash(router->pool, hash);
     const cw_server_entry_t *entry = server == NULL || router->server_view.list == NULL
@@ -87,9 +89,9 @@
 
 static void send_notice(cw_router_t *router, const uint32_t *servers, size_t count, cw_time_us_t now)
 {
-    static Cwp__ServerLimit  limits[CW_SIGNAL_NOTICES_MOST];
-    static Cwp__ServerLimit *pointers[CW_SIGNAL_NOTICES_MOST];
-    static uint32_t          leaving[CW_SIGNAL_NOTICES_MOST];
+    static Cwp__ServerLimit  limits[CW_SIGNAL_NOTICES_MAX];
+    static Cwp__ServerLimit *pointers[CW_SIGNAL_NOTICES_MAX];
+    static uint32_t          leaving[CW_SIGNAL_NOTICES_MAX];
     Cwp__SignalNotice        notice = CWP__SIGNAL_NOTICE__INIT;
     Cwp__Datagram            datagram = CWP__DATAGRAM__INIT;
     size_t                   index;
@@ -100,7 +102,7 @@
             pointers[notice.n_limits] = &limits[notice.n_limits];
             notice.n_limits++;
         }
-        if (is_leave_told(router, servers[index])) {
+        if (must_state_leave(router, servers[index])) {
             leaving[notice.n_leaving++] = servers[index];
         }
     }
@@ -117,7 +119,7 @@
 
 void cw_router_signals_tick(cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t servers[CW_SIGNAL_NOTICES_MOST];
+    uint32_t servers[CW_SIGNAL_NOTICES_MAX];
     size_t   count = cw_signal_notices_due(router->signal_notices, servers, now);
 
     if (count > 0) {
@@ -125,14 +127,14 @@
     }
 }
 
-/* ---- in ---- */
+/* ---- receiving ---- */
 
 void cw_router_limits_take(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now)
 {
     cw_server_t *server = (cw_server_t *)cw_server_pool_find_hash(router->pool, message->server);
 
     if (server != NULL) {
-        cw_engine_take_limit(router->engine, server, bounded(message->per_s), now - CW_MS(message->age_ms));
+        cw_engine_take_limit(router->engine, server, bounded_rate(message->per_s), now - CW_MS(message->age_ms));
     }
 }
 
--- a/src/router/router_summary.c
+++ b/src/router/router_summary.c
@@ -1,6 +1,6 @@
 /**
  * @file router_summary.c
- * @brief Making a summary of this zone (router_relay.c).
+ * @brief Builds a summary of this zone (router_relay.c sends it).
  */
 #include <stdlib.h>
 #include <string.h>
@@ -11,20 +11,20 @@
 #include "router/router_summary.h"
 
 enum {
-    LOADS_PAUSE_MS = 500,    /* a keyed request's usual time, and less than what was reported counts for */
-    DETAILS_PAUSE_MS = 5000, /* names tell people and logs who a node is; nothing waits for them */
-    DETAILS_NEWS_MS = 1000,  /* four summaries of either relay: all of them are not lost */
-    DETAILS_MAX = 256,       /* in one summary, 90 bytes each at most: 23 KB beside 12 bytes a node and 6 KB of sums */
+    LOADS_INTERVAL_MS = 500,    /* usual time of a keyed request, and less than the time for which reports count */
+    DETAILS_INTERVAL_MS = 5000, /* names identify nodes to people and in logs; nothing waits for them */
+    DETAILS_CHANGED_MS = 1000,  /* four summaries of each relay, of which at least one arrives */
+    DETAILS_MAX = 256, /* in one summary, at most 90 bytes each: 23 KB beside 12 bytes a node and 6 KB of sums */
     QUEUES_MAX = 32
 };
 
-/** A summary while it is made. */
+/** A summary that is being built. */
 typedef struct summary_builder {
     Cwp__ZoneSummary   summary;
     uint32_t          *nodes;
     uint32_t          *ages_ms;
     uint32_t          *capabilities;
-    size_t             node_room; /* of these three */
+    size_t             node_room; /* allocated entries of these three arrays */
     Cwp__ZoneNode      details[DETAILS_MAX];
     Cwp__ZoneNode     *detail_pointers[DETAILS_MAX];
     uint32_t           received[CW_ZONES_MAX];
@@ -57,7 +57,7 @@
     builder.detail_pointers[builder.summary.n_details++] = detail;
 }
 
-static void *grow(uint32_t *numbers, size_t count)
+static void *resize_numbers(uint32_t *numbers, size_t count)
 {
     uint32_t *grown = cw_memory_resize(numbers, count * sizeof(*numbers));
 
@@ -70,9 +70,9 @@
         return;
     }
     builder.node_room = builder.node_room == 0 ? 64 : 2 * builder.node_room;
-    builder.nodes = grow(builder.nodes, builder.node_room);
-    builder.ages_ms = grow(builder.ages_ms, builder.node_room);
-    builder.capabilities = grow(builder.capabilities, builder.node_room);
+    builder.nodes = resize_numbers(builder.nodes, builder.node_room);
+    builder.ages_ms = resize_numbers(builder.ages_ms, builder.node_room);
+    builder.capabilities = resize_numbers(builder.capabilities, builder.node_room);
     builder.summary.nodes = builder.nodes;
     builder.summary.ages_ms = builder.ages_ms;
     builder.summary.capabilities = builder.capabilities;
@@ -117,38 +117,40 @@
     }
 }
 
-static bool has_news(const cw_peer_t *peer, cw_time_us_t now)
+static bool has_changed_lately(const cw_peer_t *peer, cw_time_us_t now)
 {
-    return now - peer->details_at < CW_MS(DETAILS_NEWS_MS);
+    return now - peer->details_at < CW_MS(DETAILS_CHANGED_MS);
 }
 
-/* News first; then those whose turn it is. What does not fit goes with the next summary. */
+/* Adds nodes whose details have changed lately, then nodes of the current round. Those that do not fit go into the next
+ * summary. */
 static void add_details(cw_router_t *router, cw_summary_times_t *times, cw_time_us_t now)
 {
     const cw_peer_t *peer;
-    size_t           place = 0;
+    size_t           peer_index = 0;
 
-    if (now - times->details_at >= CW_MS(DETAILS_PAUSE_MS)) {
+    if (now - times->details_at >= CW_MS(DETAILS_INTERVAL_MS)) {
         times->details_at = now;
-        times->details_place = 0;
+        times->details_index = 0;
         add_own_detail(router);
     } else if (router->stopping_at != 0) {
         add_own_detail(router);
     }
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        if (has_news(peer, now) && is_in_zone(peer) && !peer->is_lost && builder.summary.n_details < DETAILS_MAX) {
+        if (has_changed_lately(peer, now) && is_in_zone(peer) && !peer->is_lost &&
+            builder.summary.n_details < DETAILS_MAX) {
             add_detail(peer);
         }
     }
-    for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next, place++) {
-        if (place < times->details_place) {
+    for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next, peer_index++) {
+        if (peer_index < times->details_index) {
             continue;
         }
         if (builder.summary.n_details == DETAILS_MAX) {
             break;
         }
-        times->details_place = place + 1;
-        if (!has_news(peer, now) && is_in_zone(peer) && !peer->is_lost) {
+        times->details_index = peer_index + 1;
+        if (!has_changed_lately(peer, now) && is_in_zone(peer) && !peer->is_lost) {
             add_detail(peer);
         }
     }
@@ -160,7 +162,7 @@
     size_t index;
 
     for (index = 0; index < links->count; index++) {
-        if (cw_zone_links_is_summed(links, links->items[index].zone, now)) {
+        if (cw_zone_links_is_summarized(links, links->items[index].zone, now)) {
             builder.received[builder.summary.n_received++] = cw_short_name(links->items[index].zone);
         }
     }
@@ -169,12 +171,13 @@
 static bool takes_node(void *context, uint64_t node)
 {
     cw_router_t     *router = context;
-    const cw_peer_t *peer = node >= cw_zone_numbers ? NULL : cw_peer_link_find(router->link, (uint32_t)node);
+    const cw_peer_t *peer = node >= cw_zone_sender_ids ? NULL : cw_peer_link_find(router->link, (uint32_t)node);
 
     return peer != NULL && is_in_zone(peer);
 }
 
-/* Slots of the other services are counted in the servers' own zones (slot_broker.h). */
+/* Only servers of keyed services are summed. Slots of other services are counted in the servers' own zones
+ * (slot_broker.h). */
 static bool takes_server(void *context, const cw_server_t *server)
 {
     const cw_router_t *router = context;
@@ -277,12 +280,13 @@
     summary->queues = builder.queue_pointers;
 }
 
-/* Nodes of a zone report to one another no more often than this: to tell of them more often tells nothing new. */
-static cw_time_us_t nodes_pause(const cw_router_t *router)
+/* Interval between lists of nodes. Nodes of a zone report to one another no more often than this, so that more frequent
+ * lists would contain nothing new. */
+static cw_time_us_t nodes_interval(const cw_router_t *router)
 {
-    cw_time_us_t pause = CW_MS((int64_t)cw_router_largest_zone(router) * 1000 / CW_MANY_DATAGRAMS_A_SECOND);
+    cw_time_us_t interval = CW_MS((int64_t)cw_router_largest_zone(router) * 1000 / CW_MANY_DATAGRAMS_A_SECOND);
 
-    return pause > CW_MS(CW_SUMMARY_PAUSE_MS) ? pause : CW_MS(CW_SUMMARY_PAUSE_MS);
+    return interval > CW_MS(CW_SUMMARY_INTERVAL_MS) ? interval : CW_MS(CW_SUMMARY_INTERVAL_MS);
 }
 
 size_t cw_router_pack_summary(cw_router_t *router, cw_summary_times_t *times, const cw_zone_links_t *links,
@@ -291,13 +295,13 @@
     Cwp__Datagram datagram = CWP__DATAGRAM__INIT;
 
     begin_summary(router, times);
-    if (now - times->nodes_at >= nodes_pause(router)) {
+    if (now - times->nodes_at >= nodes_interval(router)) {
         times->nodes_at = now;
         add_nodes(router, now);
     }
     add_details(router, times, now);
     add_received(links, now);
-    if (now - times->loads_at >= CW_MS(LOADS_PAUSE_MS)) {
+    if (now - times->loads_at >= CW_MS(LOADS_INTERVAL_MS)) {
         times->loads_at = now;
         add_loads(router, now);
         add_queues(router, now);
--- a/src/router/router_summary.h
+++ b/src/router/router_summary.h
@@ -1,6 +1,6 @@
 /**
  * @file router_summary.h
- * @brief Making a summary of this zone for other zones; private to the router's relay.
+ * @brief Builds the summary of this zone for other zones; private to router_relay.c and router_summary.c.
  */
 #ifndef CEDARWINCH_ROUTER_ROUTER_SUMMARY_H
 #define CEDARWINCH_ROUTER_ROUTER_SUMMARY_H
@@ -8,21 +8,23 @@
 #include "router/router_internal.h"
 #include "router/zone_links.h"
 
-enum { CW_SUMMARY_SERVERS_MAX = 512 /**< owners of keys in one summary; 6 bytes each */ };
+enum { CW_SUMMARY_SERVERS_MAX = 512 /**< most owners of keys in one summary; 6 bytes each */ };
 
-/** What this node's summaries have told, and when. All zeros: nothing yet. */
+/** When each part was last included in this node's summaries. All zeros: nothing has been sent yet. */
 typedef struct cw_summary_times {
-    uint32_t     sequence;
-    cw_time_us_t nodes_at;
-    cw_time_us_t loads_at;
-    cw_time_us_t details_at;    /**< when details of all nodes were begun */
-    size_t       details_place; /**< among the nodes known: those before it have had theirs since */
+    uint32_t     sequence;      /**< of the last summary */
+    cw_time_us_t nodes_at;      /**< last time that the nodes and their ages were included */
+    cw_time_us_t loads_at;      /**< last time that the sums of requests were included */
+    cw_time_us_t details_at;    /**< start of the current round that sends the details of all nodes */
+    size_t       details_index; /**< index in the list of known nodes: earlier ones have been sent in this round */
 } cw_summary_times_t;
 
-/** Numbers of zones stand above those of nodes, which are IPv4 addresses: what a zone's sums are kept under. */
-static const uint64_t cw_zone_numbers = (uint64_t)1 << 32;
+/** Added to the hash of a zone's name to make the sender id under which the zone's sums are kept. It keeps these ids
+ * apart from those of nodes, which are IPv4 addresses of 32 bits. */
+static const uint64_t cw_zone_sender_ids = (uint64_t)1 << 32;
 
-/** Packs a summary of this node's zone, for cw_peer_link_send_packed. links: whose summaries have come. */
+/** Packs a summary of this node's zone, for cw_peer_link_send_packed. links: the zones whose summaries this node
+ * receives. Returns the length in bytes. */
 size_t cw_router_pack_summary(cw_router_t *router, cw_summary_times_t *times, const cw_zone_links_t *links,
                               cw_time_us_t now);
 
--- a/src/router/router_traffic.c
+++ b/src/router/router_traffic.c
@@ -1,10 +1,12 @@
 /**
  * @file router_traffic.c
- * @brief Shows what this node has sent to others: as metrics, and in the log when the process ends.
+ * @brief Shows the traffic that this node has sent to other nodes: as metrics, and in the log when the process ends.
  */
 #include "router/router_internal.h"
 
-enum { SUMMARY_MAX = 240 /**< bytes for one distance: three of them fit in a line of the log (CW_EVENT_LINE_MAX) */ };
+enum {
+    SUMMARY_MAX = 240 /**< most bytes for one distance: three such texts fit in a line of the log (CW_EVENT_LINE_MAX) */
+};
 
 void cw_router_traffic_metrics(const cw_router_t *router, cw_bytes_t *text)
 {
--- a/src/router/signal_notices.c
+++ b/src/router/signal_notices.c
@@ -1,6 +1,6 @@
 /**
  * @file signal_notices.c
- * @brief When the other nodes are told of a server.
+ * @brief When notices about a server are sent to the other nodes.
  */
 #include "router/signal_notices.h"
 
@@ -10,26 +10,28 @@
 #include "base/memory.h"
 
 enum {
-    SENDS = 3, /* of one notice */
-    SEND_AGAIN_MS = 200,
-    SEND_PAUSE_MS = 50, /* between datagrams: servers that change all the time are told of together */
-    CHANGED_EVERY_MS = 500,
-    RENEWED_EVERY_MS = 3000, /* three in the time after which a limit is forgotten (CW_LIMIT_FORGOTTEN_MS) */
+    SENDS_PER_NOTICE = 3,      /* datagrams that carry the same notice */
+    RESEND_INTERVAL_MS = 200,  /* interval between these */
+    DATAGRAM_INTERVAL_MS = 50, /* shortest interval between datagrams: servers that change all the time share them */
+    CHANGE_INTERVAL_MS = 500,  /* shortest interval between notices of changes of one server */
+    RENEWAL_INTERVAL_MS =
+        3000, /* three renewals in the time after which a limit is forgotten (CW_LIMIT_FORGOTTEN_MS) */
 };
 
+/** State of the notices about one server. */
 typedef struct notice {
-    uint32_t       server;
+    uint32_t       server; /* hash of its id */
     uint32_t       sends_left;
-    cw_time_us_t   send_at;
-    cw_time_us_t   told_at; /* last begun here, or received */
+    cw_time_us_t   send_at;    /* of the next datagram, while sends_left is not 0 */
+    cw_time_us_t   noticed_at; /* when a notice was last begun by this node or received from another */
     bool           is_leave;
     UT_hash_handle hh;
 } notice_t;
 
 struct cw_signal_notices {
     notice_t    *by_server;
-    cw_time_us_t next_at; /* nothing is due before */
-    cw_time_us_t sent_at; /* last; 0: never */
+    cw_time_us_t next_at; /* nothing is due before this time */
+    cw_time_us_t sent_at; /* last datagram; 0: never */
 };
 
 cw_signal_notices_t *cw_signal_notices_create(void)
@@ -40,7 +42,7 @@
     return notices;
 }
 
-static void drop(cw_signal_notices_t *notices, notice_t *notice)
+static void drop_notice(cw_signal_notices_t *notices, notice_t *notice)
 {
     HASH_DEL(notices->by_server, notice); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
     free(notice);
@@ -53,7 +55,7 @@
 
     HASH_ITER(hh, notices->by_server, notice, next)
     {
-        drop(notices, notice);
+        drop_notice(notices, notice);
     }
     free(notices);
 }
@@ -78,28 +80,29 @@
     return notice;
 }
 
-/* When something becomes due of it. */
-static cw_time_us_t next_look(const notice_t *notice)
+/* Time at which a notice has to be sent, renewed or dropped. */
+static cw_time_us_t next_due(const notice_t *notice)
 {
     if (notice->sends_left > 0) {
         return notice->send_at;
     }
-    return notice->told_at + CW_MS(notice->is_leave ? RENEWED_EVERY_MS : CW_LIMIT_FORGOTTEN_MS);
+    return notice->noticed_at + CW_MS(notice->is_leave ? RENEWAL_INTERVAL_MS : CW_LIMIT_FORGOTTEN_MS);
 }
 
-/* While its first sending is due, a further change leaves it: it is sent as the server's state is then. */
+/* While the first datagram of a notice is still due, a further change does not alter the schedule: the datagram carries
+ * the server's state at the time of sending. */
 void cw_signal_notices_note(cw_signal_notices_t *notices, uint32_t server, cw_limit_change_t change, cw_time_us_t now)
 {
     notice_t    *notice = find_or_add(notices, server);
-    cw_time_us_t pause = CW_MS(change == CW_LIMIT_UNCHANGED ? RENEWED_EVERY_MS : CHANGED_EVERY_MS);
-    bool         is_soon = notice->told_at != 0 && now - notice->told_at < pause;
+    cw_time_us_t interval = CW_MS(change == CW_LIMIT_UNCHANGED ? RENEWAL_INTERVAL_MS : CHANGE_INTERVAL_MS);
+    bool         is_soon = notice->noticed_at != 0 && now - notice->noticed_at < interval;
 
-    if ((is_soon && change == CW_LIMIT_UNCHANGED) || notice->sends_left == SENDS) {
+    if ((is_soon && change == CW_LIMIT_UNCHANGED) || notice->sends_left == SENDS_PER_NOTICE) {
         return;
     }
-    notice->send_at = is_soon ? notice->told_at + pause : now;
-    notice->told_at = notice->send_at;
-    notice->sends_left = SENDS;
+    notice->send_at = is_soon ? notice->noticed_at + interval : now;
+    notice->noticed_at = notice->send_at;
+    notice->sends_left = SENDS_PER_NOTICE;
     notices->next_at = notice->send_at < notices->next_at ? notice->send_at : notices->next_at;
 }
 
@@ -122,46 +125,46 @@
 {
     notice_t *notice = find_or_add(notices, server);
 
-    notice->told_at = now;
-    notices->next_at = next_look(notice) < notices->next_at ? next_look(notice) : notices->next_at;
+    notice->noticed_at = now;
+    notices->next_at = next_due(notice) < notices->next_at ? next_due(notice) : notices->next_at;
 }
 
-/* A leave begins anew when nobody has told of it for a while. */
+/* Schedules another notice of a leave when no node has sent one for the renewal interval. */
 static void renew_leave(notice_t *notice, cw_time_us_t now)
 {
-    if (notice->is_leave && notice->sends_left == 0 && now - notice->told_at >= CW_MS(RENEWED_EVERY_MS)) {
-        notice->told_at = now;
+    if (notice->is_leave && notice->sends_left == 0 && now - notice->noticed_at >= CW_MS(RENEWAL_INTERVAL_MS)) {
+        notice->noticed_at = now;
         notice->sends_left = 1;
         notice->send_at = now;
     }
 }
 
-static bool is_over(const notice_t *notice, cw_time_us_t now)
+static bool is_expired(const notice_t *notice, cw_time_us_t now)
 {
-    return notice->sends_left == 0 && !notice->is_leave && now - notice->told_at >= CW_MS(CW_LIMIT_FORGOTTEN_MS);
+    return notice->sends_left == 0 && !notice->is_leave && now - notice->noticed_at >= CW_MS(CW_LIMIT_FORGOTTEN_MS);
 }
 
-size_t cw_signal_notices_due(cw_signal_notices_t *notices, uint32_t servers[CW_SIGNAL_NOTICES_MOST], cw_time_us_t now)
+size_t cw_signal_notices_due(cw_signal_notices_t *notices, uint32_t servers[CW_SIGNAL_NOTICES_MAX], cw_time_us_t now)
 {
     notice_t *notice;
     notice_t *next;
     size_t    count = 0;
 
-    if (now < notices->next_at || (notices->sent_at != 0 && now - notices->sent_at < CW_MS(SEND_PAUSE_MS))) {
+    if (now < notices->next_at || (notices->sent_at != 0 && now - notices->sent_at < CW_MS(DATAGRAM_INTERVAL_MS))) {
         return 0;
     }
     notices->next_at = CW_NEVER;
     HASH_ITER(hh, notices->by_server, notice, next)
     {
         renew_leave(notice, now);
-        if (notice->sends_left > 0 && notice->send_at <= now && count < CW_SIGNAL_NOTICES_MOST) {
+        if (notice->sends_left > 0 && notice->send_at <= now && count < CW_SIGNAL_NOTICES_MAX) {
             servers[count++] = notice->server;
             notice->sends_left--;
-            notice->send_at = now + CW_MS(SEND_AGAIN_MS);
+            notice->send_at = now + CW_MS(RESEND_INTERVAL_MS);
         }
-        notices->next_at = next_look(notice) < notices->next_at ? next_look(notice) : notices->next_at;
-        if (is_over(notice, now)) {
-            drop(notices, notice);
+        notices->next_at = next_due(notice) < notices->next_at ? next_due(notice) : notices->next_at;
+        if (is_expired(notice, now)) {
+            drop_notice(notices, notice);
         }
     }
     notices->sent_at = count > 0 ? now : notices->sent_at;
--- a/src/router/zone_links.c
+++ b/src/router/zone_links.c
@@ -1,6 +1,6 @@
 /**
  * @file zone_links.c
- * @brief When summaries of each zone came.
+ * @brief When summaries of each zone were received.
  */
 #include "router/zone_links.h"
 
@@ -10,7 +10,7 @@
 
 static bool is_recent(cw_time_us_t at, cw_time_us_t now)
 {
-    return at != 0 && now - at < CW_MS(CW_SUMMARY_TRUST_MS);
+    return at != 0 && now - at < CW_MS(CW_SUMMARY_RECENT_MS);
 }
 
 static cw_zone_link_t *find_link(cw_zone_links_t *links, const char *zone)
@@ -38,40 +38,40 @@
     return link;
 }
 
-/* The place of a relay; one that is not known yet takes the oldest place. */
-static cw_summary_maker_t *find_maker(cw_zone_link_t *link, uint32_t address)
+/* Entry of a relay. A relay that is not known yet replaces the oldest entry. */
+static cw_summary_sender_t *find_or_replace_sender(cw_zone_link_t *link, uint32_t address)
 {
-    cw_summary_maker_t *maker;
-    size_t              index;
+    cw_summary_sender_t *sender;
+    size_t               index;
 
-    for (index = 0; index < CW_SUMMARY_MAKERS; index++) {
-        if (link->makers[index].address == address) {
-            return &link->makers[index];
+    for (index = 0; index < CW_SUMMARY_SENDERS_MAX; index++) {
+        if (link->senders[index].address == address) {
+            return &link->senders[index];
         }
     }
-    maker = &link->makers[link->next_maker];
-    link->next_maker = (link->next_maker + 1) % CW_SUMMARY_MAKERS;
-    *maker = (cw_summary_maker_t){.address = address};
-    return maker;
+    sender = &link->senders[link->next_sender];
+    link->next_sender = (link->next_sender + 1) % CW_SUMMARY_SENDERS_MAX;
+    *sender = (cw_summary_sender_t){.address = address};
+    return sender;
 }
 
-bool cw_zone_links_note(cw_zone_links_t *links, const cw_summary_head_t *head, cw_time_us_t now)
+bool cw_zone_links_note(cw_zone_links_t *links, const cw_summary_header_t *head, cw_time_us_t now)
 {
-    cw_zone_link_t     *link = head->relay == 0 ? NULL : find_or_add_link(links, head->zone);
-    cw_summary_maker_t *maker;
+    cw_zone_link_t      *link = head->relay == 0 ? NULL : find_or_add_link(links, head->zone);
+    cw_summary_sender_t *sender;
 
     if (link == NULL) {
         return false;
     }
-    maker = find_maker(link, head->relay);
-    if (maker->incarnation == head->incarnation && head->sequence <= maker->sequence) {
+    sender = find_or_replace_sender(link, head->relay);
+    if (sender->incarnation == head->incarnation && head->sequence <= sender->sequence) {
         return false;
     }
-    maker->incarnation = head->incarnation;
-    maker->sequence = head->sequence;
+    sender->incarnation = head->incarnation;
+    sender->sequence = head->sequence;
     link->received_at = now;
-    if (head->answers) {
-        link->answered_at = now;
+    if (head->acknowledges) {
+        link->acknowledged_at = now;
     }
     return true;
 }
@@ -80,10 +80,10 @@
 {
     const cw_zone_link_t *link = find_link((cw_zone_links_t *)links, zone);
 
-    return link != NULL && is_recent(link->answered_at, now);
+    return link != NULL && is_recent(link->acknowledged_at, now);
 }
 
-bool cw_zone_links_is_summed(const cw_zone_links_t *links, const char *zone, cw_time_us_t now)
+bool cw_zone_links_is_summarized(const cw_zone_links_t *links, const char *zone, cw_time_us_t now)
 {
     const cw_zone_link_t *link = find_link((cw_zone_links_t *)links, zone);
 
--- a/tests/test_pass_on_queue.c
+++ b/tests/test_pass_on_queue.c
@@ -40,7 +40,7 @@
     (void)context;
     (void)pages;
     ck_assert_uint_eq(first, sent_to[address]);
-    ck_assert_uint_le(count, CW_PASS_ON_PAGES);
+    ck_assert_uint_le(count, CW_PASS_ON_PAGES_PER_TURN);
     sent_to[address] += (uint32_t)count;
     sent_bytes += count * PAGE_BYTES;
     return count * PAGE_BYTES;
@@ -146,8 +146,8 @@
     ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 9, 0));
     ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 3, 0)); /* it is being sent them */
     cw_pass_on_queue_send(queue, &allowance, 1);
-    ck_assert_uint_eq(sent_to[3], CW_PASS_ON_PAGES);
-    ck_assert_uint_eq(sent_to[9], CW_PASS_ON_PAGES);
+    ck_assert_uint_eq(sent_to[3], CW_PASS_ON_PAGES_PER_TURN);
+    ck_assert_uint_eq(sent_to[9], CW_PASS_ON_PAGES_PER_TURN);
     cw_pass_on_queue_send(queue, &allowance, 2);
     cw_pass_on_queue_send(queue, &allowance, 3);
     ck_assert_uint_eq(sent_to[3], PAGES);
@@ -187,7 +187,7 @@
     for (address = 1; address <= NODES; address++) {
         begun += sent_to[address] > 0 ? 1 : 0;
     }
-    ck_assert_uint_eq(begun, CW_PASS_ON_AT_ONCE);
+    ck_assert_uint_eq(begun, CW_PASS_ON_INCOMPLETE_MAX);
     cw_pass_on_queue_free(queue);
 }
 END_TEST
@@ -217,7 +217,7 @@
     cw_send_allowance_t allowance = new_allowance(0);
 
     ck_assert(add(queue, 2, 0, 0)); /* its other pages were lost */
-    cw_pass_on_queue_send(queue, &allowance, CW_MS(CW_PASS_ON_WAIT_MS) + 1);
+    cw_pass_on_queue_send(queue, &allowance, CW_MS(CW_PASS_ON_WAIT_MAX_MS) + 1);
     ck_assert_uint_eq(cw_pass_on_queue_waiting(queue), 0);
     cw_pass_on_queue_free(queue);
 }
@@ -228,7 +228,7 @@
     cw_pass_on_queue_t *queue = new_queue();
     uint64_t            number;
 
-    for (number = 2; number < 2 + CW_PASS_ON_UPDATES; number++) {
+    for (number = 2; number < 2 + CW_PASS_ON_UPDATES_MAX; number++) {
         ck_assert(add(queue, number, 0, 0));
     }
     ck_assert(!add(queue, number, 0, 0));
--- a/tests/test_relay_summaries.c
+++ b/tests/test_relay_summaries.c
@@ -224,7 +224,7 @@
     size_t             bytes_of_all;
 
     times.details_at = now; /* names are not what is counted */
-    times.details_place = SIZE_MAX;
+    times.details_index = SIZE_MAX;
     add_nodes_of_zone(node, LARGE_ZONE);
     bytes_of_few = cw_router_pack_summary(&node->router, &times, &links, now);
     add_nodes_of_zone(node, 2 * LARGE_ZONE);
@@ -248,7 +248,7 @@
     add_nodes_of_zone(node, LARGE_ZONE);
     now = cw_router_now(&node->router) + CW_SECONDS(2); /* nothing of them is news any more */
     for (index = 0; index < 5; index++) {
-        bytes += cw_router_pack_summary(&node->router, &times, &links, now + CW_MS(CW_SUMMARY_PAUSE_MS) * index);
+        bytes += cw_router_pack_summary(&node->router, &times, &links, now + CW_MS(CW_SUMMARY_INTERVAL_MS) * index);
     }
     ck_assert_uint_gt(bytes, (size_t)LARGE_ZONE * NAME_MAX_LENGTH);
     node_fixture_free(node);
--- a/tests/test_relays.c
+++ b/tests/test_relays.c
@@ -77,7 +77,7 @@
 
 static bool has_received(const fake_node_t *node, int zone, cw_time_us_t now)
 {
-    return cw_zone_links_is_summed(&node->links, zone_names[zone], now);
+    return cw_zone_links_is_summarized(&node->links, zone_names[zone], now);
 }
 
 /* A summary comes to one node of another zone, which passes it on to the others there. */
@@ -93,11 +93,11 @@
         return;
     }
     for (node = zone * ZONE_NODES; node < (zone + 1) * ZONE_NODES; node++) {
-        cw_summary_head_t head = {.zone = zone_names[zone_of(from)],
-                                  .relay = address_of(from),
-                                  .incarnation = world->nodes[from].incarnation,
-                                  .sequence = sequence,
-                                  .answers = received[zone]};
+        cw_summary_header_t head = {.zone = zone_names[zone_of(from)],
+                                    .relay = address_of(from),
+                                    .incarnation = world->nodes[from].incarnation,
+                                    .sequence = sequence,
+                                    .acknowledges = received[zone]};
 
         if (world->nodes[node].stopped_at == 0) {
             (void)cw_zone_links_note(&world->nodes[node].links, &head, world->now);
@@ -138,7 +138,7 @@
             int          node = (int)(relays[place] - address_of(0));
             fake_node_t *relay = &world->nodes[node];
 
-            if (relay->stopped_at == 0 && world->now - relay->sent_at >= CW_MS(CW_SUMMARY_PAUSE_MS)) {
+            if (relay->stopped_at == 0 && world->now - relay->sent_at >= CW_MS(CW_SUMMARY_INTERVAL_MS)) {
                 relay->sent_at = world->now;
                 send_summary(world, node, place);
             }
@@ -240,7 +240,7 @@
 
     begin_world(&world);
     ck_assert(!are_all_covered(&world));
-    run(&world, 2 * CW_SUMMARY_PAUSE_MS);
+    run(&world, 2 * CW_SUMMARY_INTERVAL_MS);
     ck_assert(are_all_covered(&world));
 }
 END_TEST
@@ -271,11 +271,11 @@
     run(&world, 1000);
     stop_relay(&world, 1, 0);
     stop_relay(&world, 1, 1);
-    run(&world, CW_SUMMARY_TRUST_MS + STEP_MS);
+    run(&world, CW_SUMMARY_RECENT_MS + STEP_MS);
     ck_assert(!is_covered(&world, 1, 0));
     ck_assert(!is_covered(&world, 0, 1));
     ck_assert(is_covered(&world, 0, 2));
-    run(&world, LOST_AFTER_MS - CW_SUMMARY_TRUST_MS + 3 * CW_SUMMARY_PAUSE_MS);
+    run(&world, LOST_AFTER_MS - CW_SUMMARY_RECENT_MS + 3 * CW_SUMMARY_INTERVAL_MS);
     ck_assert(are_all_covered(&world)); /* their successors are at work */
 }
 END_TEST
@@ -288,12 +288,12 @@
     run(&world, 1000);
     world.cut[0][1] = world.cut[1][0] = true;
     world.cut[2][1] = world.cut[1][2] = true;
-    run(&world, CW_SUMMARY_TRUST_MS + STEP_MS);
+    run(&world, CW_SUMMARY_RECENT_MS + STEP_MS);
     ck_assert(!is_covered(&world, 0, 1) && !is_covered(&world, 1, 0));
     ck_assert(!is_covered(&world, 2, 1) && !is_covered(&world, 1, 2));
     ck_assert(is_covered(&world, 0, 2) && is_covered(&world, 2, 0));
     memset(world.cut, 0, sizeof(world.cut));
-    run(&world, 3 * CW_SUMMARY_PAUSE_MS);
+    run(&world, 3 * CW_SUMMARY_INTERVAL_MS);
     ck_assert(are_all_covered(&world));
 }
 END_TEST
@@ -305,7 +305,7 @@
     begin_world(&world);
     run(&world, 1000);
     world.cut[0][1] = true;
-    run(&world, 2 * CW_SUMMARY_TRUST_MS + CW_SUMMARY_PAUSE_MS);
+    run(&world, 2 * CW_SUMMARY_RECENT_MS + CW_SUMMARY_INTERVAL_MS);
     ck_assert(!is_covered(&world, 1, 0));
     ck_assert(!is_covered(&world, 0, 1)); /* zone 1 says that it receives nothing */
 }
@@ -328,15 +328,15 @@
 
 START_TEST(what_a_relay_held_back_tells_nothing_when_newer_has_come)
 {
-    cw_zone_links_t   links = {0};
-    cw_summary_head_t held = {.zone = "z2", .relay = 5, .incarnation = 1, .sequence = 10, .answers = true};
-    cw_summary_head_t newer = {.zone = "z2", .relay = 5, .incarnation = 1, .sequence = 30, .answers = false};
-    cw_summary_head_t restarted = {.zone = "z2", .relay = 5, .incarnation = 2, .sequence = 1, .answers = true};
+    cw_zone_links_t     links = {0};
+    cw_summary_header_t held = {.zone = "z2", .relay = 5, .incarnation = 1, .sequence = 10, .acknowledges = true};
+    cw_summary_header_t newer = {.zone = "z2", .relay = 5, .incarnation = 1, .sequence = 30, .acknowledges = false};
+    cw_summary_header_t restarted = {.zone = "z2", .relay = 5, .incarnation = 2, .sequence = 1, .acknowledges = true};
 
     ck_assert(cw_zone_links_note(&links, &newer, CW_SECONDS(10)));
     ck_assert(!cw_zone_links_note(&links, &held, CW_SECONDS(11)));
     ck_assert(!cw_zone_links_is_covered(&links, "z2", CW_SECONDS(11)));
-    ck_assert(!cw_zone_links_is_summed(&links, "z2", CW_SECONDS(11)));
+    ck_assert(!cw_zone_links_is_summarized(&links, "z2", CW_SECONDS(11)));
     ck_assert(!cw_zone_links_note(&links, &newer, CW_SECONDS(11))); /* by the other relay of this zone */
     ck_assert(cw_zone_links_note(&links, &restarted, CW_SECONDS(12)));
     ck_assert(cw_zone_links_is_covered(&links, "z2", CW_SECONDS(12)));
@@ -345,10 +345,10 @@
 
 START_TEST(more_zones_than_there_is_room_for_are_not_covered)
 {
-    cw_zone_links_t   links = {0};
-    char              zone[16];
-    cw_summary_head_t head = {.zone = zone, .relay = 5, .incarnation = 1, .sequence = 1, .answers = true};
-    int               index;
+    cw_zone_links_t     links = {0};
+    char                zone[16];
+    cw_summary_header_t head = {.zone = zone, .relay = 5, .incarnation = 1, .sequence = 1, .acknowledges = true};
+    int                 index;
 
     for (index = 0; index < CW_ZONES_MAX; index++) {
         snprintf(zone, sizeof(zone), "z%d", index);
--- a/tests/test_signal_notices.c
+++ b/tests/test_signal_notices.c
@@ -10,7 +10,7 @@
 /* Notices that go out until then, looked for every 10 ms. */
 static size_t sent_until(cw_signal_notices_t *notices, cw_time_us_t from, cw_time_us_t until)
 {
-    uint32_t     servers[CW_SIGNAL_NOTICES_MOST];
+    uint32_t     servers[CW_SIGNAL_NOTICES_MAX];
     size_t       sent = 0;
     cw_time_us_t now;
 
@@ -23,7 +23,7 @@
 START_TEST(a_limit_is_told_at_once_and_repeated)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
-    uint32_t             servers[CW_SIGNAL_NOTICES_MOST];
+    uint32_t             servers[CW_SIGNAL_NOTICES_MAX];
 
     cw_signal_notices_note(notices, 7, CW_LIMIT_BEGUN, start);
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), 1);
@@ -97,15 +97,15 @@
 START_TEST(many_limits_at_once_are_told_a_datagram_at_a_time)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
-    uint32_t             servers[CW_SIGNAL_NOTICES_MOST];
+    uint32_t             servers[CW_SIGNAL_NOTICES_MAX];
     uint32_t             server;
 
-    for (server = 1; server <= 2 * CW_SIGNAL_NOTICES_MOST; server++) {
+    for (server = 1; server <= 2 * CW_SIGNAL_NOTICES_MAX; server++) {
         cw_signal_notices_note(notices, server, CW_LIMIT_BEGUN, start);
     }
-    ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), CW_SIGNAL_NOTICES_MOST);
+    ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), CW_SIGNAL_NOTICES_MAX);
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), 0); /* a datagram at a time */
-    ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start + CW_MS(50)), CW_SIGNAL_NOTICES_MOST);
+    ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start + CW_MS(50)), CW_SIGNAL_NOTICES_MAX);
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start + CW_MS(100)), 0);
     cw_signal_notices_free(notices);
 }
