--- a/tests/process/calm.sh
+++ b/tests/process/calm.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# A calm run: everything is answered, whole, by the owner, and nothing twice.
+# A run without faults: every request is answered completely, by the owner of its key, and none is executed twice.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 3
 cluster_callers calm --rate 100 --count 600
--- a/tests/process/peers_cut.sh
+++ b/tests/process/peers_cut.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Datagrams between two nodes stop, one way, then both ways: all keys are served by each node meanwhile, the leader stays,
-# and no key has two owners. The cut is between the leader and another node, the worst pair.
+# Datagrams between two nodes are dropped, first in one direction, then in both. Meanwhile each node serves all keys, the
+# leader stays, and no key has two owners. The cut is between the leader and another node, which is the worst pair.
 LINKED=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
 peers_of() { curl -sf "http://$NET.$1:8081/metrics" | awk '/^cedarwinch_peers / {print $2}'; }
 knows_peers() { [ "$(peers_of "$1")" = "$2" ]; }
-served_by() { # NODE NAME: some hundred requests, by that node alone
+served_by() { # NODE NAME: sends 400 requests to that node only
     local NODES="$NET.$1:8080"
     cluster_callers "$2" --rate 80 --count 400
 }
--- a/tests/process/readers_and_relays_killed.sh
+++ b/tests/process/readers_and_relays_killed.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# All store readers and relays of a region are killed at once, the leader outside: a change of the configuration and a
-# server that comes reach its other nodes within their bounds, and all keys are served there.
+# All store readers and relays of a region are killed at once; the leader is in another region. A change of the
+# configuration and a new server become known to the other nodes of the region within bounded times, and all keys are
+# served there.
 LINKED=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
-NODES_STARTED=21 # relays are there from 16 nodes on, also when three or four of these are killed
+NODES_STARTED=21 # relays work from 16 nodes on, so that there are enough also after three or four were killed
 NODE_SETTINGS="zone_regions: [z1=east, z2=west, z3=south]"
 group_of() { case $1 in z1) echo east ;; z2) echo west ;; *) echo south ;; esac; }
 region_of_node() { group_of "z$((($1 - 1) % 3 + 1))"; }
@@ -14,19 +15,19 @@
 }
 is_relay() { curl -sf "http://$NET.$1:8081/metrics" | grep -q 'peer_datagrams_total{kind="zone_summary",distance="remote"}'; }
 is_reader() { [ "$(metric_of "$1" cedarwinch_store_reader)" = 1 ]; }
-both_kinds() { # REGION: its readers and relays, but no leader
+readers_and_relays() { # REGION: its store readers and relays; the leader is in another region
     local n
     for n in $(nodes_of_region "$1"); do
         if is_relay "$n" || is_reader "$n"; then echo "$n"; fi
     done
 }
-has_both_kinds() {
+has_readers_and_relays() {
     local n relays=0 readers=0
     for n in $(nodes_of_region "$1"); do
         ! is_relay "$n" || relays=$((relays + 1))
         ! is_reader "$n" || readers=$((readers + 1))
     done
-    [ "$relays" -ge 2 ] && [ "$readers" -ge 1 ] # one reads in a zone of fewer than 16 nodes
+    [ "$relays" -ge 2 ] && [ "$readers" -ge 1 ] # a zone of fewer than 16 nodes has one store reader
 }
 region_has() { # REGION METRIC VALUE
     local n
@@ -46,8 +47,8 @@
 leading=$(leader)
 lost=west
 [ "$(region_of_node "$leading")" != west ] || lost=south
-until_true has_both_kinds "$lost"
-killed=$(both_kinds "$lost")
+until_true has_readers_and_relays "$lost"
+killed=$(readers_and_relays "$lost")
 check "there are nodes to kill" at_least "$(wc -w <<<"$killed")" 2
 for n in $killed; do kill -KILL "${NODE_PIDS[$n]}"; done
 for n in $killed; do
@@ -61,8 +62,8 @@
 check "a server that comes is known there" within 8 region_has "$lost" cedarwinch_servers 10
 until_true region_serves_all_keys "$lost"
 check "the leader is the same" [ "$(leader)" = "$leading" ]
-until_true has_both_kinds "$lost"
-check "others there read and relay" has_both_kinds "$lost"
+until_true has_readers_and_relays "$lost"
+check "others there read and relay" has_readers_and_relays "$lost"
 region_callers "$lost" after --rate 60 --count 200
 check "all answered after it" at_least "$(sum_of after s200)" 195
 check "records agree" cluster_check
--- a/tests/process/region_back.sh
+++ b/tests/process/region_back.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# A region that was cut off comes back with old state: meanwhile the configuration has changed twice, a server has gone and
-# another has come, and keys have moved. Its nodes take the newer configuration, list and tables, and bring nothing back.
+# A region that was cut off is connected again and has old state: meanwhile the configuration has changed twice, one server
+# has left, another one has joined, and keys have moved. The region's nodes take the newer configuration, list and tables,
+# and none of their old state spreads to other nodes.
 LINKED=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
 versions_of_region() { local n; for n in $(nodes_of_region "$1"); do curl -sf "http://$NET.$n:8081/metrics" | awk '/^cedarwinch_configuration_version/ {print $2}'; done | sort -u | xargs; }
@@ -11,7 +12,7 @@
 }
 region_lists() { local n; for n in $(nodes_of_region "$1"); do lists "$n" "$2" || return 1; done; }
 region_lists_no() { local n; for n in $(nodes_of_region "$1"); do ! lists "$n" "$2" || return 1; done; }
-went_back() { # nodes whose configuration became an older one
+older_configurations_accepted() { # number of times that a node accepted a configuration that is not newer than its own
     local n count=0
     for n in "${!NODE_PIDS[@]}"; do
         count=$((count + $(jq -rs '[.[]|select(.event=="configuration accepted").version] as $v|[range(1;$v|length)|select($v[.]<=$v[.-1])]|length' "$WORK/node$n.log")))
@@ -22,7 +23,8 @@
 regions_cluster
 kept=$(region_of_node "$(leader)")
 lost=$(other_region "$kept")
-# A server of the region that is kept goes, another comes: those that the lost one knows, and does not.
+# In the region that stays connected, one server leaves and another one joins. The region that is cut off knows only the
+# first of them.
 if [ "$kept" = east ]; then gone=m1 zone=z1; else gone=m3 zone=z3; fi
 until_true one_view
 cut_off_region "$lost"
@@ -48,6 +50,6 @@
 check "the leader's term is the same" [ "$(curl -sf "http://$NET.$(leader):8081/status" | jq .leadership.term)" = "$before" ]
 cluster_callers after --rate 100 --count 300
 check "all answered after it" at_least "$(sum_of after s200)" 295
-check "no node took an older configuration" at_most "$(went_back)" 0
+check "no node took an older configuration" at_most "$(older_configurations_accepted)" 0
 check "records agree" cluster_check
 finish_test
--- a/tests/process/region_cut.sh
+++ b/tests/process/region_cut.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# A region is cut off from the other one and from the store, the leader outside: it stays, and outside all keys are served
-# again, also by nodes that asked owners inside before. Inside, keys whose tables have run out are refused, and requests that
-# any server may run go to servers of that region. Healed, all nodes have one view.
+# A region is cut off from the other one and from the store; the leader is outside of it. The leader stays. Outside, all keys
+# are served again, also by nodes that sent requests to owners inside before. Inside, requests for keys are refused once the
+# tables have expired, and requests that any server may run go to servers of that region. After healing, all nodes have one
+# view.
 LINKED=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
 regions_cluster
--- a/tests/process/relays.sh
+++ b/tests/process/relays.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Eighteen nodes in three zones: relays tell the zones of one another's nodes, so that reports stay inside. While a relay
-# stands still, and after one was killed, no node loses another one that runs; keys are served, and have one owner.
+# Eighteen nodes in three zones: relays send summaries between the zones, so that most reports stay inside their zone. While
+# a relay is suspended, and after one was killed, no running node counts as lost, keys are served, and each has one owner.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 NODES_STARTED=18
 
 metric_of() { curl -sf -m 1 "http://$NET.$1:8081/metrics" | awk -v m="$2" 'index($0, m) == 1 {sum += $2} END {print sum + 0}'; }
-all_know_each_other() { # HOW MANY OTHERS
+all_know_each_other() { # NUMBER: each node knows this many others
     local n
     for n in "${!NODE_PIDS[@]}"; do
         [ "$(metric_of "$n" "cedarwinch_peers ")" -eq "$1" ] || return 1
@@ -16,7 +16,7 @@
     for n in "${!NODE_PIDS[@]}"; do sum=$((sum + $(metric_of "$n" "$1"))); done
     echo "$sum"
 }
-beyond() { echo $(($(sum_of_metric "cedarwinch_peer_datagrams_total{kind=\"$1\",distance=\"region\"}") + $(sum_of_metric "cedarwinch_peer_datagrams_total{kind=\"$1\",distance=\"remote\"}"))); }
+datagrams_to_other_zones() { echo $(($(sum_of_metric "cedarwinch_peer_datagrams_total{kind=\"$1\",distance=\"region\"}") + $(sum_of_metric "cedarwinch_peer_datagrams_total{kind=\"$1\",distance=\"remote\"}"))); }
 relays() { # nodes that have sent summaries to other zones
     local n
     for n in "${!NODE_PIDS[@]}"; do
@@ -28,10 +28,10 @@
 usual_cluster "$NODES_STARTED"
 until_true all_know_each_other $((NODES_STARTED - 1))
 until_true test "$(relays | wc -l)" -ge 6
-reports=$(beyond report)
+reports=$(datagrams_to_other_zones report)
 near=$(sum_of_metric 'cedarwinch_peer_datagrams_total{kind="report",distance="zone"}')
 cluster_callers calm --rate 100 --count 500
-reports=$(($(beyond report) - reports))
+reports=$(($(datagrams_to_other_zones report) - reports))
 near=$(($(sum_of_metric 'cedarwinch_peer_datagrams_total{kind="report",distance="zone"}') - near))
 check "all answered on a calm day" at_least "$(sum_of calm s200)" 499
 check "reports to other zones, per hundred inside" at_most $((100 * reports / near)) 40
@@ -53,7 +53,7 @@
 unset "NODE_PIDS[$killed]"
 until_true all_know_each_other $((NODES_STARTED - 2))
 check "each other node has missed the one killed, and no other" at_most $(($(lost_lines) - before)) $((NODES_STARTED - 1))
-# Both relays of a zone stand still: the others there still get what changes, from the leader itself.
+# Both relays of a zone are suspended: the other nodes of the zone still get changes, directly from the leader.
 zone_of() { echo $((($1 - 1) % 3)); }
 first=$(relays | awk '$1 > 2' | head -1)
 pair=$(for n in $(relays); do [ "$(zone_of "$n")" = "$(zone_of "$first")" ] && echo "$n"; done)
--- a/tests/process/zone_power_loss.sh
+++ b/tests/process/zone_power_loss.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Eighteen nodes in three zones: all nodes of one zone are killed at once and started again, cut off from the store, so
-# that they get the list from other nodes alone: the leader sends it across zones to some, and these send it to others.
+# Eighteen nodes in three zones: all nodes of one zone are killed at once and started again while the zone is cut off from
+# the store. So they get the list from other nodes only: the leader sends it across zones to some of them, and these send
+# it to the others.
 LINKED=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
 NODES_STARTED=18
 ZONE_NODES=6
 
 metric_of() { curl -sf -m 1 "http://$NET.$1:8081/metrics" | awk -v m="$2" 'index($0, m) == 1 {sum += $2} END {print sum + 0}'; }
-have_list() { # NODES...: at least the servers of the other zones
+have_list() { # NODES...: each knows at least the servers of the other zones
     local n
     for n in "$@"; do [ "$(metric_of "$n" "cedarwinch_servers ")" -ge 6 ] || return 1; done
 }
@@ -46,8 +47,8 @@
 until_true some_from_zone $victims
 check "the list came to nodes of the zone inside it" at_least "$(whole_lists $victims)" 1
 check "the same node leads" test "$(leader)" = "$lead"
-# A list of nine servers is one page, of 80 bytes a server and 100 for the rest at most. It goes to the zone's two relays,
-# and as it starts to another node that is one of them for a moment: to half of its nodes at most.
+# A list of nine servers is one page, with at most 80 bytes a server and 100 bytes beside them. The leader sends it to the
+# zone's two relays and, during the start, to another node that is a relay for a moment: to at most half of its nodes.
 sent=$(($(sent_across "$lead") - before))
 echo "bytes of lists across zones: $sent"
 check "bytes of lists that the leader sent across zones" at_most "$sent" $((ZONE_NODES / 2 * (9 * 80 + 100)))
--- a/tests/test_fleet_scale.c
+++ b/tests/test_fleet_scale.c
@@ -1,10 +1,10 @@
 /**
  * @file test_fleet_scale.c
- * @brief A leader of a thousand nodes and ten thousand servers, in logical time: what it does for each owner of keys is
- *        bounded, and nothing of it grows faster than the fleet.
+ * @brief A leader of a thousand nodes and ten thousand servers, in logical time: its work for each owner of keys is
+ *        bounded, and no part of its work grows faster than the fleet.
  *
- * Patterns of load: all owners of keys are granted their first keys at once; all of them are renewed; plans are made
- * over all of them; the list changes while nearly all of it stays.
+ * Patterns of load: the first grants to all owners of keys at once; the renewals of all owners; plans over all owners;
+ * changes of the list that leave nearly all of it unchanged.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,18 +18,18 @@
 enum {
     OWNERS = 6000,
     SERVERS = 10000,
-    UNDER_WAY_MOST = 512,
-    TICKS_MOST = 400,
+    ORDERS_UNDER_WAY_MAX = 512,
+    TICKS_MAX = 400,
     RENEWAL_S = 20,
-    RENEWALS_A_SECOND_MOST = 2000 * 11 / 10, /* half a core's budget, and a tenth for what is due at both ends */
+    RENEWALS_A_SECOND_MAX = 2000 * 11 / 10, /* the budget of half a core, and a tenth for renewals due at both ends */
     FEW = 1500,
     MANY = 4 * FEW,
     REPEATS = 7
 };
 
-/* Four times the size takes four times as long, and a little more where things are put in order; squares take sixteen.
- */
-static const double growth_most = 9;
+/* Largest accepted growth of time for four times the size. Linear work takes four times as long, and sorting a little
+ * more; quadratic work takes sixteen times as long. */
+static const double growth_max = 9;
 
 static node_fixture_t *new_leader(size_t servers)
 {
@@ -41,7 +41,7 @@
     return node;
 }
 
-static size_t held(const node_fixture_t *node)
+static size_t held_ranges(const node_fixture_t *node)
 {
     const cw_range_list_t *ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
     size_t                 count = 0;
@@ -53,37 +53,37 @@
     return count;
 }
 
-/* Turns until all ranges are held; returns how many. */
-static int settle(node_fixture_t *node, size_t owners)
+/* Runs turns until all ranges are held. Returns their number. */
+static int tick_until_held(node_fixture_t *node, size_t owners)
 {
     int tick = 0;
 
-    while (held(node) < owners) {
-        ck_assert_uint_le(node->order_count, UNDER_WAY_MOST);
+    while (held_ranges(node) < owners) {
+        ck_assert_uint_le(node->order_count, ORDERS_UNDER_WAY_MAX);
         node_fixture_answer_orders(node, CW_ORDER_DONE);
         node_fixture_answer_store(node);
         node_fixture_tick(node, CW_TICK_MS);
-        ck_assert_int_lt(++tick, TICKS_MOST);
+        ck_assert_int_lt(++tick, TICKS_MAX);
     }
     return tick;
 }
 
-START_TEST(first_grants_to_thousands_of_owners_are_bounded_and_few_tables_tell_of_them)
+START_TEST(first_grants_to_thousands_of_owners_are_bounded_and_published_in_few_tables)
 {
     node_fixture_t *node = new_leader(OWNERS);
     uint64_t        tables = node->router.lead_tables;
     int             ticks;
 
     ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, OWNERS);
-    ticks = settle(node, OWNERS);
-    ck_assert_uint_le(node->router.lead_tables - tables, (uint64_t)ticks * UNDER_WAY_MOST / 100);
-    node_fixture_tick(node, 1000); /* the last changes are published as well */
+    ticks = tick_until_held(node, OWNERS);
+    ck_assert_uint_le(node->router.lead_tables - tables, (uint64_t)ticks * ORDERS_UNDER_WAY_MAX / 100);
+    node_fixture_tick(node, 1000); /* the last changes are published, too */
     ck_assert(!node->router.table_publication.is_due);
     node_fixture_free(node);
 }
 END_TEST
 
-/* Renewals of a while, a second; no hold may run out meanwhile. */
+/* Returns the number of renewals a second over RENEWAL_S seconds. check_holds shows afterwards that no hold ran out. */
 static double renewals_a_second(node_fixture_t *node)
 {
     uint64_t before = 0;
@@ -95,7 +95,7 @@
         sent += node->order_count;
         node_fixture_answer_orders(node, CW_ORDER_DONE);
         node_fixture_answer_store(node);
-        if (tick * CW_TICK_MS % 1000 == 0) { /* the list stays fresh: owners that are not listed are not renewed */
+        if (tick * CW_TICK_MS % 1000 == 0) { /* keeps the list fresh: owners that are not listed are not renewed */
             cw_server_view_confirm(&node->router.server_view, node->router.server_view.revision,
                                    cw_router_now(&node->router));
         }
@@ -116,13 +116,13 @@
     }
 }
 
-START_TEST(renewals_stay_in_their_budget_at_this_size_and_at_twice_of_it)
+START_TEST(renewals_stay_within_their_budget_at_this_size_and_at_twice_this_size)
 {
     size_t          owners = _i == 0 ? OWNERS : 2 * OWNERS;
     node_fixture_t *node = new_leader(owners);
 
-    (void)settle(node, owners);
-    ck_assert_double_le(renewals_a_second(node), RENEWALS_A_SECOND_MOST);
+    (void)tick_until_held(node, owners);
+    ck_assert_double_le(renewals_a_second(node), RENEWALS_A_SECOND_MAX);
     check_holds(node);
     node_fixture_free(node);
 }
@@ -138,7 +138,7 @@
     return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
-/* The shortest of several plans. */
+/* CPU time in seconds of a turn with a plan: the shortest of several. */
 static double time_of_plan(size_t owners)
 {
     node_fixture_t *node = new_leader(owners);
@@ -147,7 +147,7 @@
     size_t          index;
     int             repeat;
 
-    (void)settle(node, owners);
+    (void)tick_until_held(node, owners);
     for (repeat = 0; repeat < REPEATS; repeat++) {
         double begun;
 
@@ -165,12 +165,12 @@
     return best;
 }
 
-START_TEST(a_turn_with_a_plan_grows_with_the_owners_not_with_their_square)
+START_TEST(the_time_of_a_plan_grows_with_the_owners_not_with_their_square)
 {
     double few = time_of_plan(FEW);
     double many = time_of_plan(MANY);
 
-    ck_assert_double_lt(many / few, growth_most);
+    ck_assert_double_lt(many / few, growth_max);
 }
 END_TEST
 
@@ -194,7 +194,8 @@
     return list;
 }
 
-/* A list of which a few hundredths change, taken as one that was read. */
+/* CPU time in seconds for taking a list, as if read from the store, of which one entry in fifty has changed: the
+ * shortest of several. */
 static double time_of_change(size_t servers)
 {
     static const cw_absence_settings_t settings = {.outage = CW_MS(1500), .grace = CW_MS(1700)};
@@ -227,14 +228,14 @@
     return best;
 }
 
-START_TEST(a_change_of_the_list_grows_with_the_servers_not_with_their_square)
+START_TEST(the_time_of_a_list_change_grows_with_the_servers_not_with_their_square)
 {
-    ck_assert_double_lt(time_of_change(SERVERS) / time_of_change(SERVERS / 4), growth_most);
+    ck_assert_double_lt(time_of_change(SERVERS) / time_of_change(SERVERS / 4), growth_max);
 }
 END_TEST
 
-/* What is done for each request is done for the servers of its service. */
-START_TEST(servers_of_a_service_are_known_apart_from_the_others)
+/* The work for each request loops over the servers of the request's service only. */
+START_TEST(servers_of_one_service_are_listed_separately)
 {
     enum { SERVICES = 40, EACH = SERVERS / SERVICES };
     node_fixture_t    *node = node_fixture_create();
@@ -283,11 +284,11 @@
     TCase *cases = tcase_create("fleet_scale");
 
     tcase_set_timeout(cases, 120);
-    tcase_add_test(cases, first_grants_to_thousands_of_owners_are_bounded_and_few_tables_tell_of_them);
-    tcase_add_loop_test(cases, renewals_stay_in_their_budget_at_this_size_and_at_twice_of_it, 0, 2);
-    tcase_add_test(cases, a_turn_with_a_plan_grows_with_the_owners_not_with_their_square);
-    tcase_add_test(cases, servers_of_a_service_are_known_apart_from_the_others);
-    tcase_add_test(cases, a_change_of_the_list_grows_with_the_servers_not_with_their_square);
+    tcase_add_test(cases, first_grants_to_thousands_of_owners_are_bounded_and_published_in_few_tables);
+    tcase_add_loop_test(cases, renewals_stay_within_their_budget_at_this_size_and_at_twice_this_size, 0, 2);
+    tcase_add_test(cases, the_time_of_a_plan_grows_with_the_owners_not_with_their_square);
+    tcase_add_test(cases, servers_of_one_service_are_listed_separately);
+    tcase_add_test(cases, the_time_of_a_list_change_grows_with_the_servers_not_with_their_square);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_fleet_size.c
+++ b/tests/test_fleet_size.c
@@ -1,9 +1,9 @@
 /**
  * @file test_fleet_size.c
- * @brief When a process that has just started knows how many nodes there are.
+ * @brief Tests when a process that has just started knows the number of nodes.
  *
- * The load behind it: all of 81 nodes lose power and come back within a second, while callers go on asking. Whatever
- * they refuse until they know one another was within its limit.
+ * Guards against needless refusals after a power loss: all of 81 nodes lose power and come back within a second, while
+ * callers go on sending requests. Every request that the nodes refuse until they know one another was within its limit.
  */
 #include <check.h>
 #include <stdlib.h>
@@ -21,7 +21,7 @@
     return fleet;
 }
 
-START_TEST(where_nobody_states_a_number_it_takes_the_bounded_time)
+START_TEST(without_a_stated_number_the_fleet_is_reached_after_a_bounded_time)
 {
     cw_fleet_size_t fleet = started();
 
@@ -31,7 +31,7 @@
 }
 END_TEST
 
-START_TEST(nearly_all_of_the_nodes_stated_are_enough)
+START_TEST(the_fleet_is_reached_with_nearly_all_of_the_stated_nodes)
 {
     cw_fleet_size_t fleet = started();
 
@@ -41,7 +41,7 @@
 }
 END_TEST
 
-START_TEST(one_part_of_a_divided_fleet_waits_and_goes_by_the_whole)
+START_TEST(a_part_of_a_divided_fleet_waits_and_uses_the_number_of_the_whole)
 {
     cw_fleet_size_t fleet = started();
 
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-START_TEST(its_own_count_replaces_what_was_stated)
+START_TEST(the_own_count_replaces_the_stated_number)
 {
     cw_fleet_size_t fleet = started();
 
@@ -63,7 +63,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_that_does_not_know_changes_nothing)
+START_TEST(a_leader_without_a_number_changes_nothing)
 {
     cw_fleet_size_t fleet = started();
 
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_that_is_new_itself_states_what_its_predecessor_did_or_nothing)
+START_TEST(a_new_leader_states_the_number_of_its_predecessor_or_none)
 {
     cw_fleet_size_t fleet = started();
 
@@ -84,20 +84,21 @@
 }
 END_TEST
 
-START_TEST(what_a_leader_states_falls_slowly)
+START_TEST(the_number_that_a_leader_states_falls_slowly)
 {
     cw_fleet_size_t fleet = started();
 
     ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 81, CW_SECONDS(120)), 81);
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 1, CW_SECONDS(150)), 81); /* cut off from all others */
+    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 1, CW_SECONDS(150)),
+                      81); /* the leader is cut off from all other nodes */
     ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 1, CW_SECONDS(180)), 40);
     ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 1, CW_SECONDS(239)), 40);
     ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 82, CW_SECONDS(239)), 82);
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 70, CW_SECONDS(300)), 70); /* made smaller by the operator */
+    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 70, CW_SECONDS(300)), 70); /* an operator has removed nodes */
 }
 END_TEST
 
-START_TEST(a_fleet_that_was_made_smaller_is_stated_so_by_its_leader)
+START_TEST(a_smaller_stated_number_replaces_a_larger_one)
 {
     cw_fleet_size_t fleet = started();
 
@@ -108,13 +109,13 @@
 }
 END_TEST
 
-/* ---- the lock keeps it ---- */
+/* ---- the number in the lock ---- */
 
-START_TEST(the_lock_keeps_the_number_for_the_next_leader)
+START_TEST(the_lock_carries_the_number_to_the_next_leader)
 {
     cw_leadership_settings_t settings = {.node = "n1", .incarnation = 7, .hold = CW_SECONDS(3)};
     cw_leadership_t          leadership;
-    cw_lock_t                back = {.nodes = 0};
+    cw_lock_t                parsed = {.nodes = 0};
     json_t                  *value;
 
     cw_leadership_init(&leadership, &settings, CW_SECONDS(100));
@@ -122,28 +123,28 @@
     leadership.absent = true;
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_SECONDS(100)), CW_LEADERSHIP_CREATE);
     value = cw_lock_to_json(&leadership.write);
-    ck_assert(cw_lock_from_json(&back, value));
-    ck_assert_uint_eq(back.nodes, 81);
+    ck_assert(cw_lock_from_json(&parsed, value));
+    ck_assert_uint_eq(parsed.nodes, 81);
     json_decref(value);
 }
 END_TEST
 
-START_TEST(a_lock_without_the_number_or_with_a_wrong_one_is_still_a_lock)
+START_TEST(a_lock_with_a_missing_or_invalid_number_is_accepted)
 {
     cw_lock_t lock = {.node = "n1", .address = "127.0.0.1", .term = 3, .nodes = 81};
-    cw_lock_t back = {.nodes = 5};
+    cw_lock_t parsed = {.nodes = 5};
     json_t   *value = cw_lock_to_json(&lock);
 
     json_object_del(value, "nodes");
-    ck_assert(cw_lock_from_json(&back, value));
-    ck_assert_uint_eq(back.nodes, 0);
+    ck_assert(cw_lock_from_json(&parsed, value));
+    ck_assert_uint_eq(parsed.nodes, 0);
     json_object_set_new(value, "nodes", json_integer(-4));
-    ck_assert(cw_lock_from_json(&back, value));
-    ck_assert_uint_eq(back.nodes, 0);
+    ck_assert(cw_lock_from_json(&parsed, value));
+    ck_assert_uint_eq(parsed.nodes, 0);
     json_object_set_new(value, "nodes", json_string("many"));
-    ck_assert(cw_lock_from_json(&back, value));
-    ck_assert_uint_eq(back.nodes, 0);
-    ck_assert_uint_eq(back.term, 3);
+    ck_assert(cw_lock_from_json(&parsed, value));
+    ck_assert_uint_eq(parsed.nodes, 0);
+    ck_assert_uint_eq(parsed.term, 3);
     json_decref(value);
 }
 END_TEST
@@ -155,16 +156,16 @@
     SRunner *runner;
     int      failed;
 
-    tcase_add_test(cases, where_nobody_states_a_number_it_takes_the_bounded_time);
-    tcase_add_test(cases, nearly_all_of_the_nodes_stated_are_enough);
-    tcase_add_test(cases, one_part_of_a_divided_fleet_waits_and_goes_by_the_whole);
-    tcase_add_test(cases, its_own_count_replaces_what_was_stated);
-    tcase_add_test(cases, a_leader_that_does_not_know_changes_nothing);
-    tcase_add_test(cases, a_leader_that_is_new_itself_states_what_its_predecessor_did_or_nothing);
-    tcase_add_test(cases, what_a_leader_states_falls_slowly);
-    tcase_add_test(cases, a_fleet_that_was_made_smaller_is_stated_so_by_its_leader);
-    tcase_add_test(cases, the_lock_keeps_the_number_for_the_next_leader);
-    tcase_add_test(cases, a_lock_without_the_number_or_with_a_wrong_one_is_still_a_lock);
+    tcase_add_test(cases, without_a_stated_number_the_fleet_is_reached_after_a_bounded_time);
+    tcase_add_test(cases, the_fleet_is_reached_with_nearly_all_of_the_stated_nodes);
+    tcase_add_test(cases, a_part_of_a_divided_fleet_waits_and_uses_the_number_of_the_whole);
+    tcase_add_test(cases, the_own_count_replaces_the_stated_number);
+    tcase_add_test(cases, a_leader_without_a_number_changes_nothing);
+    tcase_add_test(cases, a_new_leader_states_the_number_of_its_predecessor_or_none);
+    tcase_add_test(cases, the_number_that_a_leader_states_falls_slowly);
+    tcase_add_test(cases, a_smaller_stated_number_replaces_a_larger_one);
+    tcase_add_test(cases, the_lock_carries_the_number_to_the_next_leader);
+    tcase_add_test(cases, a_lock_with_a_missing_or_invalid_number_is_accepted);
     suite_add_tcase(suite, cases);
     runner = srunner_create(suite);
     srunner_run_all(runner, CK_NORMAL);
--- a/tests/test_pass_on.c
+++ b/tests/test_pass_on.c
@@ -1,6 +1,6 @@
 /**
  * @file test_pass_on.c
- * @brief What a relay sends to nodes of its zone: changes as they came, whole lists where it is asked, never tables.
+ * @brief What a relay sends to nodes of its zone: changes unchanged, whole lists on request, whole tables never.
  */
 #include <arpa/inet.h>
 
@@ -14,7 +14,8 @@
     return cw_peer_link_traffic(node->router.link)->datagrams[kind][CW_DISTANCE_ZONE];
 }
 
-/* It has read the list and a record of assignments in the store itself: no number of either. */
+/* Adds a node that has read the list and a record of assignments in the store itself, so that it has no number of
+ * either. */
 static cw_peer_t *add_reader(node_fixture_t *node)
 {
     cw_peer_t *peer;
@@ -38,7 +39,7 @@
     node->router.view_tables = TABLES_NUMBER;
 }
 
-/* The leader has the same list under the same number. */
+/* Receives a heartbeat: the leader has this node's list under the same number. */
 static void receive_heartbeat(node_fixture_t *node)
 {
     Cwp__LeaderHeartbeat heartbeat = CWP__LEADER_HEARTBEAT__INIT;
@@ -61,7 +62,7 @@
     node_fixture_receive(node, "10.0.0.10", &datagram);
 }
 
-START_TEST(whole_lists_are_sent_when_asked_for_and_whole_tables_never)
+START_TEST(whole_lists_are_sent_on_request_and_whole_tables_never)
 {
     node_fixture_t *node = node_fixture_create();
     int             step;
@@ -87,7 +88,7 @@
 }
 END_TEST
 
-/* A page of changes that the leader sends this relay. */
+/* Receives a page of changes that the leader sends to this relay. Returns the length of the page as it is passed on. */
 static size_t receive_page_to_pass_on(node_fixture_t *node)
 {
     Cwp__ServersPage page = CWP__SERVERS_PAGE__INIT;
@@ -108,11 +109,11 @@
     datagram.servers = &page;
     page.pass_on = true;
     node_fixture_receive(node, "10.0.2.1", &datagram);
-    page.pass_on = false; /* as it goes on */
+    page.pass_on = false; /* as in the page that is passed on */
     return cwp__datagram__get_packed_size(&datagram);
 }
 
-START_TEST(what_is_passed_on_is_taken_from_the_allowance)
+START_TEST(passed_on_pages_are_taken_from_the_allowance)
 {
     const double    before = 10000;
     node_fixture_t *node = node_fixture_create();
@@ -133,8 +134,8 @@
     Suite *suite = suite_create("pass on");
     TCase *cases = tcase_create("pass on");
 
-    tcase_add_test(cases, whole_lists_are_sent_when_asked_for_and_whole_tables_never);
-    tcase_add_test(cases, what_is_passed_on_is_taken_from_the_allowance);
+    tcase_add_test(cases, whole_lists_are_sent_on_request_and_whole_tables_never);
+    tcase_add_test(cases, passed_on_pages_are_taken_from_the_allowance);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_pass_on_queue.c
+++ b/tests/test_pass_on_queue.c
@@ -1,6 +1,6 @@
 /**
  * @file test_pass_on_queue.c
- * @brief Changes that a relay passes on: whole ones only, within an allowance, to those that lack them.
+ * @brief Updates that a relay passes on: only complete ones, within an allowance, to nodes that lack them.
  *
  * Pattern of load: a change of many pages, and a zone of hundreds of nodes.
  */
@@ -12,9 +12,9 @@
 
 enum { NODES = 200, PAGE_BYTES = 5000, PAGES = 10, BYTES_PER_S = 1000000 };
 
-static uint32_t sent_to[NODES + 1]; /* by address */
+static uint32_t pages_sent[NODES + 1]; /* number of pages sent, by address */
 static uint64_t sent_bytes;
-static bool     has_it[NODES + 1];
+static bool     has_update[NODES + 1];
 
 static size_t list_nodes(void *context, uint32_t **addresses)
 {
@@ -32,26 +32,26 @@
 {
     (void)context;
     (void)update;
-    return !has_it[address];
+    return !has_update[address];
 }
 
-static size_t send_to(void *context, uint32_t address, const cw_datagram_batch_t *pages, size_t first, size_t count)
+static size_t send_pages(void *context, uint32_t address, const cw_datagram_batch_t *pages, size_t first, size_t count)
 {
     (void)context;
     (void)pages;
-    ck_assert_uint_eq(first, sent_to[address]);
+    ck_assert_uint_eq(first, pages_sent[address]);
     ck_assert_uint_le(count, CW_PASS_ON_PAGES_PER_TURN);
-    sent_to[address] += (uint32_t)count;
+    pages_sent[address] += (uint32_t)count;
     sent_bytes += count * PAGE_BYTES;
     return count * PAGE_BYTES;
 }
 
 static cw_pass_on_queue_t *new_queue(void)
 {
-    cw_pass_on_owner_t owner = {.list_nodes = list_nodes, .is_wanted = is_wanted, .send = send_to};
+    cw_pass_on_owner_t owner = {.list_nodes = list_nodes, .is_wanted = is_wanted, .send = send_pages};
 
-    memset(sent_to, 0, sizeof(sent_to));
-    memset(has_it, 0, sizeof(has_it));
+    memset(pages_sent, 0, sizeof(pages_sent));
+    memset(has_update, 0, sizeof(has_update));
     sent_bytes = 0;
     return cw_pass_on_queue_create(&owner);
 }
@@ -94,7 +94,7 @@
     return allowance;
 }
 
-START_TEST(nothing_goes_on_before_all_pages_are_here)
+START_TEST(nothing_is_passed_on_before_all_pages_are_received)
 {
     cw_pass_on_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = new_allowance(0);
@@ -108,7 +108,7 @@
 }
 END_TEST
 
-START_TEST(each_node_gets_each_page_once_and_the_allowance_is_kept)
+START_TEST(each_node_gets_each_page_once_within_the_allowance)
 {
     cw_pass_on_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = new_allowance(0);
@@ -118,13 +118,13 @@
     add_all(queue, 2, now);
     while (cw_pass_on_queue_waiting(queue) > 0) {
         cw_pass_on_queue_send(queue, &allowance, now);
-        /* a burst, and one node's pages that began within it */
+        /* at most a burst above the rate, and the pages of one node that were begun within it */
         ck_assert_uint_le(sent_bytes, (uint64_t)(now * BYTES_PER_S / 1000000) + BYTES_PER_S / 5 + PAGES * PAGE_BYTES);
         now += CW_MS(20);
         ck_assert_int_lt(now, CW_SECONDS(15));
     }
     for (address = 1; address <= NODES; address++) {
-        ck_assert_uint_eq(sent_to[address], PAGES);
+        ck_assert_uint_eq(pages_sent[address], PAGES);
     }
     cw_pass_on_queue_free(queue);
 }
@@ -144,14 +144,14 @@
     }
     ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 3, 0));
     ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 9, 0));
-    ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 3, 0)); /* it is being sent them */
+    ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 3, 0)); /* the node is being sent them already */
     cw_pass_on_queue_send(queue, &allowance, 1);
-    ck_assert_uint_eq(sent_to[3], CW_PASS_ON_PAGES_PER_TURN);
-    ck_assert_uint_eq(sent_to[9], CW_PASS_ON_PAGES_PER_TURN);
+    ck_assert_uint_eq(pages_sent[3], CW_PASS_ON_PAGES_PER_TURN);
+    ck_assert_uint_eq(pages_sent[9], CW_PASS_ON_PAGES_PER_TURN);
     cw_pass_on_queue_send(queue, &allowance, 2);
     cw_pass_on_queue_send(queue, &allowance, 3);
-    ck_assert_uint_eq(sent_to[3], PAGES);
-    ck_assert_uint_eq(sent_to[4], 0);
+    ck_assert_uint_eq(pages_sent[3], PAGES);
+    ck_assert_uint_eq(pages_sent[4], 0);
     ck_assert_uint_eq(cw_pass_on_queue_waiting(queue), 0);
     cw_bytes_clear(&pages.bytes);
     free(pages.lengths);
@@ -159,23 +159,24 @@
 }
 END_TEST
 
-START_TEST(who_has_it_by_then_is_left_out)
+START_TEST(a_node_that_has_the_update_meanwhile_is_skipped)
 {
     cw_pass_on_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = new_allowance(0);
 
     add_all(queue, 2, 0);
     cw_pass_on_queue_send(queue, &allowance, CW_MS(20));
-    memset(has_it, 1, sizeof(has_it)); /* from the other relay */
+    memset(has_update, 1, sizeof(has_update)); /* the other relay has sent it */
     cw_pass_on_queue_send(queue, &allowance, CW_SECONDS(1));
     ck_assert_uint_eq(cw_pass_on_queue_waiting(queue), 0);
-    ck_assert_uint_lt(sent_to[NODES], PAGES);
+    ck_assert_uint_lt(pages_sent[NODES], PAGES);
     cw_pass_on_queue_free(queue);
 }
 END_TEST
 
-/* A relay that had begun with all nodes would have to send all pages to all of them. */
-START_TEST(few_nodes_have_a_part_only)
+/* Guards against a relay that begins with all nodes at once: it would have to send all pages to all of them, since none
+ * could get the update completely from the other relay first. */
+START_TEST(few_nodes_have_an_incomplete_update)
 {
     cw_pass_on_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = {.bytes = 1e9, .bytes_per_s = 1e9, .burst = CW_SECONDS(1)};
@@ -185,14 +186,14 @@
     add_all(queue, 2, 0);
     cw_pass_on_queue_send(queue, &allowance, 1);
     for (address = 1; address <= NODES; address++) {
-        begun += sent_to[address] > 0 ? 1 : 0;
+        begun += pages_sent[address] > 0 ? 1 : 0;
     }
     ck_assert_uint_eq(begun, CW_PASS_ON_INCOMPLETE_MAX);
     cw_pass_on_queue_free(queue);
 }
 END_TEST
 
-START_TEST(a_short_update_goes_to_all_nodes_in_one_turn)
+START_TEST(a_short_update_is_sent_to_all_nodes_in_one_turn)
 {
     cw_pass_on_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = {.bytes = 1e9, .bytes_per_s = 1e9, .burst = CW_SECONDS(1)};
@@ -211,7 +212,7 @@
 }
 END_TEST
 
-START_TEST(one_that_waits_for_too_long_is_dropped)
+START_TEST(an_update_that_waits_too_long_is_dropped)
 {
     cw_pass_on_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = new_allowance(0);
@@ -223,7 +224,7 @@
 }
 END_TEST
 
-START_TEST(what_waits_is_bounded)
+START_TEST(the_number_of_waiting_updates_is_bounded)
 {
     cw_pass_on_queue_t *queue = new_queue();
     uint64_t            number;
@@ -242,14 +243,14 @@
     Suite *suite = suite_create("pass_on_queue");
     TCase *cases = tcase_create("pass_on_queue");
 
-    tcase_add_test(cases, nothing_goes_on_before_all_pages_are_here);
-    tcase_add_test(cases, each_node_gets_each_page_once_and_the_allowance_is_kept);
+    tcase_add_test(cases, nothing_is_passed_on_before_all_pages_are_received);
+    tcase_add_test(cases, each_node_gets_each_page_once_within_the_allowance);
     tcase_add_test(cases, a_node_gets_a_few_pages_in_a_turn_however_large_the_allowance_is);
-    tcase_add_test(cases, who_has_it_by_then_is_left_out);
-    tcase_add_test(cases, few_nodes_have_a_part_only);
-    tcase_add_test(cases, a_short_update_goes_to_all_nodes_in_one_turn);
-    tcase_add_test(cases, one_that_waits_for_too_long_is_dropped);
-    tcase_add_test(cases, what_waits_is_bounded);
+    tcase_add_test(cases, a_node_that_has_the_update_meanwhile_is_skipped);
+    tcase_add_test(cases, few_nodes_have_an_incomplete_update);
+    tcase_add_test(cases, a_short_update_is_sent_to_all_nodes_in_one_turn);
+    tcase_add_test(cases, an_update_that_waits_too_long_is_dropped);
+    tcase_add_test(cases, the_number_of_waiting_updates_is_bounded);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_push.c
+++ b/tests/test_push.c
@@ -1,6 +1,6 @@
 /**
  * @file test_push.c
- * @brief What a leader sends to nodes that lack different things in the same turn of its loop.
+ * @brief What a leader sends in one turn of its loop to nodes that lack different parts of the list and the tables.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -10,7 +10,7 @@
 
 enum { TURNS = 20, SERVERS = 200, NODES = 6 };
 
-/* What a node has, of what the leader has. */
+/* Which state a node has, compared with the leader's. */
 typedef enum possession { HAS_NEWEST, LACKS_CHANGE, LACKS_TWO_CHANGES, LACKS_ALL } possession_t;
 
 static cw_peer_t *node_of(node_fixture_t *node, int index)
@@ -41,7 +41,7 @@
     peer->tables_push = (cw_push_state_t){0};
 }
 
-/* A leader whose list has changed twice, the first time by more. */
+/* A leader whose list has changed twice; the first change is larger than the second. */
 static node_fixture_t *leader(void)
 {
     node_fixture_t *node = node_fixture_create();
@@ -81,7 +81,7 @@
     } else {
         cw_router_push_tables(&node->router, cw_router_now(&node->router));
     }
-    for (index = 0; index < TURNS; index++) { /* many pages go in several turns */
+    for (index = 0; index < TURNS; index++) { /* many pages are sent over several turns */
         cw_router_pass_on_tick(&node->router, cw_router_now(&node->router));
     }
     return bytes_of(node, kind) - before;
@@ -123,7 +123,7 @@
 }
 END_TEST
 
-START_TEST(a_later_turn_sends_the_list_as_it_is_by_then)
+START_TEST(a_later_turn_sends_the_list_of_that_time)
 {
     static const possession_t one_whole[NODES] = {LACKS_ALL};
     node_fixture_t           *node = leader();
@@ -158,9 +158,9 @@
     return bytes_of(node, CWP__DATAGRAM__CONTENT_NODES) - before;
 }
 
-/* Guards against a zone that starts anew and gets its list from beyond the zone, node by node, since its nodes do not
- * learn of one another: what the leader had sent to the processes before them counted as sent. */
-START_TEST(a_process_that_starts_anew_is_told_of_the_others_at_once)
+/* Guards against a fault after the restart of a whole zone: what the leader had sent to the former processes counted as
+ * sent to the new ones, so these did not learn of one another, and each of them got the list from outside the zone. */
+START_TEST(a_restarted_process_is_sent_the_other_nodes_at_once)
 {
     node_fixture_t *node = leader();
 
@@ -174,8 +174,9 @@
 }
 END_TEST
 
-/* Guards against a process that waits for as long as its predecessor was to wait for what was sent to that one. */
-START_TEST(a_process_that_starts_anew_is_sent_the_list_at_once)
+/* Guards against a fault after a restart: the new process had to wait until pages sent to its predecessor would have
+ * been sent again. */
+START_TEST(a_restarted_process_is_sent_the_list_at_once)
 {
     static const possession_t one_whole[NODES] = {LACKS_ALL};
     node_fixture_t           *node = leader();
@@ -198,9 +199,9 @@
 
     tcase_add_test(cases, each_node_is_sent_what_it_lacks_of_the_list);
     tcase_add_test(cases, each_node_is_sent_what_it_lacks_of_the_tables);
-    tcase_add_test(cases, a_later_turn_sends_the_list_as_it_is_by_then);
-    tcase_add_test(cases, a_process_that_starts_anew_is_told_of_the_others_at_once);
-    tcase_add_test(cases, a_process_that_starts_anew_is_sent_the_list_at_once);
+    tcase_add_test(cases, a_later_turn_sends_the_list_of_that_time);
+    tcase_add_test(cases, a_restarted_process_is_sent_the_other_nodes_at_once);
+    tcase_add_test(cases, a_restarted_process_is_sent_the_list_at_once);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_relay_summaries.c
+++ b/tests/test_relay_summaries.c
@@ -1,6 +1,6 @@
 /**
  * @file test_relay_summaries.c
- * @brief Summaries of zones at a whole node: held by one that stood still, of an earlier life, of very large zones.
+ * @brief Summaries of zones at a complete node: read after a stall, of a former incarnation, and of very large zones.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -9,11 +9,18 @@
 #include "node_fixture.h"
 #include "router/router_summary.h"
 
-enum { FORMER_LIFE = 5, LATER_LIFE = 6, FREEZE_MS = 1300, LARGE_ZONE = 1000, NAME_MAX_LENGTH = 60, LATE_MS = 11000 };
+enum {
+    FORMER_INCARNATION = 5,
+    LATER_INCARNATION = 6,
+    STALL_MS = 1300,
+    LARGE_ZONE = 1000,
+    NAME_MAX_LENGTH = 60,
+    LATE_MS = 11000
+};
 
-static const char *const relay_address = "10.0.1.1"; /* of zone z2 */
-static const char *const told_address = "10.0.1.5";  /* a node that a summary tells of */
-static const char *const own_address = "10.0.0.10";  /* a node of this node's zone */
+static const char *const relay_address = "10.0.1.1";      /* a relay of zone z2 */
+static const char *const listed_address = "10.0.1.5";     /* a node that the summary lists */
+static const char *const neighbour_address = "10.0.0.10"; /* another node of this node's zone */
 
 static void step(node_fixture_t *node, int64_t passed_ms)
 {
@@ -21,14 +28,14 @@
     cw_router_relay_tick(&node->router, cw_router_now(&node->router));
 }
 
-/* A summary of zone z2 that tells of one node. life: the node's incarnation; 0: no detail of it. */
-static void receive_summary(node_fixture_t *node, uint32_t sequence, uint64_t life)
+/* Receives a summary of zone z2 that lists one node. node_incarnation: 0: the summary has no detail of the node. */
+static void receive_summary(node_fixture_t *node, uint32_t sequence, uint64_t node_incarnation)
 {
     Cwp__ZoneSummary summary = CWP__ZONE_SUMMARY__INIT;
     Cwp__ZoneNode    detail = CWP__ZONE_NODE__INIT;
     Cwp__ZoneNode   *details[] = {&detail};
     Cwp__Datagram    datagram = CWP__DATAGRAM__INIT;
-    uint32_t         nodes[] = {inet_addr(told_address)};
+    uint32_t         nodes[] = {inet_addr(listed_address)};
     uint32_t         ages_ms[] = {100};
     uint32_t         capabilities[] = {50};
 
@@ -43,10 +50,10 @@
     summary.n_ages_ms = 1;
     summary.n_capabilities = 1;
     detail.address = nodes[0];
-    detail.incarnation = life;
+    detail.incarnation = node_incarnation;
     detail.node = "told";
     summary.details = details;
-    summary.n_details = life == 0 ? 0 : 1;
+    summary.n_details = node_incarnation == 0 ? 0 : 1;
     datagram.content_case = CWP__DATAGRAM__CONTENT_ZONE_SUMMARY;
     datagram.zone_summary = &summary;
     node_fixture_receive(node, relay_address, &datagram);
@@ -57,9 +64,9 @@
     return cw_peer_link_traffic(node->router.link)->datagrams[CWP__DATAGRAM__CONTENT_ZONE_SUMMARY][CW_DISTANCE_ZONE];
 }
 
-static const cw_peer_t *told_node(const node_fixture_t *node)
+static const cw_peer_t *listed_node(const node_fixture_t *node)
 {
-    return cw_peer_link_find(node->router.link, inet_addr(told_address));
+    return cw_peer_link_find(node->router.link, inet_addr(listed_address));
 }
 
 static cw_peer_t *add_node_of_zone(node_fixture_t *node, const char *address)
@@ -78,7 +85,7 @@
     node_fixture_t *node = node_fixture_create();
 
     step(node, CW_TICK_MS);
-    add_node_of_zone(node, own_address);
+    add_node_of_zone(node, neighbour_address);
     return node;
 }
 
@@ -88,77 +95,77 @@
 
     step(node, CW_TICK_MS);
     receive_summary(node, 1, 0);
-    ck_assert_ptr_nonnull(told_node(node));
-    ck_assert_int_ne(told_node(node)->last_received_at, 0);
+    ck_assert_ptr_nonnull(listed_node(node));
+    ck_assert_int_ne(listed_node(node)->last_received_at, 0);
     ck_assert_uint_eq(passed_on(node), 1);
     node_fixture_free(node);
 }
 END_TEST
 
-START_TEST(what_came_while_this_node_stood_still_is_neither_taken_nor_passed_on)
+START_TEST(summaries_that_arrived_during_a_stall_are_neither_taken_nor_passed_on)
 {
     node_fixture_t *node = begin();
 
-    node->router.loop.time += FREEZE_MS;
+    node->router.loop.time += STALL_MS;
     receive_summary(node, 1, 0);
     step(node, 0);
-    receive_summary(node, 2, 0); /* the rest of what the socket held */
+    receive_summary(node, 2, 0); /* another one of the backlog in the socket */
     ck_assert_uint_eq(passed_on(node), 0);
-    ck_assert(told_node(node) == NULL || told_node(node)->last_received_at == 0);
+    ck_assert(listed_node(node) == NULL || listed_node(node)->last_received_at == 0);
     node_fixture_free(node);
 }
 END_TEST
 
-START_TEST(a_node_that_runs_again_takes_summaries_again)
+START_TEST(after_a_stall_summaries_are_taken_again)
 {
     node_fixture_t *node = begin();
     int             ticks;
 
-    node->router.loop.time += FREEZE_MS;
+    node->router.loop.time += STALL_MS;
     receive_summary(node, 1, 0);
     for (ticks = 0; ticks < 10; ticks++) {
         step(node, CW_TICK_MS);
     }
-    node_fixture_receive_report(node, own_address, "z1", 2); /* it was lost meanwhile */
+    node_fixture_receive_report(node, neighbour_address, "z1", 2); /* it counted as lost meanwhile */
     receive_summary(node, 2, 0);
     ck_assert_uint_eq(passed_on(node), 1);
-    ck_assert_int_ne(told_node(node)->last_received_at, 0);
+    ck_assert_int_ne(listed_node(node)->last_received_at, 0);
     node_fixture_free(node);
 }
 END_TEST
 
-START_TEST(a_late_detail_of_an_earlier_life_changes_nothing)
+START_TEST(a_delayed_detail_of_a_former_incarnation_changes_nothing)
 {
     node_fixture_t *node = begin();
 
-    receive_summary(node, 1, FORMER_LIFE);
-    receive_summary(node, 2, LATER_LIFE);
-    receive_summary(node, 3, FORMER_LIFE);
-    ck_assert_uint_eq(told_node(node)->incarnation, LATER_LIFE);
+    receive_summary(node, 1, FORMER_INCARNATION);
+    receive_summary(node, 2, LATER_INCARNATION);
+    receive_summary(node, 3, FORMER_INCARNATION);
+    ck_assert_uint_eq(listed_node(node)->incarnation, LATER_INCARNATION);
     node_fixture_free(node);
 }
 END_TEST
 
-START_TEST(a_life_that_is_told_of_for_long_is_the_present_one)
+START_TEST(an_incarnation_that_is_listed_for_long_is_the_present_one)
 {
     node_fixture_t *node = begin();
     uint32_t        sequence = 0;
     int             passed;
 
-    receive_summary(node, ++sequence, FORMER_LIFE);
-    receive_summary(node, ++sequence, LATER_LIFE);
-    receive_summary(node, ++sequence, LATER_LIFE + 1);
-    receive_summary(node, ++sequence, FORMER_LIFE); /* of two lives ago: taken for a new one */
+    receive_summary(node, ++sequence, FORMER_INCARNATION);
+    receive_summary(node, ++sequence, LATER_INCARNATION);
+    receive_summary(node, ++sequence, LATER_INCARNATION + 1);
+    receive_summary(node, ++sequence, FORMER_INCARNATION); /* two incarnations ago: it is taken for a new one */
     for (passed = 0; passed < LATE_MS; passed += CW_TICK_MS) {
         step(node, CW_TICK_MS);
-        receive_summary(node, ++sequence, LATER_LIFE + 1);
+        receive_summary(node, ++sequence, LATER_INCARNATION + 1);
     }
-    ck_assert_uint_eq(told_node(node)->incarnation, LATER_LIFE + 1);
+    ck_assert_uint_eq(listed_node(node)->incarnation, LATER_INCARNATION + 1);
     node_fixture_free(node);
 }
 END_TEST
 
-START_TEST(a_late_report_of_an_earlier_life_changes_nothing)
+START_TEST(a_delayed_report_of_a_former_incarnation_changes_nothing)
 {
     node_fixture_t  *node = begin();
     Cwp__NodeReport  report = CWP__NODE_REPORT__INIT;
@@ -167,18 +174,18 @@
 
     datagram.content_case = CWP__DATAGRAM__CONTENT_REPORT;
     datagram.report = &report;
-    report.incarnation = FORMER_LIFE;
+    report.incarnation = FORMER_INCARNATION;
     report.sequence = 8;
-    node_fixture_receive(node, told_address, &datagram);
-    report.incarnation = LATER_LIFE;
+    node_fixture_receive(node, listed_address, &datagram);
+    report.incarnation = LATER_INCARNATION;
     report.sequence = 1;
-    node_fixture_receive(node, told_address, &datagram);
-    report.incarnation = FORMER_LIFE;
+    node_fixture_receive(node, listed_address, &datagram);
+    report.incarnation = FORMER_INCARNATION;
     report.sequence = 9;
     report.stopping = true;
-    node_fixture_receive(node, told_address, &datagram);
-    peer = told_node(node);
-    ck_assert_uint_eq(peer->incarnation, LATER_LIFE);
+    node_fixture_receive(node, listed_address, &datagram);
+    peer = listed_node(node);
+    ck_assert_uint_eq(peer->incarnation, LATER_INCARNATION);
     ck_assert_uint_eq(peer->sequence, 1);
     ck_assert(!peer->stopping);
     node_fixture_free(node);
@@ -213,17 +220,17 @@
 }
 END_TEST
 
-/* Twice the nodes of a zone of the largest fleet: each takes the same few bytes, none is left out. */
-START_TEST(a_summary_tells_of_each_node_of_a_zone_however_many)
+/* Twice as many nodes as a zone of the largest fleet has: each takes the same few bytes, and none is omitted. */
+START_TEST(a_summary_lists_every_node_of_a_zone_however_many)
 {
     node_fixture_t    *node = begin();
     cw_summary_times_t times = {0};
     cw_zone_links_t    links = {0};
-    cw_time_us_t       now = cw_router_now(&node->router) + CW_SECONDS(2); /* nothing of them is news any more */
+    cw_time_us_t       now = cw_router_now(&node->router) + CW_SECONDS(2); /* no detail counts as changed any more */
     size_t             bytes_of_few;
     size_t             bytes_of_all;
 
-    times.details_at = now; /* names are not what is counted */
+    times.details_at = now; /* no names: they are not counted here */
     times.details_index = SIZE_MAX;
     add_nodes_of_zone(node, LARGE_ZONE);
     bytes_of_few = cw_router_pack_summary(&node->router, &times, &links, now);
@@ -236,7 +243,7 @@
 }
 END_TEST
 
-START_TEST(details_of_all_nodes_of_a_large_zone_come_by_and_by)
+START_TEST(details_of_all_nodes_of_a_large_zone_are_spread_over_summaries)
 {
     node_fixture_t    *node = begin();
     cw_summary_times_t times = {0};
@@ -246,7 +253,7 @@
     int                index;
 
     add_nodes_of_zone(node, LARGE_ZONE);
-    now = cw_router_now(&node->router) + CW_SECONDS(2); /* nothing of them is news any more */
+    now = cw_router_now(&node->router) + CW_SECONDS(2); /* no detail counts as changed any more */
     for (index = 0; index < 5; index++) {
         bytes += cw_router_pack_summary(&node->router, &times, &links, now + CW_MS(CW_SUMMARY_INTERVAL_MS) * index);
     }
@@ -261,14 +268,14 @@
     TCase *cases = tcase_create("relay summaries");
 
     tcase_add_test(cases, a_summary_is_taken_and_passed_on);
-    tcase_add_test(cases, what_came_while_this_node_stood_still_is_neither_taken_nor_passed_on);
-    tcase_add_test(cases, a_node_that_runs_again_takes_summaries_again);
-    tcase_add_test(cases, a_late_detail_of_an_earlier_life_changes_nothing);
-    tcase_add_test(cases, a_life_that_is_told_of_for_long_is_the_present_one);
-    tcase_add_test(cases, a_late_report_of_an_earlier_life_changes_nothing);
+    tcase_add_test(cases, summaries_that_arrived_during_a_stall_are_neither_taken_nor_passed_on);
+    tcase_add_test(cases, after_a_stall_summaries_are_taken_again);
+    tcase_add_test(cases, a_delayed_detail_of_a_former_incarnation_changes_nothing);
+    tcase_add_test(cases, an_incarnation_that_is_listed_for_long_is_the_present_one);
+    tcase_add_test(cases, a_delayed_report_of_a_former_incarnation_changes_nothing);
     tcase_add_test(cases, a_summary_of_a_thousand_nodes_fits_a_datagram);
-    tcase_add_test(cases, a_summary_tells_of_each_node_of_a_zone_however_many);
-    tcase_add_test(cases, details_of_all_nodes_of_a_large_zone_come_by_and_by);
+    tcase_add_test(cases, a_summary_lists_every_node_of_a_zone_however_many);
+    tcase_add_test(cases, details_of_all_nodes_of_a_large_zone_are_spread_over_summaries);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_relays.c
+++ b/tests/test_relays.c
@@ -1,6 +1,6 @@
 /**
  * @file test_relays.c
- * @brief Relays of zones: who is one, and a world of small zones whose summaries are lost, late, cut off or held back.
+ * @brief Relays of zones: their choice, and a simulation of small zones whose summaries are lost, delayed or cut off.
  */
 #include <stdio.h>
 #include <string.h>
@@ -13,20 +13,21 @@
 
 static const char *const zone_names[ZONES] = {"z1", "z2", "z3"};
 
-/** One node: what it has received of other zones. */
+/** One node, with the summaries that it has received from other zones. */
 typedef struct fake_node {
     cw_zone_links_t links;
     uint32_t        sequence;
     uint64_t        incarnation;
     cw_time_us_t    sent_at;
-    cw_time_us_t    stopped_at; /**< killed, or held still; 0: it runs */
+    cw_time_us_t    stopped_at; /**< when it was killed or suspended; 0: it runs */
 } fake_node_t;
 
+/** Simulation of all nodes. */
 typedef struct fake_world {
     fake_node_t  nodes[NODES];
-    bool         cut[ZONES][ZONES]; /**< nothing passes from the first to the second */
-    uint32_t     lose_every;        /**< each so manieth crossing is lost; 0: none */
-    uint32_t     crossings;
+    bool         cut[ZONES][ZONES]; /**< no datagram passes from the first zone to the second */
+    uint32_t     lose_every;        /**< one of so many datagrams between zones is lost; 0: none */
+    uint32_t     sent_between_zones;
     cw_time_us_t now;
 } fake_world_t;
 
@@ -51,8 +52,8 @@
     }
 }
 
-/* Each node takes another one for lost when it has been still for a second. */
-static size_t gather(const fake_world_t *world, cw_broker_candidate_t *candidates)
+/* Nodes that run, or have stopped less than LOST_AFTER_MS ago: the others count as lost. */
+static size_t list_candidates(const fake_world_t *world, cw_broker_candidate_t *candidates)
 {
     size_t count = 0;
     int    node;
@@ -72,7 +73,7 @@
 {
     cw_broker_candidate_t candidates[NODES];
 
-    (void)cw_relay_choose(candidates, gather(world, candidates), zone_names[zone], relays);
+    (void)cw_relay_choose(candidates, list_candidates(world, candidates), zone_names[zone], relays);
 }
 
 static bool has_received(const fake_node_t *node, int zone, cw_time_us_t now)
@@ -80,7 +81,7 @@
     return cw_zone_links_is_summarized(&node->links, zone_names[zone], now);
 }
 
-/* A summary comes to one node of another zone, which passes it on to the others there. */
+/* Delivers a summary to a relay of another zone, which passes it on to the other nodes there. */
 static void deliver(fake_world_t *world, int from, uint32_t sequence, const bool *received, uint32_t partner)
 {
     int zone = zone_of((int)(partner - address_of(0)));
@@ -89,7 +90,7 @@
     if (world->nodes[partner - address_of(0)].stopped_at != 0 || world->cut[zone_of(from)][zone]) {
         return;
     }
-    if (world->lose_every != 0 && ++world->crossings % world->lose_every == 0) {
+    if (world->lose_every != 0 && ++world->sent_between_zones % world->lose_every == 0) {
         return;
     }
     for (node = zone * ZONE_NODES; node < (zone + 1) * ZONE_NODES; node++) {
@@ -153,7 +154,7 @@
     }
 }
 
-/* Does each node that runs in `from` count `to` as covered? */
+/* Whether every running node of zone `from` considers zone `to` covered. */
 static bool is_covered(const fake_world_t *world, int from, int to)
 {
     int node;
@@ -190,7 +191,7 @@
     world->nodes[relays[place] - address_of(0)].stopped_at = world->now;
 }
 
-/* ---- who ---- */
+/* ---- choice of relays ---- */
 
 START_TEST(the_most_capable_nodes_of_a_zone_are_its_relays)
 {
@@ -206,13 +207,13 @@
     ck_assert_uint_eq(cw_relay_choose(candidates, 5, "z2", relays), 1);
     ck_assert_uint_eq(relays[0], 3);
     ck_assert_uint_eq(relays[1], 0);
-    ck_assert_uint_eq(cw_relay_partner(relays, 1, 1), 3); /* one node receives from both */
+    ck_assert_uint_eq(cw_relay_partner(relays, 1, 1), 3); /* a single relay receives from both relays of another zone */
     ck_assert_uint_eq(cw_relay_choose(candidates, 5, "z3", relays), 0);
     ck_assert_uint_eq(cw_relay_partner(relays, 0, 0), 0);
 }
 END_TEST
 
-START_TEST(the_successor_takes_the_place_of_a_relay_that_is_gone)
+START_TEST(the_successor_takes_the_place_of_a_stopped_relay)
 {
     cw_broker_candidate_t candidates[8];
     uint32_t              before[CW_RELAYS];
@@ -232,7 +233,7 @@
 }
 END_TEST
 
-/* ---- a world ---- */
+/* ---- simulation ---- */
 
 START_TEST(all_zones_cover_one_another_soon_after_the_start)
 {
@@ -245,7 +246,7 @@
 }
 END_TEST
 
-START_TEST(one_relay_that_stops_is_not_missed)
+START_TEST(zones_stay_covered_when_one_relay_stops)
 {
     fake_world_t world;
     int          left;
@@ -263,7 +264,7 @@
 }
 END_TEST
 
-START_TEST(while_both_relays_are_gone_nodes_know_that_they_must_report_themselves)
+START_TEST(a_zone_without_relays_is_not_covered_until_their_successors_take_over)
 {
     fake_world_t world;
 
@@ -276,11 +277,11 @@
     ck_assert(!is_covered(&world, 0, 1));
     ck_assert(is_covered(&world, 0, 2));
     run(&world, LOST_AFTER_MS - CW_SUMMARY_RECENT_MS + 3 * CW_SUMMARY_INTERVAL_MS);
-    ck_assert(are_all_covered(&world)); /* their successors are at work */
+    ck_assert(are_all_covered(&world)); /* the successors of both relays have taken over */
 }
 END_TEST
 
-START_TEST(a_zone_that_is_cut_off_is_covered_no_longer_and_again_when_it_is_back)
+START_TEST(a_zone_is_not_covered_while_it_is_cut_off)
 {
     fake_world_t world;
 
@@ -298,7 +299,7 @@
 }
 END_TEST
 
-START_TEST(a_way_that_is_cut_in_one_direction_covers_neither)
+START_TEST(a_cut_in_one_direction_ends_the_cover_in_both)
 {
     fake_world_t world;
 
@@ -307,11 +308,11 @@
     world.cut[0][1] = true;
     run(&world, 2 * CW_SUMMARY_RECENT_MS + CW_SUMMARY_INTERVAL_MS);
     ck_assert(!is_covered(&world, 1, 0));
-    ck_assert(!is_covered(&world, 0, 1)); /* zone 1 says that it receives nothing */
+    ck_assert(!is_covered(&world, 0, 1)); /* zone 1 states that it does not receive zone 0's summaries */
 }
 END_TEST
 
-START_TEST(one_datagram_lost_in_three_leaves_all_covered)
+START_TEST(all_zones_stay_covered_when_one_datagram_in_three_is_lost)
 {
     fake_world_t world;
     int          left;
@@ -326,24 +327,25 @@
 }
 END_TEST
 
-START_TEST(what_a_relay_held_back_tells_nothing_when_newer_has_come)
+START_TEST(a_delayed_summary_is_ignored_after_a_newer_one)
 {
     cw_zone_links_t     links = {0};
-    cw_summary_header_t held = {.zone = "z2", .relay = 5, .incarnation = 1, .sequence = 10, .acknowledges = true};
+    cw_summary_header_t delayed = {.zone = "z2", .relay = 5, .incarnation = 1, .sequence = 10, .acknowledges = true};
     cw_summary_header_t newer = {.zone = "z2", .relay = 5, .incarnation = 1, .sequence = 30, .acknowledges = false};
     cw_summary_header_t restarted = {.zone = "z2", .relay = 5, .incarnation = 2, .sequence = 1, .acknowledges = true};
 
     ck_assert(cw_zone_links_note(&links, &newer, CW_SECONDS(10)));
-    ck_assert(!cw_zone_links_note(&links, &held, CW_SECONDS(11)));
+    ck_assert(!cw_zone_links_note(&links, &delayed, CW_SECONDS(11)));
     ck_assert(!cw_zone_links_is_covered(&links, "z2", CW_SECONDS(11)));
     ck_assert(!cw_zone_links_is_summarized(&links, "z2", CW_SECONDS(11)));
-    ck_assert(!cw_zone_links_note(&links, &newer, CW_SECONDS(11))); /* by the other relay of this zone */
+    ck_assert(!cw_zone_links_note(&links, &newer,
+                                  CW_SECONDS(11))); /* the same summary, passed on by the other relay of this zone */
     ck_assert(cw_zone_links_note(&links, &restarted, CW_SECONDS(12)));
     ck_assert(cw_zone_links_is_covered(&links, "z2", CW_SECONDS(12)));
 }
 END_TEST
 
-START_TEST(more_zones_than_there_is_room_for_are_not_covered)
+START_TEST(zones_beyond_the_capacity_are_not_covered)
 {
     cw_zone_links_t     links = {0};
     char                zone[16];
@@ -366,15 +368,15 @@
     TCase *cases = tcase_create("relays");
 
     tcase_add_test(cases, the_most_capable_nodes_of_a_zone_are_its_relays);
-    tcase_add_test(cases, the_successor_takes_the_place_of_a_relay_that_is_gone);
+    tcase_add_test(cases, the_successor_takes_the_place_of_a_stopped_relay);
     tcase_add_test(cases, all_zones_cover_one_another_soon_after_the_start);
-    tcase_add_test(cases, one_relay_that_stops_is_not_missed);
-    tcase_add_test(cases, while_both_relays_are_gone_nodes_know_that_they_must_report_themselves);
-    tcase_add_test(cases, a_zone_that_is_cut_off_is_covered_no_longer_and_again_when_it_is_back);
-    tcase_add_test(cases, a_way_that_is_cut_in_one_direction_covers_neither);
-    tcase_add_test(cases, one_datagram_lost_in_three_leaves_all_covered);
-    tcase_add_test(cases, what_a_relay_held_back_tells_nothing_when_newer_has_come);
-    tcase_add_test(cases, more_zones_than_there_is_room_for_are_not_covered);
+    tcase_add_test(cases, zones_stay_covered_when_one_relay_stops);
+    tcase_add_test(cases, a_zone_without_relays_is_not_covered_until_their_successors_take_over);
+    tcase_add_test(cases, a_zone_is_not_covered_while_it_is_cut_off);
+    tcase_add_test(cases, a_cut_in_one_direction_ends_the_cover_in_both);
+    tcase_add_test(cases, all_zones_stay_covered_when_one_datagram_in_three_is_lost);
+    tcase_add_test(cases, a_delayed_summary_is_ignored_after_a_newer_one);
+    tcase_add_test(cases, zones_beyond_the_capacity_are_not_covered);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_signal_notices.c
+++ b/tests/test_signal_notices.c
@@ -1,13 +1,13 @@
 /**
  * @file test_signal_notices.c
- * @brief When the other nodes are told of a server: once by whoever sees it first, not by all that do.
+ * @brief When notices about a server are sent: by the first node that sees a limit or a leave, not by every node.
  */
 #include "loop_fixture.h"
 #include "router/signal_notices.h"
 
 static const cw_time_us_t start = CW_SECONDS(100);
 
-/* Notices that go out until then, looked for every 10 ms. */
+/* Number of notices sent from `from` until `until`, looking every 10 ms. */
 static size_t sent_until(cw_signal_notices_t *notices, cw_time_us_t from, cw_time_us_t until)
 {
     uint32_t     servers[CW_SIGNAL_NOTICES_MAX];
@@ -20,7 +20,7 @@
     return sent;
 }
 
-START_TEST(a_limit_is_told_at_once_and_repeated)
+START_TEST(a_limit_is_sent_at_once_and_repeated)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
     uint32_t             servers[CW_SIGNAL_NOTICES_MAX];
@@ -33,7 +33,7 @@
 }
 END_TEST
 
-START_TEST(answers_that_go_on_naming_it_bring_a_notice_every_few_seconds)
+START_TEST(a_limit_that_stays_in_force_is_sent_every_few_seconds)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
     size_t               sent = 0;
@@ -51,7 +51,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_that_changes_with_each_answer_costs_few_notices)
+START_TEST(a_limit_that_changes_with_each_answer_causes_few_notices)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
     size_t               sent = 0;
@@ -64,37 +64,37 @@
         sent += sent_until(notices, now, now + CW_MS(10));
     }
     ck_assert_uint_le(sent, 3 * 20);
-    ck_assert_uint_ge(sent, 19); /* one each half second: a change puts the next notice off no further */
+    ck_assert_uint_ge(sent, 19); /* one every half second: a further change does not delay the notice that is due */
     cw_signal_notices_free(notices);
 }
 END_TEST
 
-START_TEST(what_has_changed_since_it_was_told_is_told_a_little_later)
+START_TEST(a_change_right_after_a_notice_is_sent_a_little_later)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
 
     cw_signal_notices_note_received(notices, 7, start);
-    cw_signal_notices_note(notices, 7, CW_LIMIT_ENDED, start + CW_MS(10)); /* and no answer will say so again */
+    cw_signal_notices_note(notices, 7, CW_LIMIT_ENDED, start + CW_MS(10)); /* no further answer will state it */
     ck_assert_uint_eq(sent_until(notices, start, start + CW_MS(400)), 0);
     ck_assert_uint_eq(sent_until(notices, start + CW_MS(400), start + CW_SECONDS(2)), 3);
     cw_signal_notices_free(notices);
 }
 END_TEST
 
-START_TEST(what_another_node_tells_is_not_told_again)
+START_TEST(a_notice_of_another_node_is_not_repeated)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
 
     cw_signal_notices_note_received(notices, 7, start);
     cw_signal_notices_note(notices, 7, CW_LIMIT_UNCHANGED, start + CW_MS(10));
     ck_assert_uint_eq(sent_until(notices, start, start + CW_SECONDS(1)), 0);
-    cw_signal_notices_note(notices, 7, CW_LIMIT_UNCHANGED, start + CW_SECONDS(3)); /* nobody has for long */
+    cw_signal_notices_note(notices, 7, CW_LIMIT_UNCHANGED, start + CW_SECONDS(3)); /* no node has sent one for long */
     ck_assert_uint_eq(sent_until(notices, start + CW_SECONDS(3), start + CW_SECONDS(4)), 3);
     cw_signal_notices_free(notices);
 }
 END_TEST
 
-START_TEST(many_limits_at_once_are_told_a_datagram_at_a_time)
+START_TEST(many_limits_at_once_are_sent_one_datagram_at_a_time)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
     uint32_t             servers[CW_SIGNAL_NOTICES_MAX];
@@ -104,14 +104,14 @@
         cw_signal_notices_note(notices, server, CW_LIMIT_BEGUN, start);
     }
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), CW_SIGNAL_NOTICES_MAX);
-    ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), 0); /* a datagram at a time */
+    ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), 0); /* one datagram at a time */
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start + CW_MS(50)), CW_SIGNAL_NOTICES_MAX);
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start + CW_MS(100)), 0);
     cw_signal_notices_free(notices);
 }
 END_TEST
 
-START_TEST(a_leave_is_told_until_it_is_listed)
+START_TEST(a_leave_is_sent_until_the_list_shows_it)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
 
@@ -124,7 +124,7 @@
 }
 END_TEST
 
-START_TEST(what_only_others_tell_is_forgotten_too)
+START_TEST(servers_known_only_from_notices_of_others_are_forgotten)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
     uint32_t             server;
@@ -138,7 +138,7 @@
 }
 END_TEST
 
-START_TEST(servers_that_name_none_any_more_are_forgotten)
+START_TEST(servers_that_state_no_limit_any_more_are_forgotten)
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
 
@@ -156,15 +156,15 @@
     Suite *suite = suite_create("signal notices");
     TCase *cases = tcase_create("notices");
 
-    tcase_add_test(cases, a_limit_is_told_at_once_and_repeated);
-    tcase_add_test(cases, answers_that_go_on_naming_it_bring_a_notice_every_few_seconds);
-    tcase_add_test(cases, a_limit_that_changes_with_each_answer_costs_few_notices);
-    tcase_add_test(cases, what_has_changed_since_it_was_told_is_told_a_little_later);
-    tcase_add_test(cases, what_another_node_tells_is_not_told_again);
-    tcase_add_test(cases, many_limits_at_once_are_told_a_datagram_at_a_time);
-    tcase_add_test(cases, a_leave_is_told_until_it_is_listed);
-    tcase_add_test(cases, what_only_others_tell_is_forgotten_too);
-    tcase_add_test(cases, servers_that_name_none_any_more_are_forgotten);
+    tcase_add_test(cases, a_limit_is_sent_at_once_and_repeated);
+    tcase_add_test(cases, a_limit_that_stays_in_force_is_sent_every_few_seconds);
+    tcase_add_test(cases, a_limit_that_changes_with_each_answer_causes_few_notices);
+    tcase_add_test(cases, a_change_right_after_a_notice_is_sent_a_little_later);
+    tcase_add_test(cases, a_notice_of_another_node_is_not_repeated);
+    tcase_add_test(cases, many_limits_at_once_are_sent_one_datagram_at_a_time);
+    tcase_add_test(cases, a_leave_is_sent_until_the_list_shows_it);
+    tcase_add_test(cases, servers_known_only_from_notices_of_others_are_forgotten);
+    tcase_add_test(cases, servers_that_state_no_limit_any_more_are_forgotten);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
