--- a/src/router/pass_on_queue.h
+++ b/src/router/pass_on_queue.h
@@ -9,7 +9,7 @@
  *  - The two relays of a zone begin at opposite ends of its list of nodes, and each sends to a few nodes at once. An
  *    update that a node has acknowledged to one relay, or received from the leader, is not sent by the other relay.
  *  - Updates are sent in the order in which they were received, so that each can be applied on top of the one before.
- * An update that has waited for too long is dropped; the leader then sends it to the nodes directly.
+ *    An update that has waited for too long is dropped; the leader then sends it to the nodes directly.
  *
  * No I/O, no clock.
  */
--- a/src/router/router_push.c
+++ b/src/router/router_push.c
@@ -24,8 +24,8 @@
     ADOPT_MS = 250,       /* time in which a node may find that its copy equals the leader's */
     /* Time for a relay to pass a change on and for the node's acknowledgement: about ten times what both take. */
     RELAY_WAIT_MS = 300,
-    /* Time for a node to get the whole list in its zone: a relay receives it, learns from the next heartbeat that it is
-     * the newest, and is asked for it. WHOLE_WAIT_PER_NODE_MS is added for each node: with more nodes, the number of
+    /* Time for a node to get the whole list in its zone: a relay receives it, learns from the next heartbeat that its
+     * copy is right, and is asked for it. WHOLE_WAIT_PER_NODE_MS is added for each node: with more nodes, the number of
      * nodes that have the list must double more often before all have it. */
     WHOLE_WAIT_MS = 800,
     WHOLE_WAIT_PER_NODE_MS = 5,
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -11,7 +11,8 @@
 
 enum {
     LOADS_MAX = 512,
-    SEND_NAMES_MS = 700, /* after a node is heard for the first time, this node's reports carry its name for so long */
+    SEND_NAMES_MS =
+        700, /* for so long after a node is heard for the first time or again, reports carry this node's name */
 };
 
 static void take_loads(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -340,7 +340,7 @@
 static void take_sums(cw_router_t *router, const Cwp__ZoneSummary *summary, cw_time_us_t now)
 {
     static cw_server_report_t sums[CW_SUMMARY_SERVERS_MAX];
-    uint64_t                  number = cw_zone_sender_ids | cw_short_name(summary->zone);
+    uint64_t                  number = cw_zone_sender_bit | cw_short_name(summary->zone);
     size_t                    index;
 
     for (index = 0; index < summary->n_servers && index < CW_SUMMARY_SERVERS_MAX; index++) {
--- a/src/router/router_summary.c
+++ b/src/router/router_summary.c
@@ -171,7 +171,7 @@
 static bool takes_node(void *context, uint64_t node)
 {
     cw_router_t     *router = context;
-    const cw_peer_t *peer = node >= cw_zone_sender_ids ? NULL : cw_peer_link_find(router->link, (uint32_t)node);
+    const cw_peer_t *peer = node >= cw_zone_sender_bit ? NULL : cw_peer_link_find(router->link, (uint32_t)node);
 
     return peer != NULL && is_in_zone(peer);
 }
--- a/src/router/router_summary.h
+++ b/src/router/router_summary.h
@@ -19,9 +19,9 @@
     size_t       details_index; /**< index in the list of known nodes: earlier ones have been sent in this round */
 } cw_summary_times_t;
 
-/** Added to the hash of a zone's name to make the sender id under which the zone's sums are kept. It keeps these ids
- * apart from those of nodes, which are IPv4 addresses of 32 bits. */
-static const uint64_t cw_zone_sender_ids = (uint64_t)1 << 32;
+/** Bit that is set in the sender id under which a zone's sums are kept; the lower bits are a hash of the zone's name.
+ * It distinguishes these ids from those of nodes, which are IPv4 addresses of 32 bits. */
+static const uint64_t cw_zone_sender_bit = (uint64_t)1 << 32;
 
 /** Packs a summary of this node's zone, for cw_peer_link_send_packed. links: the zones whose summaries this node
  * receives. Returns the length in bytes. */
--- a/src/router/signal_notices.h
+++ b/src/router/signal_notices.h
@@ -2,16 +2,16 @@
  * @file signal_notices.h
  * @brief Schedules notices to other nodes about servers that state a rate limit or announce that they leave.
  *
- * All nodes have to know a limit or a leave from the first answer that states it, and the leader uses a limit's rate in
- * its plans. Rules:
+ * All nodes have to know a limit or a leave from the first answer that states it, and the leader uses a limit's rate.
+ * Rules:
  *  - A change is sent at once and repeated, since datagrams are lost.
  *  - A limit that changes repeatedly is sent only at intervals, since the node that counts the server's slots learns
- *    each rate from the answers. All servers that are due at one time go into one datagram, and there is a pause
- * between datagrams.
+ *    each rate from the answers. All servers that are due at one time go into one datagram, and datagrams have a pause
+ *    between them.
  *  - A limit that stays in force is sent again by the first node that sees it after an interval, so that other nodes do
  *    not forget it. A notice that another node has sent lately is not repeated, since many nodes see the same answers.
- *  - A leave is sent again every few seconds, for nodes that were cut off or have started since, until the list shows
- * it or the server is gone. No further answer will state it.
+ *  - A leave is sent again every few seconds, for nodes that were cut off or have started since. This ends when the
+ * list shows the leave or the server is gone. No further answer will state it.
  *
  * No I/O; time is a parameter.
  */
--- a/src/router/zone_links.c
+++ b/src/router/zone_links.c
@@ -55,22 +55,22 @@
     return sender;
 }
 
-bool cw_zone_links_note(cw_zone_links_t *links, const cw_summary_header_t *head, cw_time_us_t now)
+bool cw_zone_links_note(cw_zone_links_t *links, const cw_summary_header_t *header, cw_time_us_t now)
 {
-    cw_zone_link_t      *link = head->relay == 0 ? NULL : find_or_add_link(links, head->zone);
+    cw_zone_link_t      *link = header->relay == 0 ? NULL : find_or_add_link(links, header->zone);
     cw_summary_sender_t *sender;
 
     if (link == NULL) {
         return false;
     }
-    sender = find_or_replace_sender(link, head->relay);
-    if (sender->incarnation == head->incarnation && head->sequence <= sender->sequence) {
+    sender = find_or_replace_sender(link, header->relay);
+    if (sender->incarnation == header->incarnation && header->sequence <= sender->sequence) {
         return false;
     }
-    sender->incarnation = head->incarnation;
-    sender->sequence = head->sequence;
+    sender->incarnation = header->incarnation;
+    sender->sequence = header->sequence;
     link->received_at = now;
-    if (head->acknowledges) {
+    if (header->acknowledges) {
         link->acknowledged_at = now;
     }
     return true;
