--- a/src/router/adapter.h
+++ b/src/router/adapter.h
@@ -1,6 +1,8 @@
 /**
  * @file adapter.h
- * @brief What the router needs of the world it runs in. One adapter is linked into the program; it only translates.
+ * @brief Interface to the platform that the router runs on: its store, its servers and their header names.
+ *
+ * One adapter is linked into the program. It only translates between this interface and the platform's protocols.
  */
 #ifndef CEDARWINCH_ROUTER_ADAPTER_H
 #define CEDARWINCH_ROUTER_ADAPTER_H
@@ -11,34 +13,42 @@
 #include "proxy/engine.h"
 #include "store/store.h"
 
+/** Called once with the outcome of an order. handover: what the former owner of the keys handed over; NULL: nothing. */
 typedef void (*cw_order_done_t)(void *context, uint64_t order, cw_order_result_t result, const char *handover);
 
-/** What a reading of the accepted configuration brought. */
+/** Result of reading the accepted configuration. */
 typedef struct cw_accepted {
     cw_store_result_t   result;
-    uint64_t            revision;
-    cw_configuration_t *configuration; /**< given away; NULL: there is none, or it cannot be read */
-    const char         *problem;       /**< why it cannot be read, with the place; NULL: it can, or there is none */
+    uint64_t            revision;      /**< of the object in the store */
+    cw_configuration_t *configuration; /**< reference passes to the callee; NULL: there is none, or it is unreadable */
+    const char         *problem;       /**< why it is unreadable, and where; NULL: it is not, or there is none */
 } cw_accepted_t;
 
 typedef void (*cw_accepted_read_t)(void *context, const cw_accepted_t *accepted);
 
+/** Functions of an adapter. `adapter`: what create() returned. */
 typedef struct cw_adapter {
+    /** Names of the header fields of requests and answers. */
     const cw_header_names_t *header_names;
-    /** Decodes what servers say of themselves in the fields of their answers. */
+    /** Decodes the state that servers report in the header fields of their answers. */
     cw_server_signals_decoder_t decode_signals;
-    /** store_address: "IPv4:PORT". Standing reads begin at once; their results go to the readers (NULL: none). */
+    /** Creates the adapter's state. store_address: "IPv4:PORT". Standing reads begin at once; their results go to
+     * `readers` (NULL: no standing reads). */
     void *(*create)(uv_loop_t *loop, const char *store_address, const cw_store_readers_t *readers);
+    /** The store, as the router calls it. */
     cw_store_port_t *(*store)(void *adapter);
-    /** Sends a grant or release to a server; done is called once. */
+    /** Sends a grant or a release to a server. done: called once. */
     void (*order)(void *adapter, const cw_order_t *order, cw_order_done_t done, void *context);
-    /** For the command line: reads the accepted configuration, and writes another under that revision (0: none yet). */
+    /** For the command line: reads the accepted configuration. */
     void (*read_accepted)(void *adapter, cw_accepted_read_t done, void *context);
+    /** For the command line: writes another accepted configuration if the object still has this revision (0: there is
+     * none yet). */
     void (*write_accepted)(void *adapter, const cw_configuration_t *configuration, uint64_t revision,
                            cw_store_replied_t done, void *context);
-    /** For the command line: takes a zone out of service, or puts it back. CW_STORE_CONFLICT: it is out already;
-     * CW_STORE_NOT_FOUND: it is in service already. */
+    /** For the command line: takes a zone out of service, or puts it back. Results: CW_STORE_CONFLICT if it is out
+     * already, CW_STORE_NOT_FOUND if it is in service already. */
     void (*set_zone_out)(void *adapter, const char *zone, bool is_out, cw_store_replied_t done, void *context);
+    /** Ends standing reads and frees the state. */
     void (*close)(void *adapter);
 } cw_adapter_t;
 
--- a/src/router/broker_choice.c
+++ b/src/router/broker_choice.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-static uint64_t rank_of(const cw_broker_candidate_t *candidate, uint32_t service)
+static uint64_t rendezvous_rank(const cw_broker_candidate_t *candidate, uint32_t service)
 {
     return XXH3_64bits_withSeed(&candidate->address, sizeof(candidate->address), service);
 }
@@ -24,7 +24,8 @@
             continue;
         }
         if (best == NULL || candidate->capability > best->capability ||
-            (candidate->capability == best->capability && rank_of(candidate, service) > rank_of(best, service))) {
+            (candidate->capability == best->capability &&
+             rendezvous_rank(candidate, service) > rendezvous_rank(best, service))) {
             best = candidate;
         }
     }
--- a/src/router/leader_tenure.c
+++ b/src/router/leader_tenure.c
@@ -1,6 +1,6 @@
 /**
  * @file leader_tenure.c
- * @brief A node's time as the leader; rules in leader_tenure.h.
+ * @brief A node's term as the leader; rules in leader_tenure.h.
  */
 #include "router/leader_tenure.h"
 
@@ -22,7 +22,7 @@
 
 bool cw_leader_is_rival(uint32_t own, uint32_t capability)
 {
-    return capability >= CW_LEADER_RIVAL_TIMES * own;
+    return capability >= CW_LEADER_RIVAL_FACTOR * own;
 }
 
 void cw_leader_tenure_note_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now)
--- a/src/router/leader_tenure.h
+++ b/src/router/leader_tenure.h
@@ -1,12 +1,14 @@
 /**
  * @file leader_tenure.h
- * @brief A node's time as the leader: since when, whether a more capable node should lead, and its step-down notice.
+ * @brief A node's term as the leader: when it began, whether a more capable node should lead instead, and the notice
+ * of its end.
  *
  * Rules:
- *  - While a node that is far more capable (a rival) is in reach, this one takes the lock CW_LEADER_DEFERENCE_MS later.
- *  - A leader hands over once a rival has been in reach, and itself has led, for CW_LEADER_HAND_OVER_S.
- *  - A leader that released its lock says so in its reports for CW_RELEASE_ANNOUNCED_S: others need not wait until they
- *    miss its heartbeat.
+ *  - A rival is a node with at least CW_LEADER_RIVAL_FACTOR times this node's capability. While one is in reach, this
+ *    node takes the lock CW_LEADER_DEFERENCE_MS later than it could, so that the rival takes it first.
+ *  - A leader hands over once a rival has been in reach, and the leader itself has led, for CW_LEADER_HAND_OVER_S.
+ *  - A leader that has released its lock states so in its reports for CW_RELEASE_ANNOUNCED_S, so that the others need
+ *    not wait until they miss its heartbeat.
  *
  * No I/O, no clock.
  */
@@ -18,36 +20,36 @@
 #include "base/time.h"
 
 enum {
-    CW_LEADER_RIVAL_TIMES = 2,    /**< a rival has at least so many times this node's capability */
-    CW_LEADER_DEFERENCE_MS = 500, /**< chosen, not measured */
-    CW_LEADER_HAND_OVER_S = 4,    /**< chosen, not measured */
-    CW_RELEASE_ANNOUNCED_S = 2    /**< chosen: several reports to all nodes, since some may be lost */
+    CW_LEADER_RIVAL_FACTOR = 2,
+    CW_LEADER_DEFERENCE_MS = 500,
+    CW_LEADER_HAND_OVER_S = 4,
+    CW_RELEASE_ANNOUNCED_S = 2 /**< long enough for several reports to all nodes, since some may be lost */
 };
 
-/** All zeros: has not led. */
+/** All zeros: the node has not led yet. */
 typedef struct cw_leader_tenure {
-    bool         had_authority; /**< when last asked */
-    cw_time_us_t led_since;     /**< last taking of the lock; 0: never */
-    cw_time_us_t rival_since;   /**< a rival has been in reach since then; 0: none is */
-    uint64_t     released_term; /**< of the lock that this node released last; 0: none */
+    bool         had_authority; /**< at the last call of cw_leader_tenure_authority_changed */
+    cw_time_us_t led_since;     /**< when the lock was last taken; 0: never */
+    cw_time_us_t rival_since;   /**< a rival has been in reach since then; 0: none is now */
+    uint64_t     released_term; /**< term of the lock that this node released last; 0: none */
     cw_time_us_t released_at;
 } cw_leader_tenure_t;
 
-/** The lock was taken. */
+/** Notes that this node took the lock. */
 void cw_leader_tenure_begin(cw_leader_tenure_t *tenure, cw_time_us_t now);
-/** The lock of this term was released. */
+/** Notes that this node released the lock of this term. */
 void cw_leader_tenure_release(cw_leader_tenure_t *tenure, uint64_t term, cw_time_us_t now);
-/** Term of a lock released so lately that others are to be informed; 0: none. */
+/** Term of the lock whose release is to be announced in reports now; 0: none. */
 uint64_t cw_leader_tenure_announced(const cw_leader_tenure_t *tenure, cw_time_us_t now);
-/** Is `capability` of another node that of a rival to a node with `own`? */
+/** Whether another node with this capability is a rival of a node with the capability `own`. */
 bool cw_leader_is_rival(uint32_t own, uint32_t capability);
-/** A rival is in reach now, or none is. */
+/** Notes whether a rival is in reach now. Called with each tick. */
 void cw_leader_tenure_note_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now);
-/** How much later than it might this node takes the lock. */
+/** How much later than it could this node takes the lock. */
 cw_time_us_t cw_leader_tenure_deference(const cw_leader_tenure_t *tenure);
-/** Should this node, if it leads, hand over to the rival? */
+/** Whether this node, if it leads, is to hand over to the rival. */
 bool cw_leader_tenure_should_hand_over(const cw_leader_tenure_t *tenure, cw_time_us_t now);
-/** Has the node's authority changed since the last call? */
+/** Whether the node's authority has changed since the last call. */
 bool cw_leader_tenure_authority_changed(cw_leader_tenure_t *tenure, bool has_authority);
 
 #endif
--- a/src/router/loop_start.c
+++ b/src/router/loop_start.c
@@ -1,6 +1,6 @@
 /**
  * @file loop_start.c
- * @brief The loop's start, tried several times.
+ * @brief Initialises the event loop, with several tries.
  */
 #include "router/loop_start.h"
 
@@ -9,22 +9,22 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The library aborts where the first of its pipes cannot be made: it is not asked before there are descriptors for all.
- */
+/* Whether enough descriptors are free. libuv aborts if it cannot create the first of its pipes, so it is called only
+ * when there are descriptors for all of them. */
 static bool has_descriptors(void)
 {
     int    pairs[CW_LOOP_DESCRIPTORS / 2][2];
-    size_t made = 0;
+    size_t created = 0;
     size_t index;
 
-    while (made < CW_LOOP_DESCRIPTORS / 2 && pipe(pairs[made]) == 0) {
-        made++;
+    while (created < CW_LOOP_DESCRIPTORS / 2 && pipe(pairs[created]) == 0) {
+        created++;
     }
-    for (index = 0; index < made; index++) {
+    for (index = 0; index < created; index++) {
         close(pairs[index][0]);
         close(pairs[index][1]);
     }
-    return made == CW_LOOP_DESCRIPTORS / 2;
+    return created == CW_LOOP_DESCRIPTORS / 2;
 }
 
 int cw_loop_start(uv_loop_t *loop)
--- a/src/router/loop_start.h
+++ b/src/router/loop_start.h
@@ -1,10 +1,10 @@
 /**
  * @file loop_start.h
- * @brief Makes the node's event loop, or says why it cannot.
+ * @brief Initialises the node's event loop, or returns the reason why it cannot.
  *
- * libuv's loop needs descriptors. One that was only half made looks whole: timers run, and the first wait for a socket
- * reads through NULL, or the library aborts. So a machine that has none left for a moment is given some time, and then
- * the process ends with a word.
+ * libuv's loop needs file descriptors. A loop that could not get all of them appears to work: timers run, but the first
+ * wait for a socket reads through NULL, or the library aborts. So if the machine has no descriptors left, the
+ * initialisation is retried for a while; if it still fails, the process reports the error and ends.
  */
 #ifndef CEDARWINCH_ROUTER_LOOP_START_H
 #define CEDARWINCH_ROUTER_LOOP_START_H
@@ -12,13 +12,14 @@
 #include <uv.h>
 
 enum {
-    CW_LOOP_DESCRIPTORS = 8, /**< a loop takes one for epoll, one for wake-ups, two pipes for signals: six */
+    CW_LOOP_DESCRIPTORS = 8, /**< that must be free; a loop needs six: one for epoll, one for wake-ups, two pipes for
+                                  signals */
     CW_LOOP_TRIES = 10,
-    CW_LOOP_PAUSE_MS =
-        100 /**< between them: a second in all, the least that a supervisor waits before it starts again */
+    CW_LOOP_PAUSE_MS = 100 /**< between tries; a second in all, the shortest time after which a supervisor restarts the
+                                process */
 };
 
-/** 0, or libuv's error of the last try. */
+/** Initialises the loop, which blocks for up to a second. Returns 0, or libuv's error of the last try. */
 int cw_loop_start(uv_loop_t *loop);
 
 #endif
--- a/src/router/main.c
+++ b/src/router/main.c
@@ -2,8 +2,8 @@
  * @file main.c
  * @brief Command line of a router node.
  *
- * Exit codes: 0 stopped as planned (or the settings are right, with --check), 1 could not start, 2 wrong command line
- * or settings.
+ * Exit codes: 0 stopped as planned (with --check: the settings are valid), 1 could not start, 2 invalid command line or
+ * settings.
  */
 #include <argtable2.h>
 #include <signal.h>
@@ -23,7 +23,8 @@
     cw_findings_t        findings;
     size_t               count;
 
-    (void)signal(SIGHUP, SIG_IGN); /* until it is handled: what it asks for, reading the settings, comes anyway */
+    (void)signal(SIGHUP, SIG_IGN); /* until the node handles it: SIGHUP requests that the settings be read, which
+                                      happens now in any case */
     cw_findings_init(&findings);
     (void)cw_router_settings_read(&settings, file_name, &findings);
     cw_findings_print(&findings, stderr);
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -2,8 +2,8 @@
  * @file router.c
  * @brief A node's process: start, signals, ticks.
  *
- * A planned stop is in router_stop.c, the settings file in router_reload.c, what the node answers about itself in
- * router_own.c.
+ * The planned stop is in router_stop.c, reloading the settings file in router_reload.c, the answers about the node
+ * itself in router_own.c.
  */
 #include "router/router.h"
 
@@ -21,13 +21,13 @@
 #include "router/router_internal.h"
 
 enum {
-    CONNECT_MS = 150,
-    UNACKNOWLEDGED_MS = 900,
-    IDLE_MS = 5000,
-    REMOTE_WAY_MS = 16, /* to a neighbouring region and back, some 1,000 km of fibre each way and equipment */
-    ANSWER_MAX = 16 * 1024 * 1024,
-    QUEUE_MAX = 1000,
-    PEERS_UNKNOWN_S = 3
+    CONNECT_TIMEOUT_MS = 150,
+    UNACKNOWLEDGED_TIMEOUT_MS = 900,
+    IDLE_CONNECTION_MS = 5000,
+    REMOTE_ROUND_TRIP_MS = 16, /* to a neighbouring region: some 1,000 km of fibre each way, and equipment */
+    ANSWER_BYTES_MAX = 16 * 1024 * 1024,
+    QUEUED_REQUESTS_MAX = 1000,
+    PEER_DISCOVERY_S = 3
 };
 
 cw_time_us_t cw_router_now(const cw_router_t *router)
@@ -60,7 +60,7 @@
     return XXH3_64bits(&seed, sizeof(seed)) ^ random;
 }
 
-static void on_dropped(void *context, cw_server_t *server)
+static void on_server_dropped(void *context, cw_server_t *server)
 {
     cw_router_t *router = context;
 
@@ -69,18 +69,18 @@
 
 /* ---- ticks ---- */
 
-/* Nodes that take from the same servers. A process that has just started does not know most of them yet, and would
- * choose the same servers as all others that have just started. */
+/* Nodes that send requests to the same servers. A process that has just started does not know most of them yet; if it
+ * counted only those that it knows, it would choose the same servers as all others that have just started. */
 static uint32_t nodes_in_reach(const cw_router_t *router, cw_time_us_t now)
 {
-    if (now - router->started_at < CW_SECONDS(PEERS_UNKNOWN_S)) {
+    if (now - router->started_at < CW_SECONDS(PEER_DISCOVERY_S)) {
         return CW_NODES_UNKNOWN;
     }
     return cw_peer_link_alive(router->link, router->silence, now);
 }
 
-/* Nodes among which the retry budget's fixed part is shared: the most seen within a window. A process that has run for
- * less than a window knows neither them nor what its former life has spent. */
+/* Nodes that share the fixed part of the retry budget: the most seen alive within the budget's window; 0: not known. A
+ * process that has run for less than a window knows neither their number nor what its predecessor has spent. */
 static uint32_t nodes_for_budget(cw_router_t *router, cw_time_us_t now)
 {
     uint32_t alive = cw_peer_link_alive(router->link, router->settings.retry_window, now) + 1;
@@ -92,7 +92,7 @@
     return now - router->started_at < router->settings.retry_window ? 0 : router->nodes_most;
 }
 
-/* Time limits that passed while the machine was suspended: the loop's timers do not know of them. */
+/* Handles time limits that passed while the machine was suspended, which the loop's timers do not take into account. */
 static void check_suspension(cw_router_t *router)
 {
     cw_time_us_t suspended = cw_loop_clock_take_suspension();
@@ -144,19 +144,19 @@
         .names = *router->adapter->header_names,
         .decode_signals = router->adapter->decode_signals,
         .choice = {.zone_penalty = 0.7, .extra_slots = 0},
-        .crossing = {.ms_per_mb = router->settings.remote_byte_cost, .way = CW_MS(REMOTE_WAY_MS)},
+        .crossing = {.ms_per_mb = router->settings.remote_byte_cost, .way = CW_MS(REMOTE_ROUND_TRIP_MS)},
         .budget = {.ratio = router->settings.retry_ratio,
                    .extra = router->settings.retry_extra,
                    .window = router->settings.retry_window,
                    .share = 0.75},
         .keyed_extra_slots = 2,
         .leave_grace = router->settings.drain / 2,
-        .connect_timeout = CW_MS(CONNECT_MS),
+        .connect_timeout = CW_MS(CONNECT_TIMEOUT_MS),
         .silence_factor = 4,
         .margin = CW_MS(15),
         .credential_scheme = router->settings.credential_scheme,
-        .answer_max = ANSWER_MAX,
-        .queue_max = QUEUE_MAX};
+        .answer_max = ANSWER_BYTES_MAX,
+        .queue_max = QUEUED_REQUESTS_MAX};
 
     return settings;
 }
@@ -173,12 +173,12 @@
     cw_router_reload(signal->data);
 }
 
-static int watch_signal(cw_router_t *router, uv_signal_t *signal, uv_signal_cb taken, int number)
+static int watch_signal(cw_router_t *router, uv_signal_t *signal, uv_signal_cb callback, int number)
 {
     int error = uv_signal_init(&router->loop, signal);
 
     signal->data = router;
-    return error != 0 ? error : uv_signal_start(signal, taken, number);
+    return error != 0 ? error : uv_signal_start(signal, callback, number);
 }
 
 static int watch_signals(cw_router_t *router)
@@ -194,7 +194,8 @@
 static int start(cw_router_t *router)
 {
     cw_engine_settings_t  settings = engine_settings(router);
-    cw_upstream_options_t upstream = {.idle_max = CW_MS(IDLE_MS), .unacknowledged = CW_MS(UNACKNOWLEDGED_MS)};
+    cw_upstream_options_t upstream = {.idle_max = CW_MS(IDLE_CONNECTION_MS),
+                                      .unacknowledged = CW_MS(UNACKNOWLEDGED_TIMEOUT_MS)};
     cw_peer_handler_t     peers = {router, cw_router_datagram};
     cw_store_readers_t    readers = {.context = router,
                                      .configuration = cw_router_on_configuration,
@@ -208,7 +209,7 @@
     int                   error;
 
     router->upstream = cw_upstream_create(&router->loop, &upstream);
-    router->pool = cw_server_pool_create(router->settings.zone, on_dropped, router);
+    router->pool = cw_server_pool_create(router->settings.zone, on_server_dropped, router);
     cw_server_pool_set_node(router->pool, router->settings.node);
     cw_server_pool_set_regions(router->pool, router->settings.zone_regions, router->settings.zone_region_count);
     router->engine = cw_engine_create(&router->loop, &settings, router->pool, router->upstream);
@@ -257,7 +258,7 @@
     return error;
 }
 
-static void note_start(const cw_router_t *router)
+static void log_start(const cw_router_t *router)
 {
     cw_event_t event;
 
@@ -281,7 +282,7 @@
     router->settings = *settings;
     router->adapter = adapter;
     snprintf(router->file_name, sizeof(router->file_name), "%s", file_name);
-    router->file_changed = cw_router_file_state(file_name);
+    router->file_fingerprint = cw_router_file_fingerprint(file_name);
     router->incarnation = new_incarnation(settings->node);
     cw_event_log_open(STDOUT_FILENO, settings->node, settings->log_level);
     error = cw_loop_start(&router->loop);
@@ -295,7 +296,7 @@
         fprintf(stderr, "cedarwinch: cannot start: %s\n", uv_strerror(error));
         return error;
     }
-    note_start(router);
+    log_start(router);
     uv_run(&router->loop, UV_RUN_DEFAULT);
     cw_router_note_traffic(router);
     if (cw_event_begin(&event, CW_EVENT_END)) {
--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -1,6 +1,6 @@
 /**
  * @file router_assigners.c
- * @brief The leader's assigners, one for each service divided by key: what they need of the node, and samples of load.
+ * @brief The leader's assigners, one for each service divided by key: their interface to the node, and samples of load.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,25 +9,26 @@
 
 enum {
     FIRST_TABLES_WAIT_MS = 1000,
-    RENEWALS_A_HOLD = 4,
+    RENEWALS_PER_HOLD = 4,
     ORDER_TIMEOUT_MS = 350,
     RELEASE_TIMEOUT_MS = 1500,
-    LATE_ORDERS_S = 13
+    LATE_ORDER_S = 13
 };
 
-/* ---- ports of the assigners ---- */
+/* ---- the assigners' port ---- */
 
 static void order_done(void *context, uint64_t order, cw_order_result_t result, const char *handover);
 
-/** An order under way, on behalf of an assigner that may be gone by the time of its answer. */
-typedef struct lead_order {
+/** An order without an answer yet. The assigner that gave it may be freed before the answer arrives. */
+typedef struct pending_order {
     cw_router_t   *router;
     cw_assigner_t *assigner;
     uint32_t       server; /**< hash of its id */
-    uint64_t       term;   /**< of leadership; a later assigner may stand at the same place in memory */
-} lead_order_t;
+    uint64_t       term;   /**< of the leader; the assigner of a later term may have the same address in memory */
+} pending_order_t;
 
-static bool is_kept(const cw_router_t *router, const lead_order_t *order)
+/* Whether the assigner that gave the order still exists. */
+static bool assigner_exists(const cw_router_t *router, const pending_order_t *order)
 {
     size_t index;
 
@@ -39,8 +40,8 @@
     return false;
 }
 
-/* An order that was refused or fenced has been answered. */
-static void note_outcome(const lead_order_t *order, cw_order_result_t result)
+/* Tells the register of doubted servers whether the server answered. A refused or fenced order has been answered. */
+static void record_outcome(const pending_order_t *order, cw_order_result_t result)
 {
     cw_router_t       *router = order->router;
     const cw_server_t *server = cw_server_pool_find_hash(router->pool, order->server);
@@ -56,10 +57,10 @@
 
 static void order_done(void *context, uint64_t id, cw_order_result_t result, const char *handover)
 {
-    lead_order_t *order = context;
+    pending_order_t *order = context;
 
-    note_outcome(order, result);
-    if (is_kept(order->router, order)) {
+    record_outcome(order, result);
+    if (assigner_exists(order->router, order)) {
         cw_assigner_order_done(order->assigner, id, result, handover, cw_router_now(order->router));
     }
     free(order);
@@ -68,20 +69,21 @@
 static void send_order(void *context, const cw_order_t *order)
 {
     cw_service_assignment_t *keyed = context;
-    lead_order_t            *under_way = malloc(sizeof(*under_way));
+    pending_order_t         *pending = malloc(sizeof(*pending));
 
-    if (under_way == NULL) {
+    if (pending == NULL) {
         abort();
     }
-    under_way->router = keyed->router;
-    under_way->assigner = keyed->assigner;
-    under_way->server = cw_short_name(order->server);
-    under_way->term = keyed->router->leadership.lock.term;
-    keyed->router->adapter->order(keyed->router->platform, order, order_done, under_way);
+    pending->router = keyed->router;
+    pending->assigner = keyed->assigner;
+    pending->server = cw_short_name(order->server);
+    pending->term = keyed->router->leadership.lock.term;
+    keyed->router->adapter->order(keyed->router->platform, order, order_done, pending);
 }
 
-/* Before all records have been read, tables would have holes: so long the first ones wait, but not for ever. */
-static bool are_tables_whole(const cw_router_t *router, cw_time_us_t now)
+/* Whether the records of all services have been read. Before that, tables would lack ranges, so the first tables wait
+ * for it, but no longer than FIRST_TABLES_WAIT_MS. */
+static bool are_records_read(const cw_router_t *router, cw_time_us_t now)
 {
     size_t index;
 
@@ -98,7 +100,7 @@
     return true;
 }
 
-static void tables_changed(void *context)
+static void on_assignment_changed(void *context)
 {
     cw_service_assignment_t *keyed = context;
 
@@ -108,8 +110,8 @@
     cw_router_publish_tables(keyed->router, now);
 }
 
-/* Changes go to the nodes of this zone, and to the relays of the others. */
-static size_t table_targets(const cw_router_t *router, cw_time_us_t now)
+/* Number of nodes that the leader sends changes to: those of its zone, and the relays of other zones. */
+static size_t count_table_targets(const cw_router_t *router, cw_time_us_t now)
 {
     size_t           count = 0;
     const cw_peer_t *peer;
@@ -123,13 +125,13 @@
 void cw_router_publish_tables(cw_router_t *router, cw_time_us_t now)
 {
     uint64_t number = router->lead_tables + 1;
-    bool     any = false;
+    bool     is_changed = false;
     size_t   index;
 
     if (!router->table_publication.is_due ||
-        !cw_table_publication_is_due(&router->table_publication, table_targets(router, now),
+        !cw_table_publication_is_due(&router->table_publication, count_table_targets(router, now),
                                      CW_LEADERS_DATAGRAMS_A_SECOND, now) ||
-        !are_tables_whole(router, now)) {
+        !are_records_read(router, now)) {
         return;
     }
     cw_table_publication_done(&router->table_publication, now);
@@ -137,11 +139,11 @@
         const cw_assigner_t   *assigner = router->keyed[index].assigner;
         const cw_range_list_t *ranges = cw_assigner_ranges(assigner);
 
-        any = (ranges->count > 0 &&
-               cw_key_tables_update(&router->tables, cw_assigner_service(assigner), ranges, number)) ||
-              any;
+        is_changed = (ranges->count > 0 &&
+                      cw_key_tables_update(&router->tables, cw_assigner_service(assigner), ranges, number)) ||
+                     is_changed;
     }
-    if (!any) {
+    if (!is_changed) {
         return;
     }
     if (router->lead_tables != 0) {
@@ -153,8 +155,8 @@
     cw_router_tables_changed(router);
 }
 
-static void note_assignment(void *context, const char *service, const char *what, const cw_range_t *range,
-                            const char *detail)
+static void log_assignment(void *context, const char *service, const char *what, const cw_range_t *range,
+                           const char *detail)
 {
     cw_event_t event;
 
@@ -175,7 +177,7 @@
 
 /* ---- services ---- */
 
-static cw_service_assignment_t *keyed_service(cw_router_t *router, const char *name)
+static cw_service_assignment_t *find_keyed(cw_router_t *router, const char *name)
 {
     size_t index;
 
@@ -193,32 +195,32 @@
     cw_assigner_settings_t   settings = {.hold = router->settings.hold,
                                          .hold_long = router->settings.hold_long,
                                          .hold_most = router->settings.hold_long,
-                                         .renew_every = router->settings.hold / RENEWALS_A_HOLD,
+                                         .renew_every = router->settings.hold / RENEWALS_PER_HOLD,
                                          .order_timeout = CW_MS(ORDER_TIMEOUT_MS),
                                          .release_timeout = CW_MS(RELEASE_TIMEOUT_MS),
-                                         .late_orders = CW_SECONDS(LATE_ORDERS_S),
+                                         .late_orders = CW_SECONDS(LATE_ORDER_S),
                                          .table_valid = router->settings.hold * CW_TABLES_VALID_PERCENT / 100};
     cw_assigner_ports_t      ports = {.context = keyed,
                                       .store = router->store,
                                       .order = send_order,
-                                      .changed = tables_changed,
-                                      .note = note_assignment};
+                                      .changed = on_assignment_changed,
+                                      .note = log_assignment};
 
     keyed->router = router;
-    router->table_publication.published_at = 0; /* the first tables go out at once */
+    router->table_publication.published_at = 0; /* the first tables are published at once */
     keyed->assigner = cw_assigner_create(name, router->leadership.lock.term, router->incarnation, &settings, &ports);
     router->keyed_count++;
 }
 
-void cw_router_find_keyed(cw_router_t *router)
+void cw_router_create_assigners(cw_router_t *router)
 {
     size_t index;
 
     for (index = 0; index < router->configuration->service_count; index++) {
         const cw_service_t *service = &router->configuration->services[index];
 
-        if (service->keyed && keyed_service(router, service->name) == NULL &&
-            router->keyed_count < CW_KEYED_SERVICES_MAX) { /* logged once a version, router_configuration.c */
+        if (service->keyed && find_keyed(router, service->name) == NULL &&
+            router->keyed_count < CW_KEYED_SERVICES_MAX) { /* router_configuration.c logs an excess once per version */
             add_keyed(router, service->name);
         }
     }
@@ -240,7 +242,7 @@
             uint32_t regions = samples->regions == NULL ? CW_REGIONS_ANY : samples->regions[key];
 
             if (samples->keys[key] > CW_KEY_LAST) {
-                continue; /* a caller may name any number: it has no range, and placement looks for one */
+                continue; /* callers may send any number; placement could not find a range for this one */
             }
             cw_load_window_note(&keyed->window,
                                 &(cw_key_sighting_t){.key = samples->keys[key],
@@ -252,7 +254,7 @@
     }
 }
 
-void cw_router_end_assigners(cw_router_t *router)
+void cw_router_free_assigners(cw_router_t *router)
 {
     size_t index;
 
--- a/src/router/router_callers.c
+++ b/src/router/router_callers.c
@@ -1,15 +1,16 @@
 /**
  * @file router_callers.c
- * @brief The listener for callers: its bounds, and its way to the engine.
+ * @brief The listener for callers: its limits, and how it passes requests to the engine.
  */
 #include "base/fatal_signal.h"
 #include "router/router_internal.h"
 
 enum {
-    /* Until a configuration is known. Nobody may say then that a body is too long: it is read, and answered 503. */
-    FIRST_HEADER_BYTES = 16 * 1024,
-    FIRST_BODY_BYTES = 16 * 1024 * 1024,
-    FIRST_TIMEOUT_S = 60
+    /* Limits until a configuration is known. No request body counts as too long until then: it is read, and the request
+     * is answered 503. */
+    INITIAL_HEADER_BYTES = 16 * 1024,
+    INITIAL_BODY_BYTES = 16 * 1024 * 1024,
+    INITIAL_TIMEOUT_S = 60
 };
 
 static void on_request(void *context, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound)
@@ -28,7 +29,7 @@
     cw_engine_gone(router->engine, exchange);
 }
 
-static bool rejects(void *context, const cw_http_inbound_t *head)
+static bool rejects_head(void *context, const cw_http_inbound_t *head)
 {
     const cw_router_t *router = context;
 
@@ -38,10 +39,10 @@
 int cw_router_callers_start(cw_router_t *router)
 {
     const cw_router_settings_t *settings = &router->settings;
-    cw_http_limits_t            limits = {.header_bytes = FIRST_HEADER_BYTES,
-                                          .body_bytes = FIRST_BODY_BYTES,
-                                          .header_timeout = CW_SECONDS(FIRST_TIMEOUT_S),
-                                          .idle_timeout = CW_SECONDS(FIRST_TIMEOUT_S)};
+    cw_http_limits_t            limits = {.header_bytes = INITIAL_HEADER_BYTES,
+                                          .body_bytes = INITIAL_BODY_BYTES,
+                                          .header_timeout = CW_SECONDS(INITIAL_TIMEOUT_S),
+                                          .idle_timeout = CW_SECONDS(INITIAL_TIMEOUT_S)};
     cw_http_listener_options_t  options = {
          .pipeline = {.depth = settings->pipeline_depth, .bytes = settings->pipeline_bytes},
          .body_bytes_most = settings->body_bytes_most,
@@ -53,6 +54,6 @@
     error = cw_http_listener_create(&router->callers, &router->loop, settings->callers.address, settings->callers.port,
                                     &limits, &handler);
     cw_http_listener_set_options(router->callers, &options);
-    cw_http_listener_set_rejects(router->callers, rejects);
+    cw_http_listener_set_rejects(router->callers, rejects_head);
     return error;
 }
--- a/src/router/router_crashes.c
+++ b/src/router/router_crashes.c
@@ -1,10 +1,10 @@
 /**
  * @file router_crashes.c
- * @brief Wires suspects of crashes (crash_suspects.h) into the node: how a server's end is proved, and how nodes tell
- * one another.
+ * @brief Connects the register of requests that crash servers (crash_suspects.h) to the node: how it is proved that a
+ * server has ended, and how nodes report crashes to one another.
  *
- * After a loss the server's port is tried once: what refuses connections has ended. The list shows the rest. Reports
- * are broadcast (router_broadcast.c).
+ * After the connection to a server was lost, one connection to its port is tried: if it is refused, the server has
+ * ended. Other ends are found from the list of servers. Reports are broadcast (router_broadcast.c).
  */
 #include <stdlib.h>
 
@@ -12,33 +12,33 @@
 #include "router/router_internal.h"
 
 enum {
-    PROBE_MS = 300,
-    PROBES_A_SECOND = 10, /* many connections may be reset at once: the list proves the ends of the others */
-    REPORTED_MOST = 64,   /* crashes and clearances that are being reported */
-    REPORTS = 3,          /* of each */
-    REPORT_AGAIN_MS = 400
+    PROBE_TIMEOUT_MS = 300, /* connect timeout */
+    PROBES_PER_SECOND = 10, /* many connections may be reset at once; the list proves the ends of servers not probed */
+    PENDING_REPORTS_MAX = 64,  /* crashes and clearances that are being reported at a time */
+    BROADCASTS_PER_REPORT = 3, /* times that each is broadcast, since datagrams may be lost */
+    BROADCAST_PAUSE_MS = 400   /* between broadcasts */
 };
 
-/** What is reported: a crash, or that a server has answered the request. */
-typedef struct reported {
+/** A crash to be reported, or a clearance: a server has answered the request. */
+typedef struct pending_report {
     cw_crash_t crash;
-    bool       is_clearance; /* crash.lost_at: when it answered */
-    uint32_t   reports;
-} reported_t;
+    bool       is_clearance; /* crash.lost_at is the time of the answer then */
+    uint32_t   broadcasts;   /* so far */
+} pending_report_t;
 
 struct cw_router_crashes {
     cw_router_t         *router;
     cw_crash_suspects_t *suspects;
-    reported_t           reported[REPORTED_MOST];
+    pending_report_t     pending[PENDING_REPORTS_MAX];
     size_t               count;
-    cw_time_us_t         reported_at;
+    cw_time_us_t         broadcast_at;
     cw_time_us_t         probes_counted_at;
     uint32_t             probes;
 };
 
-/* ---- proofs ---- */
+/* ---- proofs that a server has ended ---- */
 
-/** A probe under way. */
+/** A connection being tried. */
 typedef struct server_probe {
     cw_router_crashes_t *crashes;
     uint32_t             server;
@@ -61,7 +61,7 @@
         crashes->probes_counted_at = now;
         crashes->probes = 0;
     }
-    return crashes->probes++ < PROBES_A_SECOND;
+    return crashes->probes++ < PROBES_PER_SECOND;
 }
 
 static void on_server_lost(void *context, const cw_server_t *server)
@@ -70,15 +70,15 @@
     server_probe_t      *probe;
 
     if (!may_probe(crashes, cw_router_now(crashes->router))) {
-        return; /* its entry will go, or that of a later incarnation come */
+        return; /* the list proves its end: its entry vanishes, or a later incarnation's appears */
     }
     probe = malloc(sizeof(*probe));
     if (probe == NULL) {
         abort();
     }
     *probe = (server_probe_t){.crashes = crashes, .server = server->hash};
-    if (cw_connect_probe(&crashes->router->loop, server->address, CW_MS(PROBE_MS), on_probed, probe) != 0) {
-        free(probe); /* no address: the same */
+    if (cw_connect_probe(&crashes->router->loop, server->address, CW_MS(PROBE_TIMEOUT_MS), on_probed, probe) != 0) {
+        free(probe); /* its address is invalid: the list proves its end */
     }
 }
 
@@ -91,19 +91,19 @@
     }
 }
 
-/* ---- what is reported ---- */
+/* ---- crashes and clearances to report ---- */
 
-static void add_reported(cw_router_crashes_t *crashes, const reported_t *added)
+static void add_report(cw_router_crashes_t *crashes, const pending_report_t *added)
 {
-    if (crashes->count == REPORTED_MOST) {
+    if (crashes->count == PENDING_REPORTS_MAX) {
         cw_metric_add(CW_METRIC_LOSSES_DROPPED, 1);
         return;
     }
-    crashes->reported[crashes->count++] = *added;
-    crashes->reported_at = 0; /* at once */
+    crashes->pending[crashes->count++] = *added;
+    crashes->broadcast_at = 0; /* the next tick broadcasts it */
 }
 
-static void note_crash(const cw_crash_t *crash, uint32_t crashes)
+static void log_crash(const cw_crash_t *crash, uint32_t crashes)
 {
     cw_event_t event;
 
@@ -120,8 +120,8 @@
 {
     cw_router_crashes_t *crashes = context;
 
-    note_crash(crash, cw_crash_suspects_crashes(crashes->suspects, crash->request));
-    add_reported(crashes, &(reported_t){.crash = *crash});
+    log_crash(crash, cw_crash_suspects_crashes(crashes->suspects, crash->request));
+    add_report(crashes, &(pending_report_t){.crash = *crash});
 }
 
 static void on_cleared(void *context, uint64_t request)
@@ -129,10 +129,10 @@
     cw_router_crashes_t *crashes = context;
     cw_time_us_t         now = cw_router_now(crashes->router);
 
-    add_reported(crashes, &(reported_t){.crash = {.request = request, .lost_at = now}, .is_clearance = true});
+    add_report(crashes, &(pending_report_t){.crash = {.request = request, .lost_at = now}, .is_clearance = true});
 }
 
-/* ---- reports ---- */
+/* ---- reports to other nodes ---- */
 
 static uint32_t age_ms(cw_time_us_t since, cw_time_us_t now)
 {
@@ -141,21 +141,21 @@
 
 static size_t pack_report(cw_router_crashes_t *crashes, cw_time_us_t now)
 {
-    static Cwp__CrashSighting  sightings[REPORTED_MOST];
-    static Cwp__CrashSighting *pointers[REPORTED_MOST];
+    static Cwp__CrashSighting  sightings[PENDING_REPORTS_MAX];
+    static Cwp__CrashSighting *pointers[PENDING_REPORTS_MAX];
     Cwp__CrashReport           report = CWP__CRASH_REPORT__INIT;
     Cwp__Datagram              datagram = CWP__DATAGRAM__INIT;
     size_t                     index;
 
     for (index = 0; index < crashes->count; index++) {
-        const reported_t *reported = &crashes->reported[index];
+        const pending_report_t *item = &crashes->pending[index];
 
         cwp__crash_sighting__init(&sightings[index]);
-        sightings[index].request = reported->crash.request;
-        sightings[index].server = reported->crash.server;
-        sightings[index].sent_age_ms = age_ms(reported->crash.sent_at, now);
-        sightings[index].lost_age_ms = age_ms(reported->crash.lost_at, now);
-        sightings[index].is_clearance = reported->is_clearance;
+        sightings[index].request = item->crash.request;
+        sightings[index].server = item->crash.server;
+        sightings[index].sent_age_ms = age_ms(item->crash.sent_at, now);
+        sightings[index].lost_age_ms = age_ms(item->crash.lost_at, now);
+        sightings[index].is_clearance = item->is_clearance;
         pointers[index] = &sightings[index];
     }
     report.stage = CW_BROADCAST_FROM_NODE;
@@ -166,14 +166,15 @@
     return cw_peer_link_pack(crashes->router->link, &datagram);
 }
 
-static void count_reports(cw_router_crashes_t *crashes)
+/* Counts a broadcast of each report, and drops those that have been broadcast often enough. */
+static void count_broadcasts(cw_router_crashes_t *crashes)
 {
     size_t kept = 0;
     size_t index;
 
     for (index = 0; index < crashes->count; index++) {
-        if (++crashes->reported[index].reports < REPORTS) {
-            crashes->reported[kept++] = crashes->reported[index];
+        if (++crashes->pending[index].broadcasts < BROADCASTS_PER_REPORT) {
+            crashes->pending[kept++] = crashes->pending[index];
         }
     }
     crashes->count = kept;
@@ -185,16 +186,16 @@
 
     cw_crash_suspects_tick(crashes->suspects, now);
     cw_metric_set(CW_METRIC_CRASH_SUSPECTS, cw_crash_suspects_count(crashes->suspects));
-    if (crashes->count > 0 && now - crashes->reported_at >= CW_MS(REPORT_AGAIN_MS)) {
-        crashes->reported_at = now;
+    if (crashes->count > 0 && now - crashes->broadcast_at >= CW_MS(BROADCAST_PAUSE_MS)) {
+        crashes->broadcast_at = now;
         cw_router_broadcast(router, pack_report(crashes, now), now);
-        count_reports(crashes);
+        count_broadcasts(crashes);
     }
 }
 
-/* ---- reports of others ---- */
+/* ---- reports of other nodes ---- */
 
-static void take_sighting(cw_router_crashes_t *crashes, const Cwp__CrashSighting *sighting, cw_time_us_t now)
+static void handle_sighting(cw_router_crashes_t *crashes, const Cwp__CrashSighting *sighting, cw_time_us_t now)
 {
     cw_crash_t crash = {.request = sighting->request,
                         .server = sighting->server,
@@ -202,7 +203,8 @@
                         .lost_at = now - CW_MS(sighting->lost_age_ms)};
 
     if (sighting->is_clearance) {
-        (void)cw_crash_suspects_clear(crashes->suspects, crash.request, crash.lost_at); /* others know it already */
+        /* It is not reported again: the sender has told the other nodes. */
+        (void)cw_crash_suspects_clear(crashes->suspects, crash.request, crash.lost_at);
     } else {
         cw_crash_suspects_take(crashes->suspects, &crash, now);
     }
@@ -215,7 +217,7 @@
     size_t                  index;
 
     for (index = 0; index < report->n_sightings; index++) {
-        take_sighting(router->crashes, report->sightings[index], now);
+        handle_sighting(router->crashes, report->sightings[index], now);
     }
     cw_router_pass_on_broadcast(router, sender, datagram, &datagram->crash_report->stage);
 }
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -1,6 +1,6 @@
 /**
  * @file router_internal.h
- * @brief State shared by a node's parts.
+ * @brief State of a node and the functions that its parts (the files router_*.c) call of one another.
  */
 #ifndef CEDARWINCH_ROUTER_INTERNAL_H
 #define CEDARWINCH_ROUTER_INTERNAL_H
@@ -38,47 +38,51 @@
 
 enum {
     CW_TICK_MS = 20,
-    CW_PEER_SILENCE_MS = 1000,       /**< at least; longer where many nodes make reports rare */
-    CW_MANY_DATAGRAMS_A_SECOND = 60, /**< of reports of one of many nodes, whose datagrams are most of what all do */
-    CW_LEADERS_DATAGRAMS_A_SECOND = 1000, /**< of its reports, and of its tables */
+    CW_PEER_SILENCE_MS = 1000, /**< shortest silence after which a peer counts as lost; longer in large fleets, whose
+                                    nodes report rarely */
+    CW_MANY_DATAGRAMS_A_SECOND = 60, /**< limit of a node's report datagrams in a large fleet, where handling reports is
+                                          most of the work of all nodes */
+    CW_LEADERS_DATAGRAMS_A_SECOND = 1000, /**< limit of the leader's reports, and likewise of its table updates */
     CW_KEYED_SERVICES_MAX = CW_TABLE_SERVICES_MAX,
-    CW_TABLES_VALID_PERCENT = 80 /**< of a grant's hold: tables are used no longer without a fresh heartbeat */
+    CW_TABLES_VALID_PERCENT = 80 /**< of a grant's hold: how long tables are used without a fresh leader heartbeat */
 };
 
-/** The leader's state of one service divided by key. */
+/** The leader's state for one service whose keys are divided among its servers. */
 typedef struct cw_service_assignment {
     cw_assigner_t          *assigner;
     struct cw_router       *router;
     cw_load_window_t        window;
     cw_ownership_measures_t measures;
-    cw_time_us_t            measured_load_at;
-    cw_time_us_t            next_plan;
+    cw_time_us_t            measured_load_at; /**< last measurement of the load's imbalance */
+    cw_time_us_t            next_plan;        /**< no plan is made before then */
     cw_plan_timing_t        timing;
 } cw_service_assignment_t;
 
-/** How long relays may take to pass the leader's last changes on to their zones. */
+/** Estimated time for the relays to forward the leader's latest update to all nodes of their zones. The leader adds
+ * it to the time that it gives them before it sends the update to a node by itself. */
 typedef struct cw_relay_delays {
-    cw_time_us_t servers;
-    cw_time_us_t tables;
+    cw_time_us_t servers; /**< of the list of servers */
+    cw_time_us_t tables;  /**< of the tables of keys */
 } cw_relay_delays_t;
 
-/** Slots of servers: this node's counting, and whom it asks. */
+/** Servers' request slots: those that this node counts as a broker, and the brokers that it asks (router_slots.c). */
 typedef struct cw_router_slots cw_router_slots_t;
-/** What the nodes of a zone say to those of other zones, and hear from them, by relays. */
+/** Zone summaries that relays exchange between zones (router_relay.c). */
 typedef struct cw_router_relay cw_router_relay_t;
 
-/** Whole lists of servers asked of nodes of this zone, and sent to them. */
+/** Whole lists of servers requested from nodes of this zone, and sent to them (router_list_exchange.c). */
 typedef struct cw_router_list_exchange cw_router_list_exchange_t;
 
-/** Requests that crash servers: proofs, and reports to other nodes. */
+/** Requests that crash servers: proofs that a server has ended, and reports to other nodes (router_crashes.c). */
 typedef struct cw_router_crashes cw_router_crashes_t;
 
-/** Tenants' limits: this node's counting, and on whom it counts. */
+/** Tenants' limits: tenants that this node counts, and the nodes that count the others (router_quota.h). */
 typedef struct cw_router_quota cw_router_quota_t;
 
+/** All state of a node. */
 typedef struct cw_router {
     cw_router_settings_t settings;
-    char                 file_name[256];
+    char                 file_name[256]; /**< of the settings */
     const cw_adapter_t  *adapter;
     void                *platform;
     cw_store_port_t     *store;
@@ -87,7 +91,7 @@
     uv_signal_t          terminate;
     uv_signal_t          interrupt;
     uv_signal_t          hang_up;
-    uint64_t             incarnation;
+    uint64_t             incarnation; /**< random number that names this process; another one after a restart */
     cw_http_listener_t  *callers;
     cw_http_listener_t  *readiness;
     cw_http_listener_t  *metrics;
@@ -103,82 +107,86 @@
     cw_signal_notices_t *signal_notices;
     cw_configuration_t  *configuration;
     cw_time_us_t         started_at;
-    cw_time_us_t         stopping_at; /**< 0: not stopping */
-    cw_time_us_t         stop_by;     /**< the process ends by then; settings that change meanwhile do not count */
-    cw_time_us_t         checked_file_at;
-    cw_fleet_size_t      fleet_size;
-    uint32_t             nodes_most; /**< nodes alive at once, within the retry budget's window */
-    cw_time_us_t         nodes_most_at;
-    int64_t              file_changed; /**< modification time and size of the settings file, mixed */
+    cw_time_us_t         stopping_at;   /**< when the planned stop began; 0: not stopping */
+    cw_time_us_t         stop_deadline; /**< the process ends by then; fixed when the stop begins, so later changes of
+                                             the settings do not move it */
+    cw_time_us_t    checked_file_at;    /**< last check whether the settings file has changed */
+    cw_fleet_size_t fleet_size;
+    uint32_t        nodes_most;       /**< most nodes alive at once within the retry budget's window */
+    cw_time_us_t    nodes_most_at;    /**< when that number was seen */
+    int64_t         file_fingerprint; /**< of the settings file when it was read last; see
+                                           cw_router_file_fingerprint */
 
     /* reports */
-    uint32_t           sequence;
-    cw_time_us_t       silence; /**< a node not received from for so long counts as lost */
-    cw_time_us_t       reported_zone_at;
-    cw_time_us_t       reported_all_at;
-    cw_time_us_t       reported_full_at;
-    cw_time_us_t       reported_leader_at;
-    cw_time_us_t       sent_keys_at;
-    cw_time_us_t       named_until;
-    bool               zone_due;
-    bool               all_due;
+    uint32_t           sequence;           /**< of this node's last report */
+    cw_time_us_t       silence;            /**< a node that has not been heard from for so long counts as lost */
+    cw_time_us_t       reported_zone_at;   /**< last report to the nodes of this zone */
+    cw_time_us_t       reported_all_at;    /**< last report to nodes of all zones */
+    cw_time_us_t       reported_full_at;   /**< last report that held names and paces */
+    cw_time_us_t       reported_leader_at; /**< last report to the leader */
+    cw_time_us_t       sent_keys_at;       /**< last time that key samples were sent to the leader */
+    cw_time_us_t       named_until;   /**< reports hold this node's name until then: a node was heard first or again */
+    bool               zone_due;      /**< something has changed that the nodes of this zone are to learn */
+    bool               all_due;       /**< something has changed that all nodes are to learn */
     cw_queue_lengths_t queue_lengths; /**< of other nodes */
 
-    /* reading the store for others */
+    /* reading the store on behalf of other nodes */
     bool         is_reader;
-    cw_time_us_t ranked_at;      /**< when that was worked out last */
+    cw_time_us_t ranked_at;      /**< last decision whether this node is a reader */
     cw_time_us_t notice_sent_at; /**< last notice to the zone */
 
     /* the configuration */
     cw_configuration_exchange_t *exchange;
     cw_configuration_freshness_t freshness;
-    cw_credential_evidence_t     credential_evidence; /**< how old `freshness` may grow for callers' keys */
-    cw_configuration_newest_t    configuration_newest;
+    cw_credential_evidence_t
+        credential_evidence; /**< limits the age of `freshness` up to which callers' keys are accepted */
+    cw_configuration_newest_t configuration_newest;
 
     cw_router_list_exchange_t *list_exchange;
 
-    /* what this node goes by */
-    cw_server_view_t   server_view; /**< the list of servers in force */
-    cw_zone_service_t *zones;       /**< which zones are out of service, by that list */
-    cw_cold_rate_t    *cold_rate;   /**< which nodes send to cold servers */
-    cw_time_us_t       sharers_gathered_at;
-    bool               reading_servers; /**< this node reads the list itself */
-    bool               reading_copy;    /**< from a copy, that may be seconds old */
-    cw_time_us_t       servers_read_at; /**< sending of that read */
-    cw_time_us_t       servers_lag;     /**< what changed in so long before the last one may be missing in it */
-    uint64_t           view_term;
-    uint64_t           view_servers;
-    uint64_t           view_tables;
-    cw_time_us_t       tables_at; /**< when the tables were surely true */
+    /* the view: the list of servers and the tables of keys that this node routes by */
+    cw_server_view_t   server_view;         /**< the list of servers in force */
+    cw_zone_service_t *zones;               /**< zones out of service according to that list */
+    cw_cold_rate_t    *cold_rate;           /**< which nodes send to cold servers */
+    cw_time_us_t       sharers_gathered_at; /**< last update of those nodes */
+    bool               reading_servers;     /**< a read of the list by this node is in progress */
+    bool               reading_copy;        /**< that read is from a copy, which may be seconds old */
+    cw_time_us_t       servers_read_at;     /**< when the last read of the list was sent */
+    cw_time_us_t       servers_lag;         /**< the last read may lack the changes of this long before it */
+    uint64_t           view_term;           /**< term of the leader that numbered this node's view */
+    uint64_t           view_servers;        /**< number of this node's list in that term; 0: none */
+    uint64_t           view_tables;         /**< number of this node's tables in that term; 0: none */
+    cw_time_us_t       tables_at;           /**< last time that the tables were known to be true; 0: never */
     cw_time_us_t       leader_heartbeat_at;
     uint64_t           leader_term;
-    bool               leader_silent;  /**< logged */
-    bool               tables_expired; /**< logged */
-    char               leader_node[CW_NODE_NAME_MAX];
-    cw_view_parts_t   *view_parts; /**< what the leader and relays are telling */
+    bool               leader_silent;                 /**< the leader's heartbeat is overdue, which has been logged */
+    bool               tables_expired;                /**< the tables are too old to route by, which has been logged */
+    char               leader_node[CW_NODE_NAME_MAX]; /**< name; empty: not known */
+    cw_view_parts_t   *view_parts; /**< updates from the leader and from relays of which pages are still missing */
     cw_key_tables_t    tables;
     uint64_t           tables_hash;
-    cw_time_us_t       tables_read_at;
-    uint32_t           table_reads; /**< under way */
+    cw_time_us_t       tables_read_at; /**< when the records of assignments were last read from the store */
+    uint32_t           table_reads;    /**< such reads in progress */
     cw_store_reach_t   store_reach;
 
     /* leading */
     cw_leadership_t         leadership;
     cw_leader_tenure_t      tenure;
-    uint64_t                lead_servers; /**< number of the list that others are sent */
-    uint64_t                lead_tables;
+    uint64_t                lead_servers; /**< number of the list that this leader sends to the others */
+    uint64_t                lead_tables;  /**< number of its tables; 0: it has not published any in this term */
     cw_table_publication_t  table_publication;
     cw_replaced_numbers_t   replaced_servers;
     cw_replaced_numbers_t   replaced_tables;
     cw_list_history_t       list_history;
-    cw_send_allowance_t     push_allowance; /**< for bringing others up to date */
+    cw_send_allowance_t     push_allowance; /**< bytes that may be sent to bring other nodes up to date */
     cw_relay_delays_t       relay_delays;
     cw_pass_on_queue_t     *pass_on;
-    cw_order_trust_t       *order_trust; /**< servers that this leader's orders did not reach */
+    cw_order_trust_t       *order_trust; /**< servers that this leader's orders have not reached lately */
     cw_service_assignment_t keyed[CW_KEYED_SERVICES_MAX];
     size_t                  keyed_count;
 } cw_router_t;
 
+/** Time of the node's event loop, on its steady clock. */
 cw_time_us_t cw_router_now(const cw_router_t *router);
 
 /* ---- router_callers.c ---- */
@@ -186,32 +194,35 @@
 int cw_router_callers_start(cw_router_t *router);
 
 /* ---- router_own.c ---- */
-/** Listens for questions about this node: readiness, status, metrics. Returns 0 or a libuv error. */
+/** Listens for queries about this node: readiness, status, metrics. Returns 0 or a libuv error. */
 int cw_router_own_start(cw_router_t *router);
 
 /* ---- router_reload.c ---- */
-/** Modification time and size of a file, mixed; 0: there is none. */
-int64_t cw_router_file_state(const char *file_name);
-/** Reads the settings file again; what may change while the process runs is taken over. */
+/** A number that changes with the file's modification time, size and inode; 0: the file does not exist. */
+int64_t cw_router_file_fingerprint(const char *file_name);
+/** Reads the settings file again and applies the settings that may change while the process runs. */
 void cw_router_reload(cw_router_t *router);
-/** The same if the file has changed, looked at a few times a second. */
+/** Does the same if the file has changed. Called with each tick; checks the file twice a second. */
 void cw_router_check_file(cw_router_t *router, cw_time_us_t now);
 
 /* ---- router_stop.c ---- */
 /** Begins a planned stop, unless one has begun. */
 void cw_router_stop(cw_router_t *router);
-/** Ends the process when it is time to. */
+/** Stops the event loop once a planned stop is complete or its deadline has passed. Called with each tick. */
 void cw_router_check_stop(cw_router_t *router, cw_time_us_t now);
 
 /* ---- router_peers.c ---- */
+/** Adds the seeds of the settings as peers. Called at the start and after each reload of the settings. */
 void cw_router_peers_init(cw_router_t *router);
+/** Sends the reports that are due, and detects lost peers. */
 void cw_router_peers_tick(cw_router_t *router, cw_time_us_t now);
-/** How long reports of a node that sends no more still count. */
+/** How long the last report of a node that sends no further ones is used. */
 cw_time_us_t cw_router_report_life(const cw_router_t *router);
-void         cw_router_note_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent);
+/** Logs that a peer was lost or is back. silent: for how long it had not been heard from. */
+void cw_router_note_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent);
 
 /* ---- router_report.c ---- */
-/** Parts of a report that are left out where nobody needs them. */
+/** Optional parts of a report; each is left out where no receiver needs it. */
 enum {
     CW_REPORT_NAMES = 1,
     CW_REPORT_PACES = 2,
@@ -219,262 +230,329 @@
     CW_REPORT_LOADS = 8,
     CW_REPORT_KEYS = 16
 };
-/** Packs a report of this node as it is now, for cw_peer_link_send_packed. parts: CW_REPORT_ values, added. */
+/** Packs a report of this node's current state, for cw_peer_link_send_packed. parts: CW_REPORT_ flags. Returns its
+ * length. */
 size_t cw_router_pack_report(cw_router_t *router, uint32_t parts, cw_time_us_t now);
 
 /* ---- router_relay.c ---- */
+/** Creates the state of relays. */
 void cw_router_relay_init(cw_router_t *router);
+/** Determines the relays of each zone and, on a relay, sends the summaries that are due. */
 void cw_router_relay_tick(cw_router_t *router, cw_time_us_t now);
+/** Handles a summary of another zone. */
 void cw_router_take_zone_summary(cw_router_t *router, const Cwp__Datagram *datagram, cw_time_us_t now);
-/** Do relays keep this node and the nodes of the peer's zone informed of one another? */
+/** Whether relays keep this node and the nodes of the peer's zone informed of one another. */
 bool cw_router_is_covered(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
-/** Are the peer's requests counted in sums of its zone that this node gets? */
+/** Whether the peer's requests are counted in sums of its zone that this node receives. */
 bool cw_router_is_summed(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
-/** Is the peer one of the relays of its zone? */
+/** Whether the peer is one of the relays of its zone. */
 bool cw_router_is_relay(const cw_router_t *router, const cw_peer_t *peer);
-/** Is this node one, and is it the first one? */
+/** Whether this node is a relay of its zone. */
 bool cw_router_is_own_relay(const cw_router_t *router);
+/** Whether this node is the first relay of its zone. */
 bool cw_router_is_first_relay(const cw_router_t *router);
-/** Did this node stand still a moment ago, so that nobody knows how old a datagram is that is read now? */
+/** Whether this node was stalled a moment ago: a datagram that is read now may have waited in the socket meanwhile, so
+ * its age is not known. */
 bool cw_router_is_of_backlog(const cw_router_t *router, cw_time_us_t now);
-/** Asks for the whole list, or tables, if what this node has under the leader's number has long been another. */
+/** Requests the whole list, or the tables, if this node's copy has the number of the leader's but has differed from it
+ * (by hash) for long. */
 void cw_router_check_view(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now);
-/** Nodes of the largest zone, as far as known. */
+/** Number of nodes of the largest zone, as far as this node knows. */
 uint32_t cw_router_largest_zone(const cw_router_t *router);
 
 /* ---- router_pass_on.c ---- */
+/** Creates the queue of updates that this node, as a relay, forwards. */
 void cw_router_pass_on_init(cw_router_t *router);
-/** Sends a page of changes that the leader has sent this relay to the other nodes of its zone. */
+/** Forwards a page of changes, which the leader has sent to this relay, to the other nodes of its zone. */
 void cw_router_pass_on_page(cw_router_t *router, const Cwp__Datagram *datagram);
-/** Goes on with what waits for the allowance. */
+/** Sends queued pages as far as the send allowance permits. */
 void cw_router_pass_on_tick(cw_router_t *router, cw_time_us_t now);
-/** Sends the leader's heartbeat, which has just come with a report, to the zone, if this node is a relay. */
+/** If this node is a relay, forwards the leader's heartbeat, which has just arrived with a report, to its zone. */
 void cw_router_pass_on_heartbeat(cw_router_t *router, const cw_peer_t *leader, const Cwp__NodeReport *report);
+/** Handles a leader's heartbeat that a relay has forwarded. */
 void cw_router_take_passed_heartbeat(cw_router_t *router, const cw_peer_t *sender, const Cwp__PassedHeartbeat *passed,
                                      cw_time_us_t now);
 
 /* ---- router_list_exchange.c ---- */
+/** Creates the exchange of whole lists. */
 void cw_router_list_exchange_init(cw_router_t *router);
+/** Frees it. Only tests do. */
 void cw_router_list_exchange_free(cw_router_t *router);
+/** Requests missing pages, and sends the pages that others have requested. */
 void cw_router_list_exchange_tick(cw_router_t *router, cw_time_us_t now);
-/** The leader's heartbeat names its newest list. */
+/** Notes the number of the newest list, which the leader's heartbeat names. */
 void cw_router_list_exchange_heartbeat(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now);
-/** A node has reported which list it has. */
+/** Notes which list the peer has according to its report. */
 void cw_router_list_exchange_note(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
-/** A page of a whole list has come; `next_missing`: first page not yet here, page->pages when none is. */
+/** Notes that a page of a whole list has arrived. next_missing: the first page still missing; page->pages if none is.
+ */
 void cw_router_list_exchange_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
                                   uint32_t next_missing);
-/** A node names another one that has the list, in place of pages. */
+/** Handles a reply that holds no pages, but names another node that has the list. */
 void cw_router_list_exchange_redirected(cw_router_t *router, const Cwp__ServersPage *page);
+/** Handles a peer's request for pages of the whole list. */
 void cw_router_take_list_request(cw_router_t *router, const cw_peer_t *peer, const Cwp__ListRequest *request);
-/** Does a node that lacks the whole list get it from another one of its zone, which has it or is a relay? */
+/** Whether the peer, if it lacks the whole list, gets it from another node of its zone, which has it or is a relay. */
 bool cw_router_gets_list_in_zone(const cw_router_t *router, const cw_peer_t *peer);
 
 /* ---- router_push.c ---- */
-/** What is sent to a peer: changes since number `base`, or the whole (0). pass_on: the peer, a relay, is to pass it on.
- */
+/** What an update for a peer contains. */
 typedef struct cw_push_scope {
-    uint64_t base;
-    bool     pass_on;
+    uint64_t base;    /**< the changes since the list (or tables) of this number; 0: the whole */
+    bool     pass_on; /**< the peer is a relay and forwards the update to its zone */
 } cw_push_scope_t;
-/** Pages that were packed for one peer, for others that lack the same. Valid within one turn of the loop. */
+/** Pages packed for one peer, reused for others that need the same ones. Valid within one iteration of the event loop.
+ */
 typedef struct cw_packed_pages {
     cw_datagram_batch_t batch;
     cw_push_scope_t     scope;
     bool                is_packed;
 } cw_packed_pages_t;
-/** Sends the list, or the tables, as this node has them. */
+/** Sends this node's list of servers. */
 void cw_router_send_servers(cw_router_t *router, const cw_peer_t *peer, const cw_push_scope_t *scope,
                             cw_packed_pages_t *packed);
+/** Sends this node's tables of keys. */
 void cw_router_send_tables(cw_router_t *router, const cw_peer_t *peer, const cw_push_scope_t *scope,
                            cw_packed_pages_t *packed);
-/** Does a relay of its zone send this node what it lacks? */
+/** Whether the peer gets the leader's changes from a relay of its zone instead of from the leader. */
 bool cw_router_is_fed_by_relay(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
-/** Bytes that may be sent to bring others up to date. */
+/** Sets up the send allowance for updates to other nodes. */
 void cw_router_push_init(cw_router_t *router);
-/** When what was sent just now is sent again. */
+/** Notes that an update was sent just now; returns when to send it again. */
 cw_time_us_t cw_router_next_push(cw_push_state_t *push, cw_time_us_t now);
-/** This node leads now: others look first whether they have what it has. */
+/** Begins a term of this leader: nothing is sent until the others have had time to find, by hashes, that what they
+ * have is the same. */
 void cw_router_push_begin(cw_router_t *router, cw_time_us_t now);
-/** A new number of the list (or the tables): sent at once to those that had the one before. */
+/** A list with a new number is in force: it is sent at once to the peers that had the one before. */
 void cw_router_servers_changed(cw_router_t *router, cw_time_us_t now);
+/** The same for the tables. */
 void cw_router_tables_changed(cw_router_t *router);
-/** Pushes the list (or the tables) to peers that have an older one. */
+/** Sends the list to peers that have an older one. */
 void cw_router_push_servers(cw_router_t *router, cw_time_us_t now);
+/** Sends the tables to peers that have older ones. */
 void cw_router_push_tables(cw_router_t *router, cw_time_us_t now);
 /** Sends nodes that know few others the addresses of those that this node knows. */
 void cw_router_push_nodes(cw_router_t *router, cw_time_us_t now);
 
 /* ---- router_configuration.c ---- */
-/** Version in force; 0: none yet. */
+/** Version of the configuration in force; 0: none yet. */
 uint64_t cw_router_version(const cw_router_t *router);
-void     cw_router_on_configuration(void *context, cw_configuration_t *configuration, const char *problem);
-/** Another node has this version in force. */
+/** Callback of the store adapter: a configuration was read, whose reference passes to the callee. problem: why it
+ * cannot be used; NULL: it can. */
+void cw_router_on_configuration(void *context, cw_configuration_t *configuration, const char *problem);
+/** Notes that another node has this version in force; a newer one is requested from it. */
 void cw_router_note_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now);
-/** An answer of the store shows that no configuration above this version had been acknowledged at that moment. */
+/** Callback of the store adapter: an answer of the store shows that no configuration above this version had been
+ * acknowledged at that time. */
 void cw_router_on_newest(void *context, uint64_t version, cw_time_us_t at);
-/** Brings a configuration, given away, into force if it is higher than the one that is. */
+/** Brings a configuration into force if its version is higher than that of the one in force, and returns whether it
+ * did. The reference passes to the callee in either case. */
 bool cw_router_use_configuration(cw_router_t *router, cw_configuration_t *configuration);
+/** Applies what depends on the age of the configuration in force. Called with each tick. */
 void cw_router_configuration_tick(cw_router_t *router, cw_time_us_t now);
 
 /* ---- router_share.c ---- */
-/** Is this node so new that others hold it to no bound yet, and do not know it? It reads little, and from copies. */
+/** Whether this process started so recently that the others do not know it yet and no time bounds apply to it. It reads
+ * little from the store then, and from copies. */
 bool cw_router_is_new(const cw_router_t *router, cw_time_us_t now);
+/** Sets up the exchange of configurations between nodes. */
 void cw_router_share_init(cw_router_t *router);
+/** Decides whether this node reads the store for its zone and, if it does, sends the notices that are due. */
 void cw_router_share_tick(cw_router_t *router, cw_time_us_t now);
-/** A configuration came into force here. is_first_hand: from the store, not from another node. */
+/** Notes that a configuration came into force here; a reader or leader announces it to all nodes if it is first-hand.
+ * is_first_hand: it was read from the store, not received from another node. */
 void cw_router_share_configuration(cw_router_t *router, bool is_first_hand, cw_time_us_t now);
+/** Handles a reader's notice of what it has read from the store. */
 void cw_router_take_notice(cw_router_t *router, cw_peer_t *peer, const Cwp__StoreNotice *notice, cw_time_us_t now);
 
 /* ---- router_receive.c ---- */
+/** Callback of the peer link: passes a received datagram to the function that handles its kind. */
 void cw_router_datagram(void *context, cw_peer_t *peer, const Cwp__Datagram *datagram);
-/** Replaces what this sender reported before of requests that wait there. */
+/** Replaces the numbers of waiting requests that this sender reported before. */
 void cw_router_take_queues(cw_router_t *router, uint64_t sender, bool is_near, Cwp__QueueLength *const *queues,
                            size_t count, cw_time_us_t now);
 
 /* ---- router_view.c ---- */
-/** Offers a list, which is given away. False: a later one is in force. */
+/** Offers a list of servers; its reference passes to the callee. False: a later one is in force. */
 bool cw_router_take_servers(cw_router_t *router, const cw_server_reading_t *reading);
-/** A list was not taken, since one of a later revision is in force. source: on which way it came. */
+/** Logs that a list was not used, since one of a later revision is in force. source: how it was received. */
 void cw_router_note_older_servers(const cw_router_t *router, uint64_t revision, const char *source);
-/** Routes by the tables as they are now, and by the servers known now. */
+/** Applies the current tables, together with the servers known now, to the routing of requests. */
 void cw_router_use_tables(cw_router_t *router);
+/** Handles the leader's heartbeat. */
 void cw_router_take_leader_heartbeat(cw_router_t *router, const cw_peer_t *peer, const Cwp__LeaderHeartbeat *heartbeat,
                                      cw_time_us_t now);
-/** Reads what no leader sends. */
+/** Reads the list and the records of assignments from the store where no leader sends them. */
 void cw_router_view_tick(cw_router_t *router, cw_time_us_t now);
+/** Callback of the store adapter: the list of servers was read, or could not be. */
 void cw_router_on_servers(void *context, const cw_servers_read_t *read);
-/** The tables in force were still true then, as a node that has the same ones has read. */
+/** Notes that the tables in force were still true at this time, as a node with the same tables has read in the store.
+ */
 void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t true_at);
+/** Whether this node has read or received tables of keys; true also if no service is divided by key. */
 bool cw_router_tables_known(const cw_router_t *router);
 
 /* ---- router_zones.c ---- */
+/** Creates the state of zones out of service and of the rate of cold servers. */
 void cw_router_zones_init(cw_router_t *router);
-/** Another list is in force: servers and zones out of service by it. before_true_at: of the list before. */
+/** Applies the servers and the zones out of service of a list that has just come into force. before_true_at: last time
+ * that the previous list was known to be true; 0: not known. */
 void cw_router_use_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now);
-/** As configured: how the servers of each service start. */
+/** Applies the configured warm-up of each service's servers. */
 void cw_router_use_warm_ups(cw_router_t *router);
+/** Updates the nodes that share the sending to cold servers. */
 void cw_router_zones_tick(cw_router_t *router, cw_time_us_t now);
 
 /* ---- router_slots.c ---- */
+/** Creates the broker of slots, and connects it to the engine. */
 void cw_router_slots_init(cw_router_t *router);
+/** Updates the candidates for counting slots, and the slots that this node counts. */
 void cw_router_slots_tick(cw_router_t *router, cw_time_us_t now);
-/** Nodes that run and whose zone is known, this one among them unless it stops; gathered anew a few times a second. */
+/** Nodes that are alive and whose zone is known, including this one unless it is stopping; updated ten times a second.
+ * Borrowed until the next update. */
 const cw_broker_candidate_t *cw_router_candidates(const cw_router_t *router, size_t *count);
-/** Are there so many nodes that these do not report each request to one another? */
+/** Whether there are so many nodes that they do not report each request to one another. */
 bool cw_router_nodes_are_many(const cw_router_t *router);
+/** Handles a node's request for a slot that this node counts. */
 void cw_router_take_slot_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotAsk *message);
+/** Handles the reply to a request of this node for a slot. */
 void cw_router_take_slot_reply(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReply *message);
+/** Handles the return of a slot that this node counts. */
 void cw_router_take_slot_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReturn *message);
 
 /* ---- router_broadcast.c ---- */
-/** How far a broadcast has come. */
+/** Stages of a broadcast. */
 enum {
-    CW_BROADCAST_FROM_NODE,     /**< that has something to tell, to its zone */
-    CW_BROADCAST_BETWEEN_ZONES, /**< from a relay to relays of other zones */
-    CW_BROADCAST_INSIDE_ZONE    /**< from such a relay to its zone */
+    CW_BROADCAST_FROM_NODE,     /**< from the node that broadcasts to the nodes of its zone */
+    CW_BROADCAST_BETWEEN_ZONES, /**< from a relay of that zone to relays of other zones */
+    CW_BROADCAST_INSIDE_ZONE    /**< from a relay of another zone to the nodes of that zone */
 };
-/** Sends the datagram packed last, of the first stage, to all nodes. */
+/** Sends the datagram that was packed last, whose stage is CW_BROADCAST_FROM_NODE, on its way to all nodes. */
 void cw_router_broadcast(cw_router_t *router, size_t length, cw_time_us_t now);
-/** If this node is a relay that has to: sends it on. stage: the datagram's own, which is changed. */
+/** Forwards a broadcast datagram if this node is a relay that has to at this stage. stage: the datagram's own field,
+ * which is raised by one then. */
 void cw_router_pass_on_broadcast(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
                                  uint32_t *stage);
 
 /* ---- router_crashes.c ---- */
+/** Creates the register of suspected requests, and connects it to the engine. */
 void cw_router_crashes_init(cw_router_t *router);
+/** Expires suspects, and reports crashes to the other nodes. */
 void cw_router_crashes_tick(cw_router_t *router, cw_time_us_t now);
-/** An entry is no longer in the list. */
+/** Notes that an entry is no longer in the list of servers. */
 void cw_router_crashes_note_gone(cw_router_t *router, const cw_server_entry_t *entry);
+/** Handles crashes that another node reports, and forwards the report if this node is a relay that has to. */
 void cw_router_take_crash_report(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
                                  cw_time_us_t now);
 
 /* ---- router_signals.c ---- */
+/** Creates the queue of notices of servers' rate limits. */
 void cw_router_signals_init(cw_router_t *router);
+/** Broadcasts the notices of servers' rate limits that are due. */
 void cw_router_signals_tick(cw_router_t *router, cw_time_us_t now);
-/** The limit of the server of this hash, for a message; false: it has none now. */
+/** Fills in the rate limit of the server with this hash; false: it has none now. */
 bool cw_router_limits_pack(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message);
-/** Another node states a server's limit. */
+/** Handles a server's rate limit that another node states. */
 void cw_router_limits_take(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now);
+/** Handles a broadcast notice of servers' rate limits, and forwards it if this node is a relay that has to. */
 void cw_router_take_signal_notice(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
                                   cw_time_us_t now);
 
 /* ---- router_store_calls.c ---- */
-/** Logs the calls to the store since the last line, each few seconds in which there were any. */
+/** Every few seconds, logs the number of calls to the store since the last such line, if there were any. */
 void cw_router_store_calls_tick(cw_time_us_t now);
 
 /* ---- router_traffic.c ---- */
-/** What this node has sent to others, as Prometheus text. */
+/** Appends the metrics of datagrams sent to other nodes, as Prometheus text. */
 void cw_router_traffic_metrics(const cw_router_t *router, cw_bytes_t *text);
-/** The same as one line of the log. */
+/** Logs the same as one line. */
 void cw_router_note_traffic(const cw_router_t *router);
 
 /* ---- router_detours.c ---- */
+/** Creates the table of detours. */
 void cw_router_detours_init(cw_router_t *router);
-/** Looks for ways to nodes that may be cut off from this one alone. */
+/** Looks for routes, by way of other nodes, to nodes that may be cut off from this one alone. */
 void cw_router_detours_tick(cw_router_t *router, cw_time_us_t now);
+/** Handles a datagram that another node has forwarded, or that this node is to forward. */
 void cw_router_take_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour);
-/** Is the peer alive, as far as this node, or another one on its behalf, has received from it lately? */
+/** Whether this node, or another one on its behalf, has received from the peer lately. */
 bool cw_router_is_alive(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
-/** Do datagrams pass between this node and the peer both ways, directly or by way of another node? */
+/** Whether datagrams pass in both directions between this node and the peer, directly or by way of another node. */
 bool cw_router_is_in_touch(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
-/** Sends directly, or by way of another node where one is known to bring the peer what does not arrive directly. False:
- * the datagram is too long. */
+/** Sends a datagram directly, or by way of another node where one is known to reach a peer that direct datagrams do
+ * not. False: the datagram is too long. */
 bool cw_router_send_to(cw_router_t *router, const cw_peer_t *peer, const Cwp__Datagram *datagram);
 
 /* ---- router_quota.c, router_quota_choice.c, router_quota_wire.c ---- */
+/** Creates the counting of tenants' limits, and connects it to the engine. */
 void cw_router_quota_init(cw_router_t *router);
+/** Applies changed limits, updates the candidates for counting, and sends the reports that are due. */
 void cw_router_quota_tick(cw_router_t *router, cw_time_us_t now);
-/** A lock or a heartbeat states how many nodes there are; 0: it does not know. Limits go by it at once. */
+/** Notes how many nodes there are according to a leader's lock or heartbeat; 0: the leader does not know. Limits are
+ * divided by the new number at once. */
 void cw_router_note_nodes(cw_router_t *router, uint32_t nodes);
-/** Part of what all nodes share that this node may give out: as large as the part of the nodes that it reaches. */
+/** Fraction of a shared limit that this node may give out: the fraction of all nodes that it reaches. */
 double cw_router_quota_share(const cw_router_t *router);
-void   cw_router_take_quota_report(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReport *report);
-void   cw_router_take_quota_status(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaStatus *status);
-void   cw_router_take_quota_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaAsk *ask);
-void   cw_router_take_quota_grant(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaGrant *grant);
-void   cw_router_take_quota_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReturn *returned);
+/** Handles a node's report of the requests that it admitted. */
+void cw_router_take_quota_report(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReport *report);
+/** Handles a counting node's reply to a report, or its notice that a tenant is metered. */
+void cw_router_take_quota_status(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaStatus *status);
+/** Handles a node's request for tokens of a tenant. */
+void cw_router_take_quota_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaAsk *ask);
+/** Handles a counting node's grant of tokens. */
+void cw_router_take_quota_grant(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaGrant *grant);
+/** Handles the return of unused tokens. */
+void cw_router_take_quota_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReturn *returned);
 
 /* ---- router_take.c ---- */
-/** What this node goes by is of this term from now on, if it is a later one; it has nothing of it yet. */
+/** Moves this node's view to the term if it is a later one than the view's; nothing numbered in it is known yet. */
 void cw_router_begin_term(cw_router_t *router, uint64_t term);
+/** Handles a page of the list of servers. */
 void cw_router_take_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page);
+/** Handles a page of the tables of keys. */
 void cw_router_take_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page);
+/** Handles a peer's acknowledgement of the list and tables that it has. */
 void cw_router_take_ack(cw_router_t *router, cw_peer_t *peer, const Cwp__ViewAck *ack);
-/** Takes the leader's numbers over where what this node has is the same by its hash. */
+/** Adopts the leader's numbers for the list and the tables where this node's copies have the same hash. */
 void cw_router_adopt(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat);
 
 /* ---- router_plan.c ---- */
-/** Makes a plan for a service this node leads, if it is time for one. */
+/** Plans the ownership of keys of one service, if a plan is due. Called on the leader with each tick. */
 void cw_router_plan(cw_router_t *router, cw_service_assignment_t *keyed, cw_time_us_t now);
-/** Counts imbalance, churn and unavailable time of a service this node leads. */
+/** Adds to the measures of a service: imbalance, churn, unavailable time. Called on the leader with each tick. */
 void cw_router_measure(cw_service_assignment_t *keyed, cw_time_us_t now);
 
 /* ---- router_assigners.c ---- */
-/** Makes an assigner for each service divided by key that has none yet. */
-void cw_router_find_keyed(cw_router_t *router);
-void cw_router_end_assigners(cw_router_t *router);
-/** Brings changed assignments into the tables, and sends these, if it is time to. */
+/** Creates an assigner for each configured service divided by key that has none yet. */
+void cw_router_create_assigners(cw_router_t *router);
+/** Frees all assigners. Called when a term of this leader begins or ends. */
+void cw_router_free_assigners(cw_router_t *router);
+/** Updates the tables with changed assignments and sends them to the other nodes, if a publication is due. */
 void cw_router_publish_tables(cw_router_t *router, cw_time_us_t now);
-/** Keys of requests that a node has seen. Borrowed. */
+/** A sample of the keys of requests that a node has seen. Borrowed. */
 typedef struct cw_router_samples {
     const uint32_t *keys;
-    const uint32_t *regions; /**< where each may go (region_mask.h); NULL: all of them anywhere */
+    const uint32_t *regions; /**< for each key, where its requests may go (region_mask.h); NULL: anywhere */
     size_t          count;
-    uint32_t        seen; /**< requests that they stand for */
-    const char     *zone; /**< of that node */
+    uint32_t        seen; /**< number of requests that the sample stands for */
+    const char     *zone; /**< of the node that saw them */
 } cw_router_samples_t;
+/** Adds a sample to the load of a service, if this node leads it. */
 void cw_router_take_samples(cw_router_t *router, uint32_t service_hash, const cw_router_samples_t *samples,
                             cw_time_us_t now);
 
 /* ---- router_lead.c ---- */
+/** Creates the state of leadership. The settings of the lock come from the node's settings. */
 void cw_router_lead_init(cw_router_t *router);
+/** Follows or renews the lock and, on the leader, plans, renews grants and sends updates. */
 void cw_router_lead_tick(cw_router_t *router, cw_time_us_t now);
-/** How much this node can carry as the leader; thousandths of a core, as far as its link goes with them. */
+/** This node's capacity to lead, in thousandths of a core: its share of the CPU or, if lower, what its link allows. */
 uint32_t cw_router_capability(const cw_router_t *router);
-bool     cw_router_is_able(const cw_router_t *router, cw_time_us_t now);
-/** The store answered a call of this node, or did not. */
+/** Whether this node leads and its lock has not run out. */
+bool cw_router_is_able(const cw_router_t *router, cw_time_us_t now);
+/** Notes whether the store answered a call of this node, and logs when the store is lost or back. */
 void cw_router_store_result(cw_router_t *router, bool answered, cw_time_us_t now);
-/** The same for calls of standing readers. */
+/** Callback of the store adapter: the same for the calls of its standing readers. */
 void cw_router_on_answered(void *context, bool is_answered);
 
 #endif
--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -100,7 +100,7 @@
         (void)cw_peer_link_learn_text(router->link, router->leadership.lock.address, now);
     }
     if (router->leadership.leading && (!before || router->leadership.lock.term != term)) {
-        cw_router_end_assigners(router);
+        cw_router_free_assigners(router);
         cw_leader_tenure_begin(&router->tenure, now);
         router->lead_servers = 1;
         router->lead_tables = 0;
@@ -120,7 +120,7 @@
             cw_leader_tenure_release(&router->tenure, term, now);
             router->all_due = true; /* others need not wait until they miss the leader's heartbeat */
         }
-        cw_router_end_assigners(router);
+        cw_router_free_assigners(router);
         router->lead_tables = 0;
         router->view_term = 0;
         router->leader_node[0] = '\0';
@@ -330,7 +330,7 @@
     if (!router->leadership.leading || !able || router->configuration == NULL) {
         return;
     }
-    cw_router_find_keyed(router);
+    cw_router_create_assigners(router);
     cw_order_trust_expire(router->order_trust, now);
     for (index = 0; index < router->keyed_count; index++) {
         cw_router_plan(router, &router->keyed[index], now);
--- a/src/router/router_reload.c
+++ b/src/router/router_reload.c
@@ -1,14 +1,14 @@
 /**
  * @file router_reload.c
- * @brief The settings file: read again when it has changed, or on SIGHUP.
+ * @brief Reloads the settings file when it has changed, or on SIGHUP.
  */
 #include <sys/stat.h>
 
 #include "router/router_internal.h"
 
-enum { FILE_CHECK_MS = 500 /* between looks at the file: it may change without a signal */ };
+enum { FILE_CHECK_MS = 500 /* between checks of the file, which may change without a signal */ };
 
-int64_t cw_router_file_state(const char *file_name)
+int64_t cw_router_file_fingerprint(const char *file_name)
 {
     struct stat status;
 
@@ -24,12 +24,12 @@
     cw_router_settings_t settings;
     cw_findings_t        findings;
     cw_event_t           event;
-    bool                 good;
+    bool                 is_valid;
 
     cw_findings_init(&findings);
-    good = cw_router_settings_read(&settings, router->file_name, &findings) == 0;
-    if (good) {
-        /* Identity, addresses and holds are those of the start; what may change while it runs is taken over. */
+    is_valid = cw_router_settings_read(&settings, router->file_name, &findings) == 0;
+    if (is_valid) {
+        /* Only these settings may change while the process runs; identity, addresses and holds stay as at the start. */
         memcpy(router->settings.seeds, settings.seeds, sizeof(settings.seeds));
         router->settings.seed_count = settings.seed_count;
         router->settings.log_level = settings.log_level;
@@ -38,7 +38,7 @@
         cw_router_peers_init(router);
     }
     if (cw_event_begin(&event, CW_EVENT_RELOAD)) {
-        cw_event_text(&event, CW_FIELD_DETAIL, good ? "taken" : "the file has findings: nothing taken");
+        cw_event_text(&event, CW_FIELD_DETAIL, is_valid ? "taken" : "the file has findings: nothing taken");
         cw_event_number(&event, CW_FIELD_COUNT, (int64_t)findings.count);
         cw_event_end(&event);
     }
@@ -47,21 +47,21 @@
 
 void cw_router_check_file(cw_router_t *router, cw_time_us_t now)
 {
-    int64_t state;
+    int64_t fingerprint;
 
     if (now - router->checked_file_at < CW_MS(FILE_CHECK_MS)) {
         return;
     }
     router->checked_file_at = now;
-    state = cw_router_file_state(router->file_name);
-    if (state != 0 && state != router->file_changed) {
-        router->file_changed = state;
+    fingerprint = cw_router_file_fingerprint(router->file_name);
+    if (fingerprint != 0 && fingerprint != router->file_fingerprint) {
+        router->file_fingerprint = fingerprint;
         reload(router);
     }
 }
 
 void cw_router_reload(cw_router_t *router)
 {
-    router->file_changed = cw_router_file_state(router->file_name);
+    router->file_fingerprint = cw_router_file_fingerprint(router->file_name);
     reload(router);
 }
--- a/src/router/router_stop.c
+++ b/src/router/router_stop.c
@@ -2,16 +2,19 @@
  * @file router_stop.c
  * @brief A planned stop.
  *
- * Not ready at once, orders and leadership are handed over, answers go on and end their connections; the process ends
- * when nothing is in flight and the entry has had time to see that it is not ready, and at the latest a little before
- * the grace ends.
+ * The node reports at once that it is not ready. It hands over leadership, and with it the orders to servers. Requests
+ * that have arrived are still answered, and each answer ends its connection. The process ends when no connection is
+ * left and the load balancer in front of the nodes has had time to see that the node is not ready, and at the latest a
+ * little before the stop grace ends.
  */
 #include "router/router_internal.h"
 
 enum {
-    STOP_LISTEN_MS = 3600, /* the entry asks each second, and twice */
-    STOP_MARGIN_MS = 400,  /* before the grace is over: a busy machine's turn, and the way of the last bytes */
-    STOP_ANSWERS_MS = 100  /* before that: the last answers are written */
+    STOP_LISTEN_MS = 3600, /* how long the node listens on: the load balancer checks readiness each second, and needs
+                              two failed checks */
+    STOP_MARGIN_MS = 400,  /* from the process's end to the end of the grace: for delays on a busy machine, and for the
+                              last bytes to be delivered */
+    STOP_ANSWERS_MS = 100  /* from the last answers to the process's end: they are written meanwhile */
 };
 
 void cw_router_stop(cw_router_t *router)
@@ -28,15 +31,15 @@
         cw_event_end(&event);
     }
     cw_http_listener_end_connections(router->callers);
-    router->stop_by = router->stopping_at + router->settings.stop_grace - CW_MS(STOP_MARGIN_MS);
-    cw_engine_stop(router->engine, router->stop_by - CW_MS(STOP_ANSWERS_MS));
+    router->stop_deadline = router->stopping_at + router->settings.stop_grace - CW_MS(STOP_MARGIN_MS);
+    cw_engine_stop(router->engine, router->stop_deadline - CW_MS(STOP_ANSWERS_MS));
     cw_leadership_resign(&router->leadership, router->stopping_at);
 }
 
 void cw_router_check_stop(cw_router_t *router, cw_time_us_t now)
 {
     cw_time_us_t since = now - router->stopping_at;
-    bool         over = now >= router->stop_by;
+    bool         is_past_deadline = now >= router->stop_deadline;
 
     if (router->stopping_at == 0) {
         return;
@@ -44,7 +47,7 @@
     if (since >= CW_MS(STOP_LISTEN_MS)) {
         cw_http_listener_close(router->callers);
     }
-    if (over || (since >= CW_MS(STOP_LISTEN_MS) && cw_http_listener_connections(router->callers) == 0)) {
+    if (is_past_deadline || (since >= CW_MS(STOP_LISTEN_MS) && cw_http_listener_connections(router->callers) == 0)) {
         uv_stop(&router->loop);
     }
 }
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -281,7 +281,7 @@
 
 void node_fixture_free(node_fixture_t *node)
 {
-    cw_router_end_assigners(&node->router);
+    cw_router_free_assigners(&node->router);
     node_fixture_answer_store(node);
     node_fixture_answer_orders(node, CW_ORDER_UNANSWERED);
     cw_peer_link_close(node->router.link);
--- a/tests/test_leader_tenure.c
+++ b/tests/test_leader_tenure.c
@@ -1,6 +1,6 @@
 /**
  * @file test_leader_tenure.c
- * @brief When a leader defers to a more capable node, hands over, and says that it stepped down.
+ * @brief When a node leaves the lock to a more capable one, when a leader hands over, and how it announces that.
  */
 #include <check.h>
 
@@ -9,15 +9,15 @@
 
 enum { START_S = 100, TERM = 7, OWN = 1000 };
 
-START_TEST(a_rival_has_twice_the_capability)
+START_TEST(a_rival_has_at_least_twice_the_capability)
 {
     ck_assert(!cw_leader_is_rival(OWN, OWN));
-    ck_assert(!cw_leader_is_rival(OWN, CW_LEADER_RIVAL_TIMES * OWN - 1));
-    ck_assert(cw_leader_is_rival(OWN, CW_LEADER_RIVAL_TIMES * OWN));
+    ck_assert(!cw_leader_is_rival(OWN, CW_LEADER_RIVAL_FACTOR * OWN - 1));
+    ck_assert(cw_leader_is_rival(OWN, CW_LEADER_RIVAL_FACTOR * OWN));
 }
 END_TEST
 
-START_TEST(a_node_defers_while_a_rival_is_in_reach)
+START_TEST(takes_the_lock_later_while_a_rival_is_in_reach)
 {
     cw_leader_tenure_t tenure = {0};
 
@@ -29,7 +29,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_hands_over_once_the_rival_stays_in_reach)
+START_TEST(hands_over_after_a_rival_stays_in_reach)
 {
     cw_leader_tenure_t tenure = {0};
     cw_time_us_t       seen_at = CW_SECONDS(START_S);
@@ -38,7 +38,7 @@
     cw_leader_tenure_begin(&tenure, CW_SECONDS(1));
     ck_assert(!cw_leader_tenure_should_hand_over(&tenure, seen_at));
     cw_leader_tenure_note_rival(&tenure, true, seen_at);
-    cw_leader_tenure_note_rival(&tenure, true, seen_at + 1); /* seen again: counted from the first time */
+    cw_leader_tenure_note_rival(&tenure, true, seen_at + 1); /* seen again: the time counts from the first sighting */
     ck_assert(!cw_leader_tenure_should_hand_over(&tenure, due_at));
     ck_assert(cw_leader_tenure_should_hand_over(&tenure, due_at + 1));
     cw_leader_tenure_note_rival(&tenure, false, due_at + 1);
@@ -46,7 +46,7 @@
 }
 END_TEST
 
-START_TEST(a_new_leader_leads_for_a_while_before_it_hands_over)
+START_TEST(leads_for_a_minimum_time_before_handing_over)
 {
     cw_leader_tenure_t tenure = {0};
     cw_time_us_t       taken_at = CW_SECONDS(START_S);
@@ -58,12 +58,13 @@
 }
 END_TEST
 
-START_TEST(a_release_is_announced_for_a_bounded_time)
+START_TEST(announces_a_release_for_a_bounded_time)
 {
     cw_leader_tenure_t tenure = {0};
     cw_time_us_t       released_at = CW_SECONDS(START_S);
 
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, 1), 0); /* the clock may be young */
+    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, 1),
+                      0); /* the clock starts near zero, so "released at 0" must not count as recent */
     cw_leader_tenure_release(&tenure, TERM, released_at);
     ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, released_at), TERM);
     ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S) - 1), TERM);
@@ -71,7 +72,7 @@
 }
 END_TEST
 
-START_TEST(a_change_of_authority_is_reported_once)
+START_TEST(reports_a_change_of_authority_once)
 {
     cw_leader_tenure_t tenure = {0};
 
@@ -87,12 +88,12 @@
     Suite *suite = suite_create("leader tenure");
     TCase *cases = tcase_create("tenure");
 
-    tcase_add_test(cases, a_rival_has_twice_the_capability);
-    tcase_add_test(cases, a_node_defers_while_a_rival_is_in_reach);
-    tcase_add_test(cases, a_leader_hands_over_once_the_rival_stays_in_reach);
-    tcase_add_test(cases, a_new_leader_leads_for_a_while_before_it_hands_over);
-    tcase_add_test(cases, a_release_is_announced_for_a_bounded_time);
-    tcase_add_test(cases, a_change_of_authority_is_reported_once);
+    tcase_add_test(cases, a_rival_has_at_least_twice_the_capability);
+    tcase_add_test(cases, takes_the_lock_later_while_a_rival_is_in_reach);
+    tcase_add_test(cases, hands_over_after_a_rival_stays_in_reach);
+    tcase_add_test(cases, leads_for_a_minimum_time_before_handing_over);
+    tcase_add_test(cases, announces_a_release_for_a_bounded_time);
+    tcase_add_test(cases, reports_a_change_of_authority_once);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -497,7 +497,7 @@
     ck_assert_uint_eq(node->order_count, 4);
     memcpy(former, node->orders, sizeof(former));
     node->order_count = 0;
-    cw_router_end_assigners(&node->router);
+    cw_router_free_assigners(&node->router);
     node->router.leadership.lock.term++;
     node_fixture_lead_unanswered(node);
     ck_assert_uint_eq(node->order_count, 4);
