--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -1,6 +1,6 @@
 /**
  * @file router_lead.c
- * @brief Leading: the lock, who should hold it, and what the leader does with each tick.
+ * @brief Leadership: the lock, which node should hold it, and the leader's work with each tick.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,19 +8,20 @@
 #include "router/router_internal.h"
 
 enum {
-    RENEWALS_A_LEADER_HOLD = 4,
+    RENEWALS_PER_LEADER_HOLD = 4,
     HEARTBEAT_TIMEOUT_MS = 900,
     READ_EVERY_MS = 400,
-    CAPABILITY_OF_A_CORE = 1000,
-    FIRST_TURN_PART = 4,    /* of the time for first looks, in which equally capable nodes take turns */
-    STORE_TROUBLE_MS = 700, /* without an answer for so long: grants are made to last */
+    CAPABILITY_PER_CORE = 1000,
+    FIRST_LOOK_DIVISOR = 4,      /* equally capable nodes spread first looks over first_look_within / 4 */
+    STORE_UNRESPONSIVE_MS = 700, /* a renewal of the lock without an answer for so long: grants get the long hold */
     CUT_OFF_MS = 900,
-    CUT_OFF_RANGES = 2,  /* owners out of this leader's reach alone, at least; */
-    CUT_OFF_PERCENT = 5, /* and of all ranges: single orders go unanswered on any day, a lost zone is a sixth or more */
-    CUT_OFF_PAUSE_S = 6,
-    RENEWALS_A_CORE = 4000, /* a second, that a leader with a whole core sends */
-    LINK_CAPABILITY = 5,    /* thousandths of a core that a Mbit/s of link goes with */
-    NEW_FOLLOWERS = 64      /* that a process takes it to have until it knows the others: 400 ms of turns at the lock */
+    CUT_OFF_RANGES = 2,  /* a leader steps down if at least so many owners are out of its reach alone, */
+    CUT_OFF_PERCENT = 5, /* and at least this part of all ranges: single orders go unanswered at any time, while the
+                            loss of a zone concerns a sixth of the ranges or more */
+    STEP_DOWN_PAUSE_S = 6,
+    RENEWALS_PER_CORE_SECOND = 4000, /* that a leader with a whole core sends */
+    CAPABILITY_PER_MBPS = 5,         /* thousandths of a core that correspond to a Mbit/s of link */
+    ASSUMED_FOLLOWERS = 64 /* until a process knows the others: 64 nodes spread their looks at the lock over 400 ms */
 };
 
 static const char leader_kind[] = "leaders";
@@ -28,22 +29,23 @@
 
 /* ---- leadership ---- */
 
-/* Nodes that start together do not know one another yet: the more capable one is, the sooner it looks for the lock. */
+/* Time from the start to the first look at the lock. Nodes that start together do not know one another yet, so the more
+ * capable a node is, the sooner it looks. */
 static cw_time_us_t first_look_after(const cw_router_t *router)
 {
-    return router->settings.first_look_within * CAPABILITY_OF_A_CORE /
-           (CAPABILITY_OF_A_CORE + cw_router_capability(router));
+    return router->settings.first_look_within * CAPABILITY_PER_CORE /
+           (CAPABILITY_PER_CORE + cw_router_capability(router));
 }
 
 void cw_router_lead_init(cw_router_t *router)
 {
     cw_leadership_settings_t settings = {.incarnation = router->incarnation,
                                          .hold = router->settings.leader_hold,
-                                         .renew_every = router->settings.leader_hold / RENEWALS_A_LEADER_HOLD,
+                                         .renew_every = router->settings.leader_hold / RENEWALS_PER_LEADER_HOLD,
                                          .heartbeat_timeout = CW_MS(HEARTBEAT_TIMEOUT_MS),
                                          .read_every = CW_MS(READ_EVERY_MS),
                                          .first_look_after = first_look_after(router),
-                                         .first_look_within = router->settings.first_look_within / FIRST_TURN_PART};
+                                         .first_look_within = router->settings.first_look_within / FIRST_LOOK_DIVISOR};
 
     memcpy(settings.node, router->settings.node, sizeof(settings.node));
     memcpy(settings.address, router->settings.address, sizeof(router->settings.address));
@@ -56,7 +58,7 @@
     return cw_leadership_has_authority(&router->leadership, now);
 }
 
-static void note_leadership(const cw_router_t *router, cw_event_kind_t kind, const char *detail)
+static void log_leadership(const cw_router_t *router, cw_event_kind_t kind, const char *detail)
 {
     cw_event_t event;
 
@@ -75,7 +77,8 @@
     cw_metric_add(CW_METRIC_STORE_BODIES_MALFORMED, 1);
     if (cw_event_begin(&event, CW_EVENT_STORE_BODY_MALFORMED)) {
         cw_event_text(&event, CW_FIELD_DETAIL, leader_kind);
-        cw_event_text(&event, CW_FIELD_REASON, "no lock of this program; it is taken as another node's, after a hold");
+        cw_event_text(&event, CW_FIELD_REASON,
+                      "not a lock of this program: treated as another node's lock, and taken over after a hold");
         cw_event_end(&event);
     }
 }
@@ -83,7 +86,7 @@
 static void on_lock(void *data, const cw_store_reply_t *reply)
 {
     cw_router_t *router = data;
-    bool         before = router->leadership.leading;
+    bool         was_leading = router->leadership.leading;
     uint64_t     term = router->leadership.lock.term;
     cw_time_us_t now = cw_router_now(router);
 
@@ -96,10 +99,10 @@
         log_unreadable_lock();
     }
     if (router->leadership.lock.address[0] != '\0' && !router->leadership.leading) {
-        /* What is no address is ignored: nodes are known by their reports too. */
+        /* An invalid address is ignored: the leader is also known by its reports. */
         (void)cw_peer_link_learn_text(router->link, router->leadership.lock.address, now);
     }
-    if (router->leadership.leading && (!before || router->leadership.lock.term != term)) {
+    if (router->leadership.leading && (!was_leading || router->leadership.lock.term != term)) {
         cw_router_free_assigners(router);
         cw_leader_tenure_begin(&router->tenure, now);
         router->lead_servers = 1;
@@ -114,23 +117,24 @@
         router->view_tables = 0;
         router->leader_term = router->leadership.lock.term;
         memcpy(router->leader_node, router->settings.node, sizeof(router->leader_node));
-        note_leadership(router, CW_EVENT_LEADER_TAKEN, NULL);
-    } else if (before && !router->leadership.leading) {
+        log_leadership(router, CW_EVENT_LEADER_TAKEN, NULL);
+    } else if (was_leading && !router->leadership.leading) {
         if (router->leadership.lock.vacant) {
             cw_leader_tenure_release(&router->tenure, term, now);
-            router->all_due = true; /* others need not wait until they miss the leader's heartbeat */
+            router->all_due = true; /* so that the others do not wait until they miss the leader's heartbeat */
         }
         cw_router_free_assigners(router);
         router->lead_tables = 0;
         router->view_term = 0;
         router->leader_node[0] = '\0';
-        note_leadership(router, CW_EVENT_LEADER_LOST, router->leadership.lock.vacant ? "resigned" : "taken by another");
+        log_leadership(router, CW_EVENT_LEADER_LOST, router->leadership.lock.vacant ? "resigned" : "taken by another");
     }
 }
 
-/* Followers look at a copy: it may be old, and costs less. Taking the lock is a write under the revision seen, which
- * the store refuses if that is not the newest. Where no lock is made yet, a copy without it would have all nodes make
- * it. */
+/* Followers read a copy, which may be old but costs less. This is safe, since a node takes the lock by a write on the
+ * condition of the revision that it has seen, which the store refuses unless that is the newest. While a deployment
+ * starts for the first time there may be no lock yet, and a copy without it would make all nodes try to create it: with
+ * first_look_within set, they read the store itself. */
 static void read_lock(cw_router_t *router)
 {
     if (router->leadership.leading || router->settings.first_look_within > 0) {
@@ -140,7 +144,7 @@
     }
 }
 
-static void step_lock(cw_router_t *router, cw_time_us_t now)
+static void tick_lock(cw_router_t *router, cw_time_us_t now)
 {
     cw_leadership_action_t action;
     json_t                *value;
@@ -164,7 +168,7 @@
     json_decref(value);
 }
 
-/* ---- the store's health ---- */
+/* ---- whether the store answers ---- */
 
 static void log_store_lost(const cw_store_reach_t *reach, cw_time_us_t now)
 {
@@ -203,18 +207,19 @@
     cw_router_store_result(router, is_answered, cw_router_now(router));
 }
 
-/* Does the store leave this leader's renewals without an answer? */
-static bool is_store_in_trouble(const cw_router_t *router, cw_time_us_t now)
+/* Whether the store has left this leader's renewals of the lock without an answer. */
+static bool is_store_unresponsive(const cw_router_t *router, cw_time_us_t now)
 {
     const cw_leadership_t *leadership = &router->leadership;
-    bool waits = leadership->pending != CW_LEADERSHIP_WAIT && now - leadership->sent_at > CW_MS(STORE_TROUBLE_MS);
+    bool                   is_overdue =
+        leadership->pending != CW_LEADERSHIP_WAIT && now - leadership->sent_at > CW_MS(STORE_UNRESPONSIVE_MS);
 
-    return waits || leadership->failures > 0;
+    return is_overdue || leadership->failures > 0;
 }
 
 /* ---- a leader that reaches the store, but not the servers ---- */
 
-/* Holders that this leader's orders do not reach while other nodes get answers from them. Of a move under way the
+/* Number of holders that this leader's orders do not reach while other nodes get answers from them. During a move, the
  * orders go to the former holder. */
 static size_t count_cut_off(cw_router_t *router, const cw_assigner_t *assigner, cw_time_us_t now)
 {
@@ -247,17 +252,17 @@
         ranges += cw_assigner_ranges(router->keyed[index].assigner)->count;
     }
     if (cut_off >= CUT_OFF_RANGES && cut_off * 100 >= ranges * CUT_OFF_PERCENT && !router->leadership.resigning) {
-        note_leadership(router, CW_EVENT_LEADER_LOST, "orders do not reach servers that answer others");
-        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(CUT_OFF_PAUSE_S));
+        log_leadership(router, CW_EVENT_LEADER_LOST, "orders do not reach servers that answer others");
+        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_PAUSE_S));
     }
 }
 
-/* ---- who should lead ---- */
+/* ---- which node should lead ---- */
 
 uint32_t cw_router_capability(const cw_router_t *router)
 {
     double by_cpu = router->settings.cpu_share * 1000;
-    double by_link = (double)router->settings.link_mbps * LINK_CAPABILITY;
+    double by_link = (double)router->settings.link_mbps * CAPABILITY_PER_MBPS;
 
     return (uint32_t)(by_cpu < by_link ? by_cpu : by_link);
 }
@@ -276,31 +281,33 @@
     return false;
 }
 
-/* A small node leads only while no larger one can. */
-static void prefer_capable(cw_router_t *router, cw_time_us_t now)
+/* Takes the lock later, or steps down, for a far more capable node (leader_tenure.h): a small node leads only while no
+ * larger one can. */
+static void yield_to_rival(cw_router_t *router, cw_time_us_t now)
 {
     uint32_t followers;
 
     cw_leader_tenure_note_rival(&router->tenure, is_rival_in_reach(router), now);
     followers = cw_peer_link_alive(router->link, router->silence, now);
-    if (cw_router_is_new(router, now) && followers < NEW_FOLLOWERS) {
-        followers = NEW_FOLLOWERS;
+    if (cw_router_is_new(router, now) && followers < ASSUMED_FOLLOWERS) {
+        followers = ASSUMED_FOLLOWERS;
     }
     cw_leadership_set_followers(&router->leadership, followers);
     cw_leadership_defer(&router->leadership, cw_leader_tenure_deference(&router->tenure));
     if (cw_router_is_able(router, now) && cw_leader_tenure_should_hand_over(&router->tenure, now) &&
-        !is_store_in_trouble(router, now)) {
-        note_leadership(router, CW_EVENT_LEADER_LOST, "a more capable node is in reach");
-        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(CUT_OFF_PAUSE_S));
+        !is_store_unresponsive(router, now)) {
+        log_leadership(router, CW_EVENT_LEADER_LOST, "a more capable node is in reach");
+        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_PAUSE_S));
     }
 }
 
 /* ---- ticks ---- */
 
-/* For each service: a renewal takes some 40 us, and all of them a sixth of this machine's share of a core. */
-static double renewals_a_second(const cw_router_t *router)
+/* Renewals of grants per second for each service. One takes some 40 us of CPU, so all of them together take a sixth of
+ * this node's share of a core. */
+static double renewals_per_second(const cw_router_t *router)
 {
-    return router->settings.cpu_share * RENEWALS_A_CORE / (double)router->keyed_count;
+    return router->settings.cpu_share * RENEWALS_PER_CORE_SECOND / (double)router->keyed_count;
 }
 
 static bool is_deposed(const cw_router_t *router)
@@ -317,26 +324,26 @@
 
 void cw_router_lead_tick(cw_router_t *router, cw_time_us_t now)
 {
-    bool   able;
+    bool   has_authority;
     size_t index;
 
-    prefer_capable(router, now);
-    step_lock(router, now);
-    able = cw_router_is_able(router, now);
-    if (cw_leader_tenure_authority_changed(&router->tenure, able)) {
+    yield_to_rival(router, now);
+    tick_lock(router, now);
+    has_authority = cw_router_is_able(router, now);
+    if (cw_leader_tenure_authority_changed(&router->tenure, has_authority)) {
         router->all_due = true;
-        cw_metric_set(CW_METRIC_LEADING, able ? 1 : 0);
+        cw_metric_set(CW_METRIC_LEADING, has_authority ? 1 : 0);
     }
-    if (!router->leadership.leading || !able || router->configuration == NULL) {
+    if (!router->leadership.leading || !has_authority || router->configuration == NULL) {
         return;
     }
     cw_router_create_assigners(router);
     cw_order_trust_expire(router->order_trust, now);
     for (index = 0; index < router->keyed_count; index++) {
         cw_router_plan(router, &router->keyed[index], now);
-        cw_assigner_set_pace(router->keyed[index].assigner, renewals_a_second(router));
-        cw_assigner_tick(router->keyed[index].assigner, router->server_view.list, able,
-                         is_store_in_trouble(router, now), now);
+        cw_assigner_set_pace(router->keyed[index].assigner, renewals_per_second(router));
+        cw_assigner_tick(router->keyed[index].assigner, router->server_view.list, has_authority,
+                         is_store_unresponsive(router, now), now);
         cw_router_measure(&router->keyed[index], now);
     }
     cw_router_publish_tables(router, now);
--- a/src/router/router_plan.c
+++ b/src/router/router_plan.c
@@ -1,16 +1,17 @@
 /**
  * @file router_plan.c
- * @brief The leader's plans for one service: when they are made, and from what.
+ * @brief The leader's plans of the ownership of one service's keys: when a plan is made, and from which servers.
  *
  * Rules:
- *  - The first plan waits until servers have signed in, and a list that lacks most owners is doubted for a while
+ *  - The first plan waits until the servers have registered, and a list that lacks most owners is doubted for a while
  *    (plan_timing.h).
- *  - A server is given keys only while it is not leaving, by its entry or by its own word, its zone is in service and
- * this node has no reason to avoid it. A cold server whose rate is bounded is given none: an owner gets all requests
- * for its keys.
- *  - One that names a rate limit has no more room than that, however many slots it has.
- *  - It is given none in a region to which no route to the service, or no tenant, may send (region_owners.h).
- *  - One that orders did not reach is given none while another can be (order_trust.h).
+ *  - A server is assigned keys only while it is not leaving (by its entry, or by its own answers), its zone is in
+ *    service, and this node has no reason to avoid it. A cold server whose rate is bounded is assigned none, since an
+ *    owner gets all requests for its keys.
+ *  - A server that states a rate limit has no more capacity than that, however many slots it has.
+ *  - A server is assigned none if it is in a region to which no route to the service, or no tenant, may send
+ *    (region_owners.h).
+ *  - A server that orders have not reached is assigned none while another one can be (order_trust.h).
  */
 #include <math.h>
 #include <stdlib.h>
@@ -23,60 +24,60 @@
 enum {
     PLAN_EVERY_MS = 300,
     MEASURE_LOAD_EVERY_MS = 1000,
-    MEASURED_A_TICK = 512, /* ranges: with more of them each is looked at so much more rarely */
-    SERVERS_FIRST = 64,
-    PARTS_A_MILLION = 1000000
+    RANGES_PER_TICK = 512, /* measured; with more, the pause between measurements grows in proportion */
+    INITIAL_CAPACITY = 64,
+    PARTS_PER_MILLION = 1000000
 };
 
-/** The servers of a service, as the planner takes them; the memory is kept for the next plan. */
+/** The servers of a service in the planner's form. The memory is reused for the next plan. */
 typedef struct planned_servers {
     cw_planner_server_t *items;
     size_t               count;
     size_t               capacity;
 } planned_servers_t;
 
-/** Answers for the regions met so far: routes and tenants are many, regions few. */
-typedef struct region_answers {
+/** Caches cw_region_may_own, which goes through all routes and tenants, for the few regions of a service's servers. */
+typedef struct region_cache {
     const char *regions[CW_ZONES_MAX];
     bool        may_own[CW_ZONES_MAX];
     size_t      count;
-} region_answers_t;
+} region_cache_t;
 
-static bool may_own(region_answers_t *answers, const cw_configuration_t *configuration, const char *service,
+static bool may_own(region_cache_t *cache, const cw_configuration_t *configuration, const char *service,
                     const char *region)
 {
     size_t index = 0;
 
-    while (index < answers->count && strcmp(answers->regions[index], region) != 0) {
+    while (index < cache->count && strcmp(cache->regions[index], region) != 0) {
         index++;
     }
-    if (index == CW_ZONES_MAX) { /* nothing is lost: only the answer is not kept */
+    if (index == CW_ZONES_MAX) { /* the cache is full: only the result is not kept */
         return cw_region_may_own(configuration, service, region);
     }
-    if (index == answers->count) {
-        answers->regions[index] = region;
-        answers->may_own[index] = cw_region_may_own(configuration, service, region);
-        answers->count++;
+    if (index == cache->count) {
+        cache->regions[index] = region;
+        cache->may_own[index] = cw_region_may_own(configuration, service, region);
+        cache->count++;
     }
-    return answers->may_own[index];
+    return cache->may_own[index];
 }
 
 static cw_planner_server_t *add_server(planned_servers_t *servers)
 {
     if (servers->count == servers->capacity) {
-        servers->capacity = servers->capacity == 0 ? SERVERS_FIRST : 2 * servers->capacity;
+        servers->capacity = servers->capacity == 0 ? INITIAL_CAPACITY : 2 * servers->capacity;
         servers->items = cw_memory_resize(servers->items, servers->capacity * sizeof(*servers->items));
     }
     memset(&servers->items[servers->count], 0, sizeof(*servers->items));
     return &servers->items[servers->count++];
 }
 
-/* In order of their ids, as they are listed. */
+/* Lists the servers of the service in the order of their ids, as in the list. */
 static void list_servers(cw_router_t *router, const char *service, planned_servers_t *servers, cw_time_us_t now)
 {
-    double           usual_s = (double)cw_engine_usual_time(router->engine, service) / 1e6;
-    region_answers_t answers = {.count = 0};
-    size_t           index;
+    double         usual_time_s = (double)cw_engine_usual_time(router->engine, service) / 1e6;
+    region_cache_t cache = {.count = 0};
+    size_t         index;
 
     servers->count = 0;
     for (index = 0; index < router->server_view.list->count; index++) {
@@ -92,14 +93,14 @@
         planned->entry = entry;
         planned->is_barred = cw_zone_service_is_out(router->zones, entry->zone) ||
                              (server != NULL && server->has_said_leaving) ||
-                             (server != NULL && !may_own(&answers, router->configuration, service, server->region));
+                             (server != NULL && !may_own(&cache, router->configuration, service, server->region));
         planned->usable = !entry->draining && !planned->is_barred && server != NULL && server->avoid_until <= now &&
                           !cw_server_is_rate_bounded(server, now);
         planned->is_doubted =
             server != NULL && cw_order_trust_is_doubted(router->order_trust, server->hash, server->served, now);
         planned->region = server == NULL ? 0 : server->region_bit;
         planned->pace = server == NULL ? 1 : server->pace;
-        planned->cost_s = usual_s * planned->pace / (entry->capacity == 0 ? 1 : entry->capacity);
+        planned->cost_s = usual_time_s * planned->pace / (entry->capacity == 0 ? 1 : entry->capacity);
         if (server != NULL && cw_server_is_limited(server, now)) {
             planned->cost_s = fmax(planned->cost_s, 1 / cw_server_limit_rate(&server->limit));
         }
@@ -110,7 +111,7 @@
                        cw_time_us_t now)
 {
     const cw_server_entry_t **usable = calloc(servers->count + 1, sizeof(const cw_server_entry_t *));
-    size_t                    found = 0;
+    size_t                    usable_count = 0;
     size_t                    index;
 
     if (usable == NULL) {
@@ -118,16 +119,17 @@
     }
     for (index = 0; index < servers->count; index++) {
         if (servers->items[index].usable) {
-            usable[found++] = servers->items[index].entry;
+            usable[usable_count++] = servers->items[index].entry;
         }
     }
-    if (cw_plan_timing_is_first_due(&keyed->timing, found, router->settings.heartbeat, now)) {
-        cw_assigner_plan_first(keyed->assigner, usable, found, now);
+    if (cw_plan_timing_is_first_due(&keyed->timing, usable_count, router->settings.heartbeat, now)) {
+        cw_assigner_plan_first(keyed->assigner, usable, usable_count, now);
     }
     free(usable);
 }
 
-/* A leader that has just started has no list from before an outage: that many owners are missing shows it one. */
+/* Whether to doubt the list of servers. A leader that has just started has no list from before an outage to compare
+ * with; that many owners are missing is its only sign of one. */
 static bool doubts_list(const cw_router_t *router, cw_service_assignment_t *keyed, cw_time_us_t now)
 {
     double missing = cw_planner_missing_share(keyed->assigner, router->server_view.list);
@@ -146,7 +148,7 @@
     double                   weighted_s = measures->imbalance_weighted_s;
     double                   measured_s = measures->imbalance_s;
 
-    if (now - measures->looked_at < CW_MS(CW_TICK_MS) * (cw_time_us_t)(ranges->count / MEASURED_A_TICK)) {
+    if (now - measures->looked_at < CW_MS(CW_TICK_MS) * (cw_time_us_t)(ranges->count / RANGES_PER_TICK)) {
         return;
     }
     cw_ownership_measures_look(measures, ranges, now);
@@ -156,7 +158,7 @@
     }
     cw_metric_add(CW_METRIC_MOVED_KEYS, (uint64_t)(measures->moved_keys - keys));
     cw_metric_add(CW_METRIC_MOVED_COLD_KEYS, (uint64_t)(measures->moved_cold_keys - cold));
-    cw_metric_add(CW_METRIC_MOVED_LOAD_PPM, (uint64_t)((measures->moved_load - load) * PARTS_A_MILLION));
+    cw_metric_add(CW_METRIC_MOVED_LOAD_PPM, (uint64_t)((measures->moved_load - load) * PARTS_PER_MILLION));
     cw_metric_add(CW_METRIC_UNAVAILABLE_KEY_MS, (uint64_t)((measures->unavailable_key_s - unavailable_s) * 1000));
     cw_metric_add(CW_METRIC_IMBALANCE_WEIGHTED_MS, (uint64_t)((measures->imbalance_weighted_s - weighted_s) * 1000));
     cw_metric_add(CW_METRIC_IMBALANCE_MS, (uint64_t)((measures->imbalance_s - measured_s) * 1000));
@@ -167,7 +169,7 @@
 
 void cw_router_plan(cw_router_t *router, cw_service_assignment_t *keyed, cw_time_us_t now)
 {
-    static planned_servers_t servers; /* used by one call at a time */
+    static planned_servers_t servers; /* calls do not nest */
     size_t                   changes;
     cw_event_t               event;
 
--- a/src/router/router_quota.c
+++ b/src/router/router_quota.c
@@ -1,9 +1,10 @@
 /**
  * @file router_quota.c
- * @brief Wires tenants' limits into the node: what messages about them do, this node's own counting.
+ * @brief Connects tenants' limits to the node: how messages about them are handled, and the tenants that this node
+ * counts.
  *
- * A node counts a tenant only if it would ask itself about it (router_quota_choice.c). If it would ask another one, it
- * names that one to whoever asks: two nodes that both reach everybody would otherwise both give out the whole limit.
+ * A node counts a tenant only if it would ask itself about it (router_quota_choice.c). If it would ask another node, it
+ * names that one in its reply: otherwise two nodes that both reach all others would both give out the whole limit.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +13,7 @@
 #include "router/router_quota.h"
 
 enum {
-    GATHER_EVERY_MS = 100 /* how often the nodes that may count are gathered; well below CW_PEER_SILENCE_MS */
+    CANDIDATES_UPDATE_MS = 100 /* between updates of the nodes that may count; well below CW_PEER_SILENCE_MS */
 };
 
 static const char *const mode_names[] = {"free", "metered", "alone"};
@@ -27,7 +28,7 @@
     return cw_router_now(quota->router);
 }
 
-/* ---- this node as one that counts ---- */
+/* ---- this node as a counting node ---- */
 
 static void decline(cw_router_quota_t *quota, uint32_t to, uint32_t sequence)
 {
@@ -36,22 +37,24 @@
     cw_router_quota_send(quota, to, &reply);
 }
 
-/* Would this node ask itself about the tenant? Where it knows nobody to ask, it does not know who else counts. */
-static bool counts(cw_router_quota_t *quota, uint32_t tenant)
+/* Whether this node counts the tenant: it would ask itself about it. A node that knows no node to ask does not count
+ * either, since another one may. */
+static bool counts_tenant(cw_router_quota_t *quota, uint32_t tenant)
 {
-    return cw_router_quota_known_choice(quota, tenant) == own_address(quota);
+    return cw_router_quota_cached_counter(quota, tenant) == own_address(quota);
 }
 
-/* counter 0, nobody to ask: the tenant's node goes on with its own part, as long as it is told nothing else. */
+/* Adds the node that counts the tenant to the reply. If there is none (0), the node that asked goes on serving its own
+ * part of the limit until it is told otherwise. */
 static void redirect(cw_router_quota_t *quota, uint32_t tenant, cw_quota_message_t *status)
 {
     cw_metric_add(CW_METRIC_LIMIT_REDIRECTS, 1);
     status->redirected[status->redirected_count] = tenant;
-    status->counters[status->redirected_count] = cw_router_quota_known_choice(quota, tenant);
+    status->counters[status->redirected_count] = cw_router_quota_cached_counter(quota, tenant);
     status->redirected_count++;
 }
 
-static void take_report(cw_router_quota_t *quota, uint32_t from, const cw_quota_message_t *message)
+static void handle_report(cw_router_quota_t *quota, uint32_t from, const cw_quota_message_t *message)
 {
     cw_quota_message_t reply = {.kind = CW_QUOTA_STATUS, .sequence = message->sequence};
     size_t             index;
@@ -59,7 +62,7 @@
     for (index = 0; index < message->count; index++) {
         uint32_t tenant = message->usages[index].tenant;
 
-        if (!counts(quota, tenant)) {
+        if (!counts_tenant(quota, tenant)) {
             redirect(quota, tenant, &reply);
             continue;
         }
@@ -73,12 +76,12 @@
     cw_router_quota_send(quota, from, &reply);
 }
 
-static void take_ask(cw_router_quota_t *quota, uint32_t from, const cw_quota_message_t *message)
+static void handle_ask(cw_router_quota_t *quota, uint32_t from, const cw_quota_message_t *message)
 {
     cw_quota_message_t reply = {.kind = CW_QUOTA_GRANT};
     cw_quota_message_t status = {.kind = CW_QUOTA_STATUS};
 
-    if (!counts(quota, message->ask.usage.tenant)) {
+    if (!counts_tenant(quota, message->ask.usage.tenant)) {
         redirect(quota, message->ask.usage.tenant, &status);
         cw_router_quota_send(quota, from, &status);
         return;
@@ -87,14 +90,14 @@
     cw_router_quota_send(quota, from, &reply);
 }
 
-static void tell_metered(void *context, uint32_t node, uint32_t tenant)
+static void send_metered(void *context, uint32_t node, uint32_t tenant)
 {
     cw_quota_message_t message = {.kind = CW_QUOTA_STATUS, .count = 1, .metered = {tenant}};
 
     cw_router_quota_send(context, node, &message);
 }
 
-static void take_status(cw_router_quota_t *quota, uint32_t from, const cw_quota_message_t *message, cw_time_us_t now)
+static void handle_status(cw_router_quota_t *quota, uint32_t from, const cw_quota_message_t *message, cw_time_us_t now)
 {
     cw_quota_status_t status = {.sequence = message->sequence,
                                 .metered = message->metered,
@@ -108,9 +111,9 @@
     cw_quota_share_status(quota->share, from, &status, now);
 }
 
-/* ---- limits as configured ---- */
+/* ---- configured limits ---- */
 
-static void use_limits(cw_router_quota_t *quota, const cw_configuration_t *configuration)
+static void apply_limits(cw_router_quota_t *quota, const cw_configuration_t *configuration)
 {
     cw_quota_tenant_limit_t *limits = calloc(configuration->tenant_count + 1, sizeof(*limits));
     size_t                   index;
@@ -130,19 +133,21 @@
     free(limits);
 }
 
-/* A message may come by a version that is in force here since this turn of the loop. */
-static void follow_configuration(cw_router_quota_t *quota)
+/* Applies the limits of a newly accepted configuration. Called before each message, since the sender may have the
+ * version that came into force here in this iteration of the loop. */
+static void apply_new_configuration(cw_router_quota_t *quota)
 {
     const cw_configuration_t *configuration = quota->router->configuration;
 
     if (configuration != NULL && configuration->version != quota->version) {
-        use_limits(quota, configuration);
+        apply_limits(quota, configuration);
     }
 }
 
 /* ---- messages ---- */
 
-/* Who is told so asks nobody for a while: this node may know the others by now, since it looked last. */
+/* Whether this node declines to count. The decision is made on fresh data, since a node that is told so asks no node
+ * for a while, and this one may have come to know the others since its last update. */
 static bool still_declines(cw_router_quota_t *quota, cw_time_us_t now)
 {
     if (cw_router_quota_declines(quota) && now - quota->gathered_at >= CW_MS(CW_TICK_MS)) {
@@ -159,20 +164,20 @@
         decline(quota, from, message->sequence);
         return;
     }
-    follow_configuration(quota);
+    apply_new_configuration(quota);
     switch (message->kind) {
     case CW_QUOTA_REPORT:
-        take_report(quota, from, message);
+        handle_report(quota, from, message);
         break;
     case CW_QUOTA_STATUS:
         if (message->declines) {
             cw_quota_share_declined(quota->share, from, now);
         } else {
-            take_status(quota, from, message, now);
+            handle_status(quota, from, message, now);
         }
         break;
     case CW_QUOTA_ASK:
-        take_ask(quota, from, message);
+        handle_ask(quota, from, message);
         break;
     case CW_QUOTA_GRANT:
         cw_quota_share_granted(quota->share, from, &message->grant, now);
@@ -190,7 +195,7 @@
     return cw_router_quota_counting_node(context, tenant);
 }
 
-static uint64_t version_of(const cw_router_quota_t *quota)
+static uint64_t configuration_version(const cw_router_quota_t *quota)
 {
     return quota->router->configuration == NULL ? 0 : quota->router->configuration->version;
 }
@@ -201,7 +206,7 @@
     cw_quota_message_t message = {.kind = CW_QUOTA_REPORT,
                                   .incarnation = quota->router->incarnation,
                                   .sequence = sequence,
-                                  .version = version_of(quota)};
+                                  .version = configuration_version(quota)};
 
     message.count = count > CW_QUOTA_USAGES_MAX ? CW_QUOTA_USAGES_MAX : count;
     memcpy(message.usages, usages, message.count * sizeof(*usages));
@@ -212,7 +217,7 @@
 {
     cw_quota_message_t message = {.kind = CW_QUOTA_ASK, .ask = *asked};
 
-    message.ask.version = version_of(context);
+    message.ask.version = configuration_version(context);
     cw_router_quota_send(context, counter, &message);
 }
 
@@ -231,7 +236,7 @@
     cw_engine_quota_decided(quota->router->engine, tenant);
 }
 
-static const char *name_of(const cw_router_t *router, uint32_t tenant)
+static const char *tenant_name(const cw_router_t *router, uint32_t tenant)
 {
     const cw_configuration_t *configuration = router->configuration;
     size_t                    index;
@@ -244,7 +249,7 @@
     return NULL;
 }
 
-static const char *text_of(const cw_router_quota_t *quota, uint32_t address)
+static const char *address_text(const cw_router_quota_t *quota, uint32_t address)
 {
     const cw_peer_t *peer;
 
@@ -267,9 +272,9 @@
     cw_metric_add(CW_METRIC_LIMIT_MODES, 1);
     cw_metric_add(CW_METRIC_LIMIT_ALONE, mode == CW_QUOTA_ALONE ? 1 : 0);
     if (cw_event_begin(&event, CW_EVENT_LIMIT_MODE)) {
-        cw_event_text(&event, CW_FIELD_TENANT, name_of(quota->router, tenant));
+        cw_event_text(&event, CW_FIELD_TENANT, tenant_name(quota->router, tenant));
         cw_event_text(&event, CW_FIELD_LIMIT_MODE, mode_names[mode]);
-        cw_event_text(&event, CW_FIELD_PEER, text_of(quota, counter));
+        cw_event_text(&event, CW_FIELD_PEER, address_text(quota, counter));
         cw_event_ms(&event, CW_FIELD_LIMIT_AGE_MS, age);
         cw_event_number(&event, CW_FIELD_NODES, quota->nodes);
         cw_event_number(&event, CW_FIELD_IN_REACH, quota->in_reach);
@@ -306,12 +311,12 @@
 {
     cw_router_quota_t *quota = router->quota;
 
-    follow_configuration(quota);
-    if (now - quota->gathered_at >= CW_MS(GATHER_EVERY_MS)) {
+    apply_new_configuration(quota);
+    if (now - quota->gathered_at >= CW_MS(CANDIDATES_UPDATE_MS)) {
         cw_router_quota_look_around(quota, now);
         cw_metric_set(CW_METRIC_LIMIT_TENANTS, cw_quota_share_tenants(quota->share));
         cw_metric_set(CW_METRIC_LIMIT_BUCKETS, cw_quota_counter_buckets(quota->counter));
     }
-    cw_quota_counter_tick(quota->counter, now, tell_metered, quota);
+    cw_quota_counter_tick(quota->counter, now, send_metered, quota);
     cw_quota_share_tick(quota->share, now);
 }
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -1,12 +1,15 @@
 /**
  * @file router_quota_choice.c
- * @brief Which node counts a tenant, and for how many nodes limits are counted, as this node sees it.
+ * @brief Chooses the node that counts a tenant, and determines the number of nodes that share the limits.
  *
- * The most capable nodes count, of all zones; each tenant's one is found by rendezvous hashing. Nodes that reach
- * different ones choose differently, and two that count would each give out the limit. So a node takes for alive, too,
- * whom others reach on its behalf (router_detours.c), and one that is asked although it would ask another node itself
- * names that one and does not count (router_quota.c). A process that has just started does not count, and takes as many
- * nodes to share the limits as there may be at most, until a leader has stated the number.
+ * The most capable nodes of all zones count; each tenant's node is found by rendezvous hashing. Nodes that reach
+ * different sets of nodes choose differently, and two nodes that count the same tenant would each give out its whole
+ * limit. Therefore:
+ *  - A node also counts as alive if others reach it on behalf of this one (router_detours.c).
+ *  - A node that is asked, although it would ask another one itself, names that one and does not count
+ * (router_quota.c).
+ *  - A process that has just started does not count. Until a leader has stated the number of nodes, it assumes that the
+ *    limits are shared by as many nodes as there may be at most.
  */
 #include <stdlib.h>
 #include <xxhash.h>
@@ -15,10 +18,11 @@
 #include "router/router_quota.h"
 
 enum {
-    CANDIDATES_FIRST = 64,   /* memory for so many at first; it doubles */
-    DECLINING_MOST = 2,      /* one restarts now and then; several at once: nobody counts yet */
+    INITIAL_CANDIDATES = 64, /* initial capacity of the arrays, which doubles */
+    DECLINING_NODES_LIMIT =
+        2, /* with so many nodes declining, no node counts yet; a single one may just have restarted */
     ISOLATED_AFTER_MS = 500, /* the slowest pause between reports of few nodes is 300 ms (router_peers.c) */
-    CHOICE_KEPT_S = 10
+    CHOICE_EXPIRY_S = 10
 };
 
 static cw_time_us_t now_of(const cw_router_quota_t *quota)
@@ -34,51 +38,51 @@
            !cw_fleet_size_is_reached(&router->fleet_size, quota->in_reach, now_of(quota));
 }
 
-/* Without a configuration no tenant would seem to have a limit. */
+/* Without a configuration this node declines, too: no tenant would seem to have a limit. */
 bool cw_router_quota_declines(const cw_router_quota_t *quota)
 {
     return cw_router_quota_is_new(quota) || quota->router->stopping_at != 0 || quota->router->configuration == NULL;
 }
 
-/* ---- one tenant's node ---- */
+/* ---- the node that counts a tenant ---- */
 
-/* Nothing comes from any other node: what this one would count for itself, the others may be counting too. Peers count
- * as lost later than that. */
+/* Whether nothing has been received from any other node lately. The others may then be counting the tenants that this
+ * node would count. Peers count as lost only later than this. */
 static bool is_isolated(const cw_router_quota_t *quota)
 {
     return quota->nodes > 1 && now_of(quota) - quota->last_received_at >= CW_MS(ISOLATED_AFTER_MS);
 }
 
-static bool is_passed_over(const cw_router_quota_t *quota, uint32_t address)
+static bool is_silent(const cw_router_quota_t *quota, uint32_t address)
 {
     return cw_quota_share_is_silent(quota->share, address, now_of(quota));
 }
 
-static uint32_t choose(cw_router_quota_t *quota, uint32_t tenant, bool passes_over_silent)
+static uint32_t choose(cw_router_quota_t *quota, uint32_t tenant, bool excludes_silent)
 {
     size_t count = 0;
     size_t index;
 
     for (index = 0; index < quota->candidate_count; index++) {
         uint32_t address = quota->candidates[index].address;
-        bool     is_left_out = passes_over_silent ? is_passed_over(quota, address)
-                                                  : cw_quota_share_has_declined(quota->share, address, now_of(quota));
+        bool     is_excluded = excludes_silent ? is_silent(quota, address)
+                                               : cw_quota_share_has_declined(quota->share, address, now_of(quota));
 
-        if (!is_left_out) {
-            quota->able[count++] = quota->candidates[index];
+        if (!is_excluded) {
+            quota->eligible[count++] = quota->candidates[index];
         }
     }
-    return cw_broker_choose(quota->able, count, CW_BROKER_ANY_ZONE, tenant);
+    return cw_broker_choose(quota->eligible, count, CW_BROKER_ANY_ZONE, tenant);
 }
 
-/* Another node is asked in place of one that does not reply. This one does not count in place of it, since that one may
- * be counting for all others. */
-static uint32_t choose_replying(cw_router_quota_t *quota, uint32_t tenant)
+/* Chooses another node in place of one that does not reply. This node never takes its place, since the silent one may
+ * still be counting for all others. */
+static uint32_t choose_counter(cw_router_quota_t *quota, uint32_t tenant)
 {
     uint32_t first = choose(quota, tenant, false);
     uint32_t next;
 
-    if (!is_passed_over(quota, first)) {
+    if (!is_silent(quota, first)) {
         return first;
     }
     next = choose(quota, tenant, true);
@@ -87,12 +91,12 @@
 
 uint32_t cw_router_quota_counting_node(cw_router_quota_t *quota, uint32_t tenant)
 {
-    bool nobody_counts = cw_quota_share_declining(quota->share, now_of(quota)) >= DECLINING_MOST;
+    bool nobody_counts = cw_quota_share_declining(quota->share, now_of(quota)) >= DECLINING_NODES_LIMIT;
 
-    return nobody_counts || is_isolated(quota) ? 0 : choose_replying(quota, tenant);
+    return nobody_counts || is_isolated(quota) ? 0 : choose_counter(quota, tenant);
 }
 
-static cw_quota_choice_t *use_choice(cw_router_quota_t *quota, uint32_t tenant)
+static cw_quota_choice_t *get_choice(cw_router_quota_t *quota, uint32_t tenant)
 {
     cw_quota_choice_t *choice;
 
@@ -105,22 +109,22 @@
     return choice;
 }
 
-uint32_t cw_router_quota_known_choice(cw_router_quota_t *quota, uint32_t tenant)
+uint32_t cw_router_quota_cached_counter(cw_router_quota_t *quota, uint32_t tenant)
 {
     cw_quota_choice_t *choice;
 
     if (quota->gathered_at == 0) {
         cw_router_quota_look_around(quota, now_of(quota));
     }
-    choice = use_choice(quota, tenant);
+    choice = get_choice(quota, tenant);
     if (choice->chosen_at == 0 || choice->chosen_at <= quota->changed_at) {
-        choice->counter = is_isolated(quota) ? 0 : choose_replying(quota, tenant);
+        choice->counter = is_isolated(quota) ? 0 : choose_counter(quota, tenant);
         choice->chosen_at = now_of(quota);
     }
     return choice->counter;
 }
 
-static void forget_choices(cw_router_quota_t *quota, cw_time_us_t before)
+static void expire_choices(cw_router_quota_t *quota, cw_time_us_t before)
 {
     cw_quota_choice_t *choice;
     cw_quota_choice_t *next;
@@ -134,23 +138,23 @@
     }
 }
 
-/* ---- those that may count ---- */
+/* ---- the nodes that may count ---- */
 
 static void add_candidate(cw_router_quota_t *quota, const cw_broker_candidate_t *candidate)
 {
     size_t bytes;
 
     if (quota->candidate_count == quota->candidate_capacity) {
-        quota->candidate_capacity = quota->candidate_capacity == 0 ? CANDIDATES_FIRST : 2 * quota->candidate_capacity;
+        quota->candidate_capacity = quota->candidate_capacity == 0 ? INITIAL_CANDIDATES : 2 * quota->candidate_capacity;
         bytes = quota->candidate_capacity * sizeof(cw_broker_candidate_t);
         quota->candidates = cw_memory_resize(quota->candidates, bytes);
-        quota->able = cw_memory_resize(quota->able, bytes);
+        quota->eligible = cw_memory_resize(quota->eligible, bytes);
     }
     quota->candidates[quota->candidate_count++] = *candidate;
 }
 
-/* All of them, however many: nodes that go by different ones would disagree on who counts. */
-static void gather(cw_router_quota_t *quota, cw_time_us_t now)
+/* The number of candidates is not bounded: nodes with different sets would disagree on which one counts. */
+static void update_candidates(cw_router_quota_t *quota, cw_time_us_t now)
 {
     cw_router_t          *router = quota->router;
     const cw_peer_t      *peer;
@@ -174,16 +178,15 @@
     }
 }
 
-/* What a choice depends on, mixed: while it is the same, no choice needs to be made again. */
-static uint64_t state_of_candidates(const cw_router_quota_t *quota)
+/* Hash of all that a choice depends on: while it is the same, cached choices are valid. */
+static uint64_t fingerprint_of_candidates(const cw_router_quota_t *quota)
 {
     uint64_t state = is_isolated(quota) ? 1 : 0;
     size_t   index;
 
     for (index = 0; index < quota->candidate_count; index++) {
         const cw_broker_candidate_t *candidate = &quota->candidates[index];
-        uint32_t                     fields[] = {candidate->address, candidate->capability,
-                             is_passed_over(quota, candidate->address) ? 1 : 0,
+        uint32_t fields[] = {candidate->address, candidate->capability, is_silent(quota, candidate->address) ? 1 : 0,
                              cw_quota_share_has_declined(quota->share, candidate->address, now_of(quota)) ? 1 : 0};
 
         state = XXH3_64bits_withSeed(fields, sizeof(fields), state);
@@ -191,20 +194,20 @@
     return state;
 }
 
-static void note_changes(cw_router_quota_t *quota, cw_time_us_t now)
+static void record_changes(cw_router_quota_t *quota, cw_time_us_t now)
 {
-    uint64_t state = state_of_candidates(quota);
+    uint64_t state = fingerprint_of_candidates(quota);
 
-    if (state != quota->candidates_state) {
-        quota->candidates_state = state;
+    if (state != quota->candidates_fingerprint) {
+        quota->candidates_fingerprint = state;
         quota->changed_at = now;
     }
 }
 
-/* ---- for how many ---- */
+/* ---- the number of nodes that share the limits ---- */
 
-/* Nodes that share the limits: the most that this one, or those in reach, have heard lately. */
-static uint32_t nodes_of(const cw_router_quota_t *quota)
+/* Number of nodes that share the limits: the most that this node, or any node in reach, has heard from lately. */
+static uint32_t count_sharing_nodes(const cw_router_quota_t *quota)
 {
     const cw_router_t *router = quota->router;
     const cw_peer_t   *peer;
@@ -230,7 +233,8 @@
     return count;
 }
 
-/* A process that starts takes the nodes for few until then, and requests may be waiting already. */
+/* Limits follow a changed number at once: until a leader states one, a process that has just started divides them by an
+ * assumed number, and requests may be waiting already. */
 void cw_router_note_nodes(cw_router_t *router, uint32_t nodes)
 {
     uint32_t before = router->fleet_size.stated;
@@ -254,10 +258,10 @@
 {
     quota->gathered_at = now;
     quota->in_reach = count_in_touch(quota->router, now);
-    quota->nodes = nodes_of(quota);
-    gather(quota, now);
-    note_changes(quota, now);
-    forget_choices(quota, now - CW_SECONDS(CHOICE_KEPT_S));
+    quota->nodes = count_sharing_nodes(quota);
+    update_candidates(quota, now);
+    record_changes(quota, now);
+    expire_choices(quota, now - CW_SECONDS(CHOICE_EXPIRY_S));
     cw_quota_counter_set_nodes(quota->counter, quota->nodes, quota->in_reach);
     cw_quota_share_set_nodes(quota->share, quota->nodes);
 }
--- a/src/router/router_quota_wire.c
+++ b/src/router/router_quota_wire.c
@@ -1,6 +1,6 @@
 /**
  * @file router_quota_wire.c
- * @brief Messages about tenants' limits as datagrams, and those of this node to itself.
+ * @brief Sends and receives messages about tenants' limits: as datagrams, or from this node to itself.
  */
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -11,30 +11,31 @@
 
 /* ---- messages to this node itself ---- */
 
-/* What is delivered may bring further messages: they come with the next turn of the loop. */
+/* Messages that are added during the delivery are delivered in the next iteration of the loop. */
 static void on_deliver(uv_timer_t *timer)
 {
     cw_router_quota_t  *quota = timer->data;
-    cw_quota_message_t *messages = quota->own;
-    size_t              count = quota->own_count;
+    cw_quota_message_t *messages = quota->self_messages;
+    size_t              count = quota->self_message_count;
     size_t              index;
 
-    quota->own = NULL;
-    quota->own_count = 0;
-    quota->own_capacity = 0;
+    quota->self_messages = NULL;
+    quota->self_message_count = 0;
+    quota->self_message_capacity = 0;
     for (index = 0; index < count; index++) {
         cw_router_quota_deliver(quota, cw_peer_link_own_address(quota->router->link), &messages[index]);
     }
     free(messages);
 }
 
-static void add_own(cw_router_quota_t *quota, const cw_quota_message_t *message)
+static void add_self_message(cw_router_quota_t *quota, const cw_quota_message_t *message)
 {
-    if (quota->own_count == quota->own_capacity) {
-        quota->own_capacity = quota->own_capacity == 0 ? 4 : 2 * quota->own_capacity;
-        quota->own = cw_memory_resize(quota->own, quota->own_capacity * sizeof(*quota->own));
+    if (quota->self_message_count == quota->self_message_capacity) {
+        quota->self_message_capacity = quota->self_message_capacity == 0 ? 4 : 2 * quota->self_message_capacity;
+        quota->self_messages =
+            cw_memory_resize(quota->self_messages, quota->self_message_capacity * sizeof(*quota->self_messages));
     }
-    quota->own[quota->own_count++] = *message;
+    quota->self_messages[quota->self_message_count++] = *message;
     if (!uv_is_active((uv_handle_t *)&quota->deliver)) {
         uv_timer_start(&quota->deliver, on_deliver, 0, 0);
     }
@@ -46,9 +47,9 @@
     quota->deliver.data = quota;
 }
 
-/* ---- as datagrams ---- */
+/* ---- sending datagrams ---- */
 
-static void note_unsent(uint32_t to, const char *reason)
+static void log_unsent(uint32_t to, const char *reason)
 {
     struct in_addr address = {.s_addr = to};
     char           text[INET_ADDRSTRLEN] = "";
@@ -68,9 +69,9 @@
     cw_peer_t   *peer = cw_peer_link_learn(router->link, to, cw_router_now(router));
 
     if (peer == NULL) {
-        note_unsent(to, "no such peer");
+        log_unsent(to, "no such peer");
     } else if (!cw_router_send_to(router, peer, datagram)) {
-        note_unsent(to, "too long for a datagram");
+        log_unsent(to, "too long for a datagram");
     }
 }
 
@@ -85,7 +86,7 @@
     message->metered = usage->is_metered;
 }
 
-/* No count of another node is trusted to be above what it is a part of. */
+/* Counts of another node that are parts of `admitted` are limited to it, since datagrams are not trusted. */
 static cw_quota_usage_t read_usage(const Cwp__QuotaUsage *message)
 {
     uint64_t admitted = message->admitted;
@@ -199,13 +200,13 @@
     };
 
     if (to == cw_peer_link_own_address(quota->router->link)) {
-        add_own(quota, message);
+        add_self_message(quota, message);
         return;
     }
     senders[message->kind](quota, to, message);
 }
 
-/* ---- datagrams come ---- */
+/* ---- receiving datagrams ---- */
 
 void cw_router_take_quota_report(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReport *report)
 {
@@ -250,7 +251,7 @@
                                           .refused = ask->refused}};
 
     if (ask->usage == NULL) {
-        return; /* of a later version: without a reply, the node passes this one over */
+        return; /* of a later version: it gets no reply, so the sender asks another node */
     }
     message.ask.usage = read_usage(ask->usage);
     cw_router_quota_deliver(router->quota, peer->address, &message);
--- a/src/router/router_slots.c
+++ b/src/router/router_slots.c
@@ -1,9 +1,10 @@
 /**
  * @file router_slots.c
- * @brief Wires slots into the node: which nodes count them, the datagrams to and from these, this node's own counting.
+ * @brief Connects the slots of servers to the node: which nodes count them, the datagrams to and from those nodes, and
+ * the slots that this node counts.
  *
- * Where there are few nodes, slots are asked for only of servers with a rate limit: a few tell one another of each
- * request at once.
+ * In a small fleet, slots are requested only at servers with a rate limit: a few nodes report each request to one
+ * another at once, so they need no common count.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,34 +13,34 @@
 #include "router/router_internal.h"
 
 enum {
-    GATHER_EVERY_MS = 100 /* how often the nodes that may count are gathered; well below CW_PEER_SILENCE_MS */
+    CANDIDATES_UPDATE_MS = 100 /* between updates of the nodes that may count slots; well below CW_PEER_SILENCE_MS */
 };
 
-static const double no_limit = -1; /* in messages */
+static const double no_limit = -1; /* in messages: the server has no rate limit */
 
-/** A message of this node to itself: delivered from the loop, as those of others are. */
-typedef struct own_message {
+/** A message of this node to itself. It is delivered by the event loop, as messages of other nodes are. */
+typedef struct self_message {
     cw_slot_reply_t     reply;
     cw_slot_ask_t       ask;
     cw_slot_return_t    returned;
     cw_server_signals_t signals;
-    enum { OWN_ASK, OWN_REPLY, OWN_RETURN } kind;
-} own_message_t;
+    enum { SELF_ASK, SELF_REPLY, SELF_RETURN } kind;
+} self_message_t;
 
 struct cw_router_slots {
     cw_router_t      *router;
     cw_slot_broker_t *broker;
-    /* Nodes: those that this one receives from first, then those that others reach for it. */
+    /* Nodes that may count slots: first those that this node hears directly, then those that it reaches by detours. */
     cw_broker_candidate_t *candidates;
     size_t                 candidate_count;
-    size_t                 received_count;
-    size_t                 candidate_room;
-    cw_time_us_t           gathered_at;
-    bool                   is_on;
+    size_t                 direct_count; /* of those that this node hears directly */
+    size_t                 candidate_capacity;
+    cw_time_us_t           candidates_updated_at;
+    bool                   are_nodes_many;
     uv_timer_t             deliver;
-    own_message_t         *own;
-    size_t                 own_count;
-    size_t                 own_capacity;
+    self_message_t        *self_messages;
+    size_t                 self_message_count;
+    size_t                 self_message_capacity;
 };
 
 /* ---- messages to this node itself ---- */
@@ -49,23 +50,24 @@
     return cw_peer_link_own_address(slots->router->link);
 }
 
-static own_message_t *add_own(cw_router_slots_t *slots)
+static self_message_t *add_self_message(cw_router_slots_t *slots)
 {
-    if (slots->own_count == slots->own_capacity) {
-        slots->own_capacity = slots->own_capacity == 0 ? 32 : 2 * slots->own_capacity;
-        slots->own = cw_memory_resize(slots->own, slots->own_capacity * sizeof(*slots->own));
+    if (slots->self_message_count == slots->self_message_capacity) {
+        slots->self_message_capacity = slots->self_message_capacity == 0 ? 32 : 2 * slots->self_message_capacity;
+        slots->self_messages =
+            cw_memory_resize(slots->self_messages, slots->self_message_capacity * sizeof(*slots->self_messages));
     }
-    memset(&slots->own[slots->own_count], 0, sizeof(*slots->own));
-    return &slots->own[slots->own_count++];
+    memset(&slots->self_messages[slots->self_message_count], 0, sizeof(*slots->self_messages));
+    return &slots->self_messages[slots->self_message_count++];
 }
 
-static cw_time_us_t usual_of(cw_router_t *router, uint32_t service)
+static cw_time_us_t usual_time_of(cw_router_t *router, uint32_t service)
 {
     return cw_engine_usual_time_of(router->engine, service);
 }
 
-/* What a server said of itself counts before its slot is given to the next one. */
-static void take_return(cw_router_t *router, const cw_slot_return_t *returned, cw_time_us_t now)
+/* Applies the state that the server reported in its answer before its slot is granted to the next request. */
+static void handle_return(cw_router_t *router, const cw_slot_return_t *returned, cw_time_us_t now)
 {
     cw_slot_broker_t *broker = router->slots->broker;
     uint32_t          hash = cw_slot_broker_server_of(broker, returned->node, returned->ticket);
@@ -77,44 +79,44 @@
     cw_slot_broker_return(broker, returned, now);
 }
 
-static void deliver(cw_router_slots_t *slots, const own_message_t *message)
+static void deliver(cw_router_slots_t *slots, const self_message_t *message)
 {
     cw_router_t     *router = slots->router;
     cw_slot_return_t returned = message->returned;
     cw_time_us_t     now = cw_router_now(router);
 
     switch (message->kind) {
-    case OWN_ASK:
-        cw_slot_broker_ask(slots->broker, &message->ask, usual_of(router, message->ask.service), now);
+    case SELF_ASK:
+        cw_slot_broker_ask(slots->broker, &message->ask, usual_time_of(router, message->ask.service), now);
         break;
-    case OWN_REPLY:
+    case SELF_REPLY:
         cw_engine_slot_reply(router->engine, &message->reply);
         break;
-    case OWN_RETURN:
+    case SELF_RETURN:
         returned.signals = returned.signals == NULL ? NULL : &message->signals;
-        take_return(router, &returned, now);
+        handle_return(router, &returned, now);
         break;
     }
 }
 
-/* What is delivered may bring further messages: they come with the next turn of the loop. */
+/* Messages that are added during the delivery are delivered in the next iteration of the loop. */
 static void on_deliver(uv_timer_t *timer)
 {
     cw_router_slots_t *slots = timer->data;
-    own_message_t     *messages = slots->own;
-    size_t             count = slots->own_count;
+    self_message_t    *messages = slots->self_messages;
+    size_t             count = slots->self_message_count;
     size_t             index;
 
-    slots->own = NULL;
-    slots->own_count = 0;
-    slots->own_capacity = 0;
+    slots->self_messages = NULL;
+    slots->self_message_count = 0;
+    slots->self_message_capacity = 0;
     for (index = 0; index < count; index++) {
         deliver(slots, &messages[index]);
     }
     free(messages);
 }
 
-static void deliver_soon(cw_router_slots_t *slots)
+static void schedule_delivery(cw_router_slots_t *slots)
 {
     if (!uv_is_active((uv_handle_t *)&slots->deliver)) {
         uv_timer_start(&slots->deliver, on_deliver, 0, 0);
@@ -136,7 +138,7 @@
     cw_peer_t   *peer = cw_peer_link_learn(router->link, address, cw_router_now(router));
 
     if (peer != NULL) {
-        (void)cw_router_send_to(router, peer, datagram); /* one that is too long is logged where it is packed */
+        (void)cw_router_send_to(router, peer, datagram); /* a datagram that is too long is logged where it is packed */
     }
 }
 
@@ -153,12 +155,12 @@
     Cwp__Datagram      datagram = CWP__DATAGRAM__INIT;
 
     if (broker == own_address(slots)) {
-        own_message_t *own = add_own(slots);
+        self_message_t *own = add_self_message(slots);
 
-        own->kind = OWN_ASK;
+        own->kind = SELF_ASK;
         own->ask = *asked;
         own->ask.node = broker;
-        deliver_soon(slots);
+        schedule_delivery(slots);
         return;
     }
     message.ticket = asked->ticket;
@@ -197,15 +199,15 @@
     Cwp__Datagram      datagram = CWP__DATAGRAM__INIT;
 
     if (broker == own_address(slots)) {
-        own_message_t *own = add_own(slots);
+        self_message_t *own = add_self_message(slots);
 
-        own->kind = OWN_RETURN;
+        own->kind = SELF_RETURN;
         own->returned = *returned;
         own->returned.node = broker;
         if (returned->signals != NULL) {
             own->signals = *returned->signals;
         }
-        deliver_soon(slots);
+        schedule_delivery(slots);
         return;
     }
     message.ticket = returned->ticket;
@@ -218,20 +220,20 @@
     send_to(slots, broker, &datagram);
 }
 
-/* ---- this node as the one that counts ---- */
+/* ---- this node as a broker ---- */
 
-static void on_replied(void *context, const cw_slot_reply_t *reply)
+static void send_reply(void *context, const cw_slot_reply_t *reply)
 {
     cw_router_slots_t *slots = context;
     Cwp__SlotReply     message = CWP__SLOT_REPLY__INIT;
     Cwp__Datagram      datagram = CWP__DATAGRAM__INIT;
 
     if (reply->node == own_address(slots)) {
-        own_message_t *own = add_own(slots);
+        self_message_t *own = add_self_message(slots);
 
-        own->kind = OWN_REPLY;
+        own->kind = SELF_REPLY;
         own->reply = *reply;
-        deliver_soon(slots);
+        schedule_delivery(slots);
         return;
     }
     message.ticket = reply->ticket;
@@ -259,7 +261,7 @@
     if (message->limit != NULL) {
         cw_router_limits_take(router, message->limit, cw_router_now(router));
     }
-    cw_slot_broker_ask(router->slots->broker, &asked, usual_of(router, asked.service), cw_router_now(router));
+    cw_slot_broker_ask(router->slots->broker, &asked, usual_time_of(router, asked.service), cw_router_now(router));
 }
 
 void cw_router_take_slot_reply(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReply *message)
@@ -270,7 +272,7 @@
                              .free_after = CW_MS(message->free_after_ms)};
 
     if (message->outcome > CW_SLOT_REFUSED) {
-        return; /* of a later version: the ask is repeated, then the server is chosen here */
+        return; /* of a later version: the request for a slot is repeated, then this node chooses the server */
     }
     reply.outcome = (cw_slot_outcome_t)message->outcome;
     cw_engine_slot_reply(router->engine, &reply);
@@ -291,21 +293,21 @@
                                     .end = message->end > CW_SLOT_UNUSED ? CW_SLOT_UNUSED : (cw_slot_end_t)message->end,
                                     .signals = message->answered ? &signals : NULL};
 
-    take_return(router, &returned, cw_router_now(router));
+    handle_return(router, &returned, cw_router_now(router));
 }
 
-/* ---- who counts ---- */
+/* ---- which nodes count slots ---- */
 
 static void add_candidate(cw_router_slots_t *slots, const cw_broker_candidate_t *candidate)
 {
-    if (slots->candidate_count == slots->candidate_room) {
-        slots->candidate_room = slots->candidate_room == 0 ? 32 : 2 * slots->candidate_room;
-        slots->candidates = cw_memory_resize(slots->candidates, slots->candidate_room * sizeof(*slots->candidates));
+    if (slots->candidate_count == slots->candidate_capacity) {
+        slots->candidate_capacity = slots->candidate_capacity == 0 ? 32 : 2 * slots->candidate_capacity;
+        slots->candidates = cw_memory_resize(slots->candidates, slots->candidate_capacity * sizeof(*slots->candidates));
     }
     slots->candidates[slots->candidate_count++] = *candidate;
 }
 
-static void add_peers(cw_router_slots_t *slots, bool by_detour, cw_time_us_t now)
+static void add_peers(cw_router_slots_t *slots, bool is_detoured, cw_time_us_t now)
 {
     const cw_peer_t *peer;
 
@@ -313,7 +315,7 @@
         bool                  is_received = peer->last_received_at != 0 && !peer->is_lost;
         cw_broker_candidate_t other = {.address = peer->address, .capability = peer->capability, .zone = peer->zone};
 
-        if (peer->stopping || peer->zone[0] == '\0' || is_received == by_detour) {
+        if (peer->stopping || peer->zone[0] == '\0' || is_received == is_detoured) {
             continue;
         }
         if (is_received || cw_router_is_alive(slots->router, peer, now)) {
@@ -322,7 +324,7 @@
     }
 }
 
-static void gather(cw_router_slots_t *slots, cw_time_us_t now)
+static void update_candidates(cw_router_slots_t *slots, cw_time_us_t now)
 {
     cw_router_t *router = slots->router;
 
@@ -334,25 +336,28 @@
         add_candidate(slots, &own);
     }
     add_peers(slots, false, now);
-    slots->received_count = slots->candidate_count;
+    slots->direct_count = slots->candidate_count;
     add_peers(slots, true, now);
 }
 
 const cw_broker_candidate_t *cw_router_candidates(const cw_router_t *router, size_t *count)
 {
-    *count = router->slots->received_count;
+    *count = router->slots->direct_count;
     return router->slots->candidates;
 }
 
 bool cw_router_nodes_are_many(const cw_router_t *router)
 {
-    return router->slots->is_on;
+    return router->slots->are_nodes_many;
 }
 
 static void set_port(cw_router_slots_t *slots)
 {
-    cw_slot_port_t port = {
-        .context = slots, .only_limited = !slots->is_on, .broker_of = broker_of, .ask = ask, .give_back = give_back};
+    cw_slot_port_t port = {.context = slots,
+                           .only_limited = !slots->are_nodes_many,
+                           .broker_of = broker_of,
+                           .ask = ask,
+                           .give_back = give_back};
 
     cw_engine_set_slots(slots->router->engine, &port);
 }
@@ -362,7 +367,7 @@
     cw_router_slots_t *slots = cw_memory_zeroed(sizeof(*slots));
 
     slots->router = router;
-    slots->broker = cw_slot_broker_create(router->pool, router->settings.zone, on_replied, slots);
+    slots->broker = cw_slot_broker_create(router->pool, router->settings.zone, send_reply, slots);
     uv_timer_init(&router->loop, &slots->deliver);
     slots->deliver.data = slots;
     router->slots = slots;
@@ -372,19 +377,19 @@
 void cw_router_slots_tick(cw_router_t *router, cw_time_us_t now)
 {
     cw_router_slots_t *slots = router->slots;
-    bool               is_on;
+    bool               are_nodes_many;
 
     cw_slot_broker_set_share(slots->broker, cw_router_quota_share(router));
     cw_slot_broker_tick(slots->broker, now);
-    if (now - slots->gathered_at >= CW_MS(GATHER_EVERY_MS)) {
-        slots->gathered_at = now;
-        gather(slots, now);
+    if (now - slots->candidates_updated_at >= CW_MS(CANDIDATES_UPDATE_MS)) {
+        slots->candidates_updated_at = now;
+        update_candidates(slots, now);
     }
-    is_on = slots->received_count >= CW_FLEET_MANY_NODES;
-    if (is_on != slots->is_on) {
-        slots->is_on = is_on;
+    are_nodes_many = slots->direct_count >= CW_FLEET_MANY_NODES;
+    if (are_nodes_many != slots->are_nodes_many) {
+        slots->are_nodes_many = are_nodes_many;
         set_port(slots);
-        /* Where slots are handed out, cold servers get requests by slots only: both together could pass the bound. */
-        cw_server_pool_set_cold_rate(router->pool, is_on ? NULL : router->cold_rate);
+        /* With brokers, cold servers get requests by slots only: the two rates together could exceed the bound. */
+        cw_server_pool_set_cold_rate(router->pool, are_nodes_many ? NULL : router->cold_rate);
     }
 }
--- a/src/router/router_status.c
+++ b/src/router/router_status.c
@@ -1,6 +1,6 @@
 /**
  * @file router_status.c
- * @brief Status as JSON.
+ * @brief A node's status as JSON.
  */
 #include "router/router_status.h"
 
@@ -138,7 +138,8 @@
         json_object_set_new(status, "sent", cw_router_status_sent(router));
         json_object_set_new(status, "pipelines", cw_router_status_pipelines());
     }
-    text = status == NULL ? strdup("{}") : json_dumps(status, JSON_COMPACT); /* NULL: a name is no UTF-8 */
+    text = status == NULL ? strdup("{}")
+                          : json_dumps(status, JSON_COMPACT); /* json_pack returns NULL if a name is not UTF-8 */
 
     json_decref(status);
     if (text == NULL) {
--- a/src/router/router_status.h
+++ b/src/router/router_status.h
@@ -1,6 +1,6 @@
 /**
  * @file router_status.h
- * @brief What a node believes now, as JSON: for operators' "cedarwinch status".
+ * @brief A node's current state as JSON, for operators ("cedarwinch status").
  */
 #ifndef CEDARWINCH_ROUTER_STATUS_H
 #define CEDARWINCH_ROUTER_STATUS_H
@@ -9,21 +9,22 @@
 
 #include "router/router_internal.h"
 
-/** The path it is served at, on the readiness endpoint. */
+/** The HTTP path of the status, on the readiness endpoint. */
 #define CW_STATUS_PATH "/status"
 
-/** To be freed. */
+/** Returns the status as JSON text, which the caller frees. */
 char *cw_router_status(cw_router_t *router);
 
-/* ---- router_status_callers.c: parts of it, each a new reference ---- */
-/** Requests refused by this process, by status and reason as in the log; those that never came are left out. */
+/* ---- router_status_callers.c: parts of the status; each call returns a new reference ---- */
+/** Number of requests refused by this process, by status code and reason as in the log; reasons that have not occurred
+ * are left out. */
 json_t *cw_router_status_refused(void);
-/** The largest tenants of those with a limit, the rest as one row "(others)": what came, and the limit as it stands on
- * this node. */
+/** The largest tenants of those with a limit, and the rest as one row "(others)": their requests, and the state of
+ * their limit on this node. */
 json_t *cw_router_status_tenants(const cw_router_t *router);
-/** Bytes of datagrams sent to other nodes, by distance. */
+/** Bytes of datagrams sent to other nodes, by distance (within the zone, to other zones, to other regions). */
 json_t *cw_router_status_sent(const cw_router_t *router);
-/** Pipelined requests, and answers that waited for their turn. */
+/** Number of pipelined requests, and of answers that waited for an earlier answer of their connection. */
 json_t *cw_router_status_pipelines(void);
 
 #endif
--- a/src/router/router_status_callers.c
+++ b/src/router/router_status_callers.c
@@ -1,6 +1,7 @@
 /**
  * @file router_status_callers.c
- * @brief The part of the status about callers: refusals by reason, the largest tenants' limits, bytes by distance.
+ * @brief The parts of the status about callers and traffic: refusals by reason, the largest tenants' limit_refusals,
+ * bytes sent by distance, pipelined requests.
  */
 #include <string.h>
 
@@ -9,7 +10,7 @@
 #include "router/router_quota.h"
 #include "router/router_status.h"
 
-/** A reason as the log words it, and its counter. */
+/** A status code and reason, with the text as in the log, and its counter. */
 typedef struct reason_metric {
     const char *reason;
     cw_metric_t metric;
@@ -44,14 +45,17 @@
 json_t *cw_router_status_refused(void)
 {
     json_t  *counts = json_object();
-    uint64_t limits = cw_metric_value(CW_METRIC_REFUSED_TENANT); /* of both kinds */
-    uint64_t rates = cw_metric_value(CW_METRIC_REFUSED_LIMIT);
+    uint64_t limit_refusals =
+        cw_metric_value(CW_METRIC_REFUSED_TENANT); /* refusals for either of a tenant's two limit_refusals: its rate,
+                                                      and its requests at once */
+    uint64_t rate_refusals = cw_metric_value(CW_METRIC_REFUSED_LIMIT);
     size_t   index;
 
     for (index = 0; index < sizeof(reasons) / sizeof(reasons[0]); index++) {
         add_count(counts, reasons[index].reason, cw_metric_value(reasons[index].metric));
     }
-    add_count(counts, "429 the tenant's requests at once", limits > rates ? limits - rates : 0);
+    add_count(counts, "429 the tenant's requests at once",
+              limit_refusals > rate_refusals ? limit_refusals - rate_refusals : 0);
     return counts;
 }
 
@@ -69,7 +73,7 @@
     return NULL;
 }
 
-/* The node that this one would ask now, of those that may count and reply; NULL: none. */
+/* Name of the node that counts the tenant, as this node would ask it now; NULL: none. */
 static const char *counting_node(const cw_router_t *router, uint32_t tenant)
 {
     uint32_t         address = cw_router_quota_counting_node(router->quota, tenant);
@@ -122,7 +126,7 @@
     return rows;
 }
 
-/* ---- between nodes, and on callers' connections ---- */
+/* ---- traffic between nodes, and on callers' connections ---- */
 
 json_t *cw_router_status_sent(const cw_router_t *router)
 {
--- a/tests/loop_fixture.c
+++ b/tests/loop_fixture.c
@@ -1,6 +1,6 @@
 /**
  * @file loop_fixture.c
- * @brief Runs a libuv loop until a condition holds.
+ * @brief Runs a libuv loop until a condition holds, for tests.
  */
 #include "loop_fixture.h"
 
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -1,6 +1,6 @@
 /**
  * @file node_fixture.c
- * @brief The parts of a node, and fakes for what lies around it.
+ * @brief Starts the parts of a node, with fakes of the store, the servers and the other nodes.
  */
 #include "node_fixture.h"
 
@@ -10,7 +10,7 @@
 
 #include "base/text.h"
 
-enum { ID_MAX = 24, SETTLE_TICKS = 12, LISTED_CALM_MS = 4200, HEADER_BYTES = 16384 };
+enum { ID_MAX = 24, SETTLE_TICKS = 12, LIST_SETTLED_MS = 4200, HEADER_BYTES = 16384 };
 
 static const char *const zones[] = {"z1", "z2", "z3"};
 
@@ -99,7 +99,7 @@
 
 /* ---- servers ---- */
 
-static void take_order(void *context, const cw_order_t *order, cw_order_done_t done, void *data)
+static void accept_order(void *context, const cw_order_t *order, cw_order_done_t done, void *data)
 {
     node_fixture_t *node = context;
 
@@ -116,7 +116,7 @@
 
     node->order_count = 0;
     for (index = 0; index < count; index++) {
-        node_fixture_order_t order = node->orders[index]; /* an answer may bring the next order */
+        node_fixture_order_t order = node->orders[index]; /* copied, since the answer may add an order */
 
         order.done(order.context, order.order.id, result, NULL);
     }
@@ -170,7 +170,7 @@
 
 /* ---- the node ---- */
 
-static void on_dropped(void *context, cw_server_t *server)
+static void on_server_dropped(void *context, cw_server_t *server)
 {
     node_fixture_t *node = context;
 
@@ -225,7 +225,7 @@
     cw_absence_settings_t      absence;
 
     router->upstream = cw_upstream_create(&router->loop, &options);
-    router->pool = cw_server_pool_create(router->settings.zone, on_dropped, node);
+    router->pool = cw_server_pool_create(router->settings.zone, on_server_dropped, node);
     cw_server_pool_set_node(router->pool, router->settings.node);
     cw_server_pool_set_regions(router->pool, router->settings.zone_regions, router->settings.zone_region_count);
     router->engine = cw_engine_create(&router->loop, &settings, router->pool, router->upstream);
@@ -269,7 +269,7 @@
                                    .know_servers = know_servers,
                                    .read_configuration = read_configuration,
                                    .watch_configuration = watch_configuration};
-    node->adapter = (cw_adapter_t){.header_names = &node->names, .order = take_order};
+    node->adapter = (cw_adapter_t){.header_names = &node->names, .order = accept_order};
     node->router.adapter = &node->adapter;
     node->router.platform = node;
     node->router.incarnation = 77;
@@ -296,7 +296,7 @@
     cw_order_trust_free(node->router.order_trust);
     cw_detours_free(node->router.detours);
     cw_configuration_release(node->router.configuration);
-    free(node); /* a process frees nothing of this; the engine and what keeps timers stays */
+    free(node); /* the engine and the parts with timers are not freed, since a process never frees them */
 }
 
 void node_fixture_tick(node_fixture_t *node, int64_t passed_ms)
@@ -304,7 +304,7 @@
     cw_router_t *router = &node->router;
     cw_time_us_t now;
 
-    router->loop.time += (uint64_t)passed_ms; /* logical time: the loop itself does not run */
+    router->loop.time += (uint64_t)passed_ms; /* logical time, since the loop itself does not run */
     now = cw_router_now(router);
     cw_router_lead_tick(router, now);
     cw_router_view_tick(router, now);
@@ -326,7 +326,8 @@
         node_fixture_tick(node, CW_TICK_MS);
         node_fixture_answer_store(node);
     }
-    node_fixture_tick(node, LISTED_CALM_MS); /* servers are taken to have signed in */
+    node_fixture_tick(node,
+                      LIST_SETTLED_MS); /* the list has not changed for long enough: all servers count as registered */
     for (tick = 0; tick < SETTLE_TICKS; tick++) {
         node_fixture_answer_store(node);
         node_fixture_tick(node, CW_TICK_MS);
--- a/tests/process/fatal_signal.sh
+++ b/tests/process/fatal_signal.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# A node that a signal ends writes one last line, by which the place can be found; its course is the default one.
+# A node that is ended by a fatal signal writes one last log line, from which the place in the code can be found, and then
+# ends as it would without a handler.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 1
 
 last_line() { tail -1 "$WORK/node1.log"; }
 field() { last_line | jq -r ".$1 // \"\""; }
-functions() { # of the program in the trace
+functions() { # names of the functions of the program in the trace
     field trace | tr ' ' '\n' | grep -v '@' | xargs addr2line -f -e "$BUILD/cedarwinchd"
 }
 build_id() { readelf -n "$BUILD/cedarwinchd" | awk '/Build ID/ {print $3}'; }
--- a/tests/process/kill_all.sh
+++ b/tests/process/kill_all.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# All nodes are killed at once: what lasts is in the store, owners keep their keys, service goes on.
+# All nodes are killed at once. All lasting state is in the store, so owners keep their keys and service continues.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 3
 cluster_callers before --rate 100 --count 200
--- a/tests/process/kill_leader.sh
+++ b/tests/process/kill_leader.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The leader is killed and comes back; then a server; nothing runs twice, no key has two owners, all is served again.
+# The leader is killed and started again, then a server is killed. No request is run twice, no key has two owners, and all
+# keys are served again.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 3
 cluster_callers before --rate 100 --count 200
--- a/tests/process/planned_stop.sh
+++ b/tests/process/planned_stop.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Nodes are stopped as planned and started again, one after the other, under load: no request is lost.
+# Nodes are stopped by SIGTERM and started again, one after the other, under load. No request is lost.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 NODE_SETTINGS="stop_grace_ms: 5000"
 usual_cluster 3
@@ -16,7 +16,7 @@
     until_true curl -sf "http://$NET.$n:8081/readyz"
 done
 wait "$callers"
-# Callers here keep to their nodes: while one is away its connections are refused, which no router can mend.
+# Callers of this test each use one node only: while it is down their connections are refused, which no router can prevent.
 cut=$(jq -s '[.[]|select(.event=="end" and .status==0 and .fault!="connection refused" and .fault!="no connection in time")]|length' "$WORK/callers-rolling.json")
 check "no connection was cut under a request" at_most "$cut" 0
 check "records agree" cluster_check
--- a/tests/process/region_cut_leader.sh
+++ b/tests/process/region_cut_leader.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A region is cut off from the other one and from the store, the leader inside: a node outside leads, and gives the keys of
-# owners inside to servers that it reaches, when their holds have run out. Inside, keys whose tables have run out are
-# refused. Healed, all nodes have one view.
+# The leader's region is cut off from the other region and from the store. A node outside becomes the leader and, once the
+# holds of the owners inside have run out, assigns their keys to servers that it reaches. Inside, requests for keys are
+# refused once the tables have expired. After the link is restored, all nodes have the same view.
 LINKED=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
 regions_cluster
--- a/tests/process/restart_all.sh
+++ b/tests/process/restart_all.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# All processes are killed and started again while the list of servers stays as it was: each node finds all the others,
-# not just the seeds and the leader.
+# All nodes are killed and started again while the list of servers stays as it was. Each node finds all the others, not
+# only the seeds and the leader.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 6
 usual_servers
@@ -9,7 +9,7 @@
 cluster_wait_served
 peers() { curl -sf "http://$NET.$1:8081/metrics" | awk '$1 == "cedarwinch_peers" {print $2}'; }
 all_know_all() { for n in 1 2 3 4 5 6; do [ "$(peers "$n")" = 5 ] || return 1; done; }
-within() { # POLLS COMMAND...: a bound in polls, each of them later than the reports of a second
+within() { # POLLS COMMAND...: limit in polls, each of which follows a second of reports
     local polls=$1
     shift
     while [ "$polls" -gt 0 ]; do
--- a/tests/process/start_strained.sh
+++ b/tests/process/start_strained.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Nodes that are killed and start again beside nodes that still know them, with a store that does not answer or comes
-# back in the middle, and with SIGHUP before the first answer: each lives, and all are ready at the end.
+# Nodes are killed and started again while other nodes still know them, while the store does not answer or begins to answer
+# again, and with SIGHUP before the first answer of the store. No node ends, and all are ready at the end.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 6
 (cluster_callers strained --rate 60 --count 400) &
@@ -8,7 +8,7 @@
 control() { curl -s -m 2 -X POST "http://$STORE/control?$1" >/dev/null; }
 ended_by_itself=0
 starts() { grep -c '"event":"start"' "$WORK/node$1.log"; }
-has_started() { [ "$(starts "$1")" -gt "$2" ]; } # its signals are handled by then, and no answer has come
+has_started() { [ "$(starts "$1")" -gt "$2" ]; } # signals are handled from then on; no answer has come yet
 for round in 1 2 3 4 5 6; do
     case $((round % 3)) in 1) control "down=900&how=silent" ;; 2) control "down=900&how=reset" ;; esac
     for n in 2 3 4 5; do kill -KILL "${NODE_PIDS[$n]}"; done
--- a/tests/process/store_turns_leader_away.sh
+++ b/tests/process/store_turns_leader_away.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The store turns only the leader away while a server leaves: the other nodes read that it leaves, and the leader, which
-# goes on telling its older list, does not bring it back there. Once for each way of turning away. Callers come by the
-# other nodes only: the leader itself has not been told.
+# The store refuses only the leader while a server leaves. The other nodes read in the store that it leaves; the leader,
+# which continues to send its older list, must not bring the server back there. This is done once for each way of refusing.
+# Callers use the other nodes only, since the leader does not know that the server leaves.
 STORE_ENDPOINTS=4
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 3
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -1,9 +1,11 @@
 /**
  * @file test_node_start.c
- * @brief What comes to a node before it knows anything, in any order and at the bounds of its arrays.
+ * @brief Tests that a node handles messages that arrive before it knows anything, in any order, and at the limits of
+ * its arrays.
  *
- * Most of these hold when the node lives; under AddressSanitizer they hold when it also read and wrote nothing but its
- * own (make BUILD=build-asan CFLAGS="-O1 -g -fsanitize=address,undefined" LDFLAGS="-fsanitize=address,undefined").
+ * Most of these tests pass if the node does not crash; under AddressSanitizer they also check that it accesses no
+ * memory out of bounds (make BUILD=build-asan CFLAGS="-O1 -g -fsanitize=address,undefined"
+ * LDFLAGS="-fsanitize=address,undefined").
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,13 +20,13 @@
 
 enum {
     TERM = 7,
-    MANY_LOADS = 600,       /* more than a report may hold */
-    MANY_NODES = 1200,      /* more than may count slots, or share cold servers */
+    MANY_LOADS = 600,       /* more than fit into a report */
+    MANY_NODES = 1200,      /* more than may count slots, or send to cold servers */
     MANY_SERVICES = 20,     /* more than tables have room for */
     MANY_SERVERS = 2100,    /* of one service */
     HUGE_LIST = 40000,      /* servers */
-    PAGES_MOST = 512,       /* of a list */
-    LONG_FREEZE_MS = 120000 /* all peers are forgotten meanwhile: among so many, one may be silent for 60 s */
+    PAGES_MAX = 512,        /* of a list */
+    LONG_FREEZE_MS = 120000 /* all peers are forgotten: among MANY_NODES, one may be silent for 60 s */
 };
 
 #define OTHER "10.0.0.9"
@@ -57,9 +59,9 @@
     node_fixture_receive(node, OTHER, &datagram);
 }
 
-static void receive_servers(node_fixture_t *node, const Cwp__ServersPage *place, const char *id)
+static void receive_servers(node_fixture_t *node, const Cwp__ServersPage *position, const char *id)
 {
-    Cwp__ServersPage page = *place;
+    Cwp__ServersPage page = *position;
     Cwp__ViewServer  server = CWP__VIEW_SERVER__INIT;
     Cwp__ViewServer *servers = &server;
     Cwp__Datagram    datagram = CWP__DATAGRAM__INIT;
@@ -76,17 +78,17 @@
     node_fixture_receive(node, OTHER, &datagram);
 }
 
-static Cwp__ServersPage servers_place(uint64_t term, uint64_t number, uint64_t since, uint32_t page, uint32_t pages)
+static Cwp__ServersPage page_position(uint64_t term, uint64_t number, uint64_t since, uint32_t page, uint32_t pages)
 {
-    Cwp__ServersPage place = CWP__SERVERS_PAGE__INIT;
+    Cwp__ServersPage position = CWP__SERVERS_PAGE__INIT;
 
-    place.term = term;
-    place.number = number;
-    place.since = since;
-    place.page = page;
-    place.pages = pages;
-    place.revision = number;
-    return place;
+    position.term = term;
+    position.number = number;
+    position.since = since;
+    position.page = page;
+    position.pages = pages;
+    position.revision = number;
+    return position;
 }
 
 static void receive_table(node_fixture_t *node, uint64_t term, uint32_t page, uint32_t pages, const char *service)
@@ -131,7 +133,7 @@
     datagram.content_case = CWP__DATAGRAM__CONTENT_SLOT_REPLY;
     datagram.slot_reply = &reply;
     node->router.loop.time++;
-    if (node->router.settings.node[0] != '\0') { /* a reply that nobody waits for is declined */
+    if (node->router.settings.node[0] != '\0') { /* a reply that no request waits for is declined */
         cw_router_slots_tick(&node->router, cw_router_now(&node->router));
     }
     returned.ticket = 1;
@@ -231,7 +233,7 @@
 
 static void receive_all_kinds(node_fixture_t *node)
 {
-    Cwp__ServersPage changes = servers_place(TERM, 9, 4, 0, 1);
+    Cwp__ServersPage changes = page_position(TERM, 9, 4, 0, 1);
 
     receive_ack(node);
     receive_notice(node);
@@ -257,7 +259,8 @@
     node_fixture_tick(node, CW_TICK_MS);
     node_fixture_answer_store(node);
     ck_assert_uint_eq(node->router.view_term, TERM);
-    ck_assert_ptr_null(node->router.server_view.list); /* changes of a list that it does not have */
+    /* It has received only changes of a list that it does not have. */
+    ck_assert_ptr_null(node->router.server_view.list);
     ck_assert_ptr_null(node->router.configuration);
     status = cw_router_status(&node->router);
     ck_assert_ptr_nonnull(status);
@@ -284,7 +287,7 @@
     node_fixture_read_servers(node, "s", 0, "10.0.1.1:80");
     node_fixture_tick(node, CW_TICK_MS);
     node_fixture_tick(node, LONG_FREEZE_MS);
-    ck_assert_uint_eq(node->router.server_view.list->count, 0); /* not kept for ever */
+    ck_assert_uint_eq(node->router.server_view.list->count, 0); /* missing servers are kept for a bounded time only */
     node_fixture_free(node);
 }
 END_TEST
@@ -295,12 +298,12 @@
     node_fixture_t *second = node_fixture_create();
 
     ck_assert(cw_router_use_configuration(&first->router, node_fixture_configuration(1, "s")));
-    node_fixture_lead(first); /* without any list */
+    node_fixture_lead(first); /* without a list of servers */
     node_fixture_read_servers(first, "s", 4, "10.0.1.1:80");
     node_fixture_lead(first);
     ck_assert_uint_eq(cw_assigner_ranges(first->router.keyed[0].assigner)->count, 4);
     node_fixture_read_servers(second, "s", 4, "10.0.1.1:80");
-    node_fixture_lead(second); /* without any configuration */
+    node_fixture_lead(second); /* without a configuration */
     ck_assert(cw_router_use_configuration(&second->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(second);
     ck_assert_uint_eq(cw_assigner_ranges(second->router.keyed[0].assigner)->count, 4);
@@ -312,10 +315,10 @@
 START_TEST(pages_come_out_of_order_twice_and_of_several_terms)
 {
     node_fixture_t  *node = node_fixture_create();
-    Cwp__ServersPage second = servers_place(TERM, 5, 0, 1, 2);
-    Cwp__ServersPage first = servers_place(TERM, 5, 0, 0, 2);
-    Cwp__ServersPage other_term = servers_place(TERM + 1, 5, 0, 0, 3);
-    Cwp__ServersPage early = servers_place(TERM, 6, 5, 1, 2);
+    Cwp__ServersPage second = page_position(TERM, 5, 0, 1, 2);
+    Cwp__ServersPage first = page_position(TERM, 5, 0, 0, 2);
+    Cwp__ServersPage other_term = page_position(TERM + 1, 5, 0, 0, 3);
+    Cwp__ServersPage early = page_position(TERM, 6, 5, 1, 2);
 
     receive_servers(node, &second, "i-b");
     receive_servers(node, &second, "i-b");
@@ -323,9 +326,10 @@
     receive_servers(node, &second, "i-b");
     receive_servers(node, &first, "i-a");
     ck_assert_uint_eq(node->router.server_view.list->count, 2);
-    receive_servers(node, &early, "i-c"); /* who was removed is told in the page before it */
+    /* Not applied: the page before it, which names the removed servers, is missing. */
+    receive_servers(node, &early, "i-c");
     ck_assert_uint_eq(node->router.server_view.list->count, 2);
-    receive_servers(node, &first, "i-d"); /* of before */
+    receive_servers(node, &first, "i-d"); /* an earlier number */
     ck_assert_uint_eq(node->router.server_view.list->count, 2);
     receive_table(node, TERM, 1, 2, "s");
     receive_table(node, TERM + 1, 0, 2, "t");
@@ -337,25 +341,25 @@
 }
 END_TEST
 
-START_TEST(transfers_have_as_many_pages_as_there_is_room_for_and_one_more)
+START_TEST(transfers_have_the_greatest_number_of_pages_and_one_more)
 {
     node_fixture_t *node = node_fixture_create();
     char            id[24];
     uint32_t        page;
 
-    for (page = 0; page <= PAGES_MOST; page++) {
-        Cwp__ServersPage too_many = servers_place(TERM, 4, 0, page, PAGES_MOST + 1);
+    for (page = 0; page <= PAGES_MAX; page++) {
+        Cwp__ServersPage too_many = page_position(TERM, 4, 0, page, PAGES_MAX + 1);
 
         receive_servers(node, &too_many, "i-x");
     }
     ck_assert_ptr_null(node->router.server_view.list);
-    for (page = PAGES_MOST; page > 0; page--) {
-        Cwp__ServersPage place = servers_place(TERM, 5, 0, page - 1, PAGES_MOST);
+    for (page = PAGES_MAX; page > 0; page--) {
+        Cwp__ServersPage position = page_position(TERM, 5, 0, page - 1, PAGES_MAX);
 
         snprintf(id, sizeof(id), "i-%06u", page);
-        receive_servers(node, &place, id);
+        receive_servers(node, &position, id);
     }
-    ck_assert_uint_eq(node->router.server_view.list->count, PAGES_MOST);
+    ck_assert_uint_eq(node->router.server_view.list->count, PAGES_MAX);
     for (page = 0; page < MANY_SERVICES; page++) {
         snprintf(id, sizeof(id), "service-%u", page);
         receive_table(node, TERM, page, MANY_SERVICES, id);
@@ -373,7 +377,7 @@
 }
 END_TEST
 
-START_TEST(a_report_tells_more_than_there_is_room_for)
+START_TEST(report_has_more_entries_than_there_is_room_for)
 {
     static Cwp__ServerLoad   loads[MANY_LOADS];
     static Cwp__ServerLoad  *load_pointers[MANY_LOADS];
@@ -422,7 +426,7 @@
 }
 END_TEST
 
-START_TEST(more_nodes_come_than_may_count_slots_and_all_are_forgotten_after_a_freeze)
+START_TEST(more_than_a_thousand_nodes_are_known_and_forgotten_after_a_freeze)
 {
     node_fixture_t *node = node_fixture_create();
     char            address[24];
@@ -449,7 +453,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_gives_keys_to_each_of_thousands_of_servers)
+START_TEST(leader_assigns_keys_to_each_of_thousands_of_servers)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -461,7 +465,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_is_told_of_keys_that_do_not_exist)
+START_TEST(leader_ignores_samples_of_keys_that_do_not_exist)
 {
     node_fixture_t *node = node_fixture_create();
     uint32_t        sequence;
@@ -470,10 +474,10 @@
     ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
     ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, 4);
-    for (sequence = 1; sequence < 60; sequence++) { /* so often that one of them alone would keep a server busy */
+    for (sequence = 1; sequence < 60; sequence++) { /* so often that one such key alone would keep a server busy */
         receive_samples(node, CW_KEY_LAST + 1, 1000, 3 * sequence);
         receive_samples(node, UINT32_MAX, 1000, 3 * sequence + 1);
-        receive_samples(node, 5, 1, 3 * sequence + 2); /* there is also usual load */
+        receive_samples(node, 5, 1, 3 * sequence + 2); /* valid load, too */
         node_fixture_tick(node, CW_TICK_MS);
         node_fixture_answer_store(node);
         node_fixture_answer_orders(node, CW_ORDER_DONE);
@@ -483,11 +487,11 @@
 }
 END_TEST
 
-/* Orders of a former assigner whose answers come when another one stands at its address in memory. */
-START_TEST(answers_to_orders_of_a_former_term_count_for_nothing)
+/* Orders of an earlier assigner whose answers come when another one stands at its address in memory. */
+START_TEST(answers_to_orders_of_an_earlier_term_are_ignored)
 {
     node_fixture_t        *node = node_fixture_create();
-    node_fixture_order_t   former[4];
+    node_fixture_order_t   earlier[4];
     const cw_range_list_t *ranges;
     size_t                 index;
 
@@ -495,14 +499,14 @@
     ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead_unanswered(node);
     ck_assert_uint_eq(node->order_count, 4);
-    memcpy(former, node->orders, sizeof(former));
+    memcpy(earlier, node->orders, sizeof(earlier));
     node->order_count = 0;
     cw_router_free_assigners(&node->router);
     node->router.leadership.lock.term++;
     node_fixture_lead_unanswered(node);
     ck_assert_uint_eq(node->order_count, 4);
     for (index = 0; index < 4; index++) {
-        former[index].done(former[index].context, former[index].order.id, CW_ORDER_DONE, NULL);
+        earlier[index].done(earlier[index].context, earlier[index].order.id, CW_ORDER_DONE, NULL);
     }
     ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
     ck_assert_uint_eq(ranges->count, 4);
@@ -513,7 +517,7 @@
 }
 END_TEST
 
-static void take_result(void *context, uint64_t order, cw_order_result_t result, const char *handover)
+static void store_result(void *context, uint64_t order, cw_order_result_t result, const char *handover)
 {
     cw_order_result_t *taken = context;
 
@@ -522,7 +526,7 @@
     *taken = result;
 }
 
-START_TEST(an_order_to_what_is_no_address_is_not_sent)
+START_TEST(order_to_an_invalid_address_is_not_sent)
 {
     static const char *const addresses[] = {"", "10.0.0.1", "host:80", "10.0.0.1.2:80"};
     uv_loop_t                loop;
@@ -536,18 +540,18 @@
         cw_order_result_t result = CW_ORDER_DONE;
 
         snprintf(order.address, sizeof(order.address), "%s", addresses[index]);
-        cw_adapter.order(platform, &order, take_result, &result);
+        cw_adapter.order(platform, &order, store_result, &result);
         ck_assert_int_eq(result, CW_ORDER_NOT_SENT);
     }
 }
 END_TEST
 
-START_TEST(a_status_is_told_whatever_another_node_calls_itself)
+START_TEST(status_is_returned_whatever_the_name_of_another_node)
 {
     node_fixture_t *node = node_fixture_create();
     char           *status;
 
-    memset(node->router.leader_node, 0xff, 4); /* no text of UTF-8 */
+    memset(node->router.leader_node, 0xff, 4); /* not valid UTF-8 */
     status = cw_router_status(&node->router);
     ck_assert_ptr_nonnull(status);
     free(status);
@@ -555,8 +559,8 @@
 }
 END_TEST
 
-/* As many as are in use, and so many more. */
-static void leave_descriptors(struct rlimit *before, rlim_t more)
+/* Limits the process to the file descriptors in use and `more` others. Returns the limit before. */
+static void limit_descriptors(struct rlimit *before, rlim_t more)
 {
     struct rlimit limit;
     int           next = dup(0);
@@ -570,7 +574,7 @@
 
 /* ---- the first list ---- */
 
-static void tick_for(node_fixture_t *node, int milliseconds)
+static void tick_during(node_fixture_t *node, int milliseconds)
 {
     int passed;
 
@@ -585,7 +589,7 @@
 
     node_fixture_tick(node, CW_TICK_MS);
     receive_heartbeat(node, TERM, 1, 0);
-    tick_for(node, 500);
+    tick_during(node, 500);
     ck_assert_uint_eq(node->list_reads, 0);
     node_fixture_free(node);
 }
@@ -597,7 +601,7 @@
 
     node_fixture_tick(node, CW_TICK_MS);
     receive_heartbeat(node, TERM, 1, 0);
-    tick_for(node, 1000);
+    tick_during(node, 1000);
     ck_assert_uint_eq(node->list_reads, 1);
     node_fixture_free(node);
 }
@@ -607,15 +611,15 @@
 {
     node_fixture_t *node = node_fixture_create();
 
-    tick_for(node, 200);
+    tick_during(node, 200);
     ck_assert_uint_eq(node->list_reads, 1);
     node_fixture_free(node);
 }
 END_TEST
 
-/* ---- lists that get old at all nodes at once ---- */
+/* ---- lists that become old at all nodes at the same time ---- */
 
-/* When a node of this name begins to read, counted from when its list was true. */
+/* Age of the list of a node with this name when the node begins to read it again. */
 static cw_time_us_t age_when_read(const char *name, bool hears_leader)
 {
     node_fixture_t *node = node_fixture_create();
@@ -625,7 +629,7 @@
 
     (void)snprintf(router->settings.node, sizeof(router->settings.node), "%s", name);
     node_fixture_read_servers(node, "s", 3, "10.0.1.1:80");
-    router->loop.time += 10000; /* it is not new */
+    router->loop.time += 10000; /* the node is not new any more */
     begun = cw_router_now(router);
     router->server_view.true_at = begun;
     reads = node->list_reads;
@@ -641,9 +645,9 @@
     return begun;
 }
 
-START_TEST(nodes_that_hear_the_leader_do_not_all_read_at_the_same_moment)
+START_TEST(nodes_that_hear_the_leader_do_not_all_read_at_once)
 {
-    enum { NODES = 40, AT_ONCE_MOST = NODES / 4 };
+    enum { NODES = 40, AT_ONCE_MAX = NODES / 4 };
     cw_time_us_t drain = CW_SECONDS(2);
     size_t       at[100] = {0};
     char         name[16];
@@ -654,11 +658,11 @@
 
         (void)snprintf(name, sizeof(name), "n-%d", index);
         age = age_when_read(name, true);
-        ck_assert_int_le(age, drain * 85 / 100); /* the rest is for the reading */
+        ck_assert_int_le(age, drain * 85 / 100); /* the remaining time is for the read itself */
         at[age / CW_MS(CW_TICK_MS)]++;
     }
     for (index = 0; index < 100; index++) {
-        ck_assert_uint_le(at[index], AT_ONCE_MOST);
+        ck_assert_uint_le(at[index], AT_ONCE_MAX);
     }
 }
 END_TEST
@@ -669,9 +673,9 @@
 }
 END_TEST
 
-/* ---- equal numbers, unequal contents ---- */
+/* ---- the leader's number, but other contents ---- */
 
-static void take_list_of(node_fixture_t *node, uint64_t number)
+static void receive_list(node_fixture_t *node, uint64_t number)
 {
     Cwp__ServersPage page = CWP__SERVERS_PAGE__INIT;
 
@@ -682,22 +686,22 @@
     receive_servers(node, &page, "i-1");
 }
 
-/* Heartbeats name the list and a hash that is not the one of the list in force. */
+/* Delivers heartbeats that name the number of the list, with a hash that differs from that of the list in force. */
 static void receive_heartbeats(node_fixture_t *node, uint64_t number, int milliseconds)
 {
     int passed;
 
     for (passed = 0; passed < milliseconds; passed += 200) {
-        tick_for(node, 200);
+        tick_during(node, 200);
         receive_heartbeat(node, TERM, number, 0);
     }
 }
 
-START_TEST(a_list_that_has_long_differed_under_the_leaders_number_is_asked_for_anew)
+START_TEST(list_that_has_long_differed_under_the_leaders_number_is_requested_again)
 {
     node_fixture_t *node = node_fixture_create();
 
-    take_list_of(node, 3);
+    receive_list(node, 3);
     ck_assert_uint_eq(node->router.view_servers, 3);
     receive_heartbeats(node, 3, 9000);
     ck_assert_uint_eq(node->router.view_servers, 3);
@@ -707,21 +711,21 @@
 }
 END_TEST
 
-START_TEST(a_list_that_goes_on_differing_is_asked_for_rarely)
+START_TEST(list_that_keeps_differing_is_requested_rarely)
 {
     node_fixture_t *node = node_fixture_create();
 
-    take_list_of(node, 3);
+    receive_list(node, 3);
     receive_heartbeats(node, 3, 11000);
     ck_assert_uint_eq(node->router.view_servers, 0);
-    take_list_of(node, 3);
+    receive_list(node, 3);
     receive_heartbeats(node, 3, 40000);
     ck_assert_uint_eq(node->router.view_servers, 3);
     node_fixture_free(node);
 }
 END_TEST
 
-START_TEST(tables_that_have_long_differed_under_the_leaders_number_are_asked_for_anew)
+START_TEST(tables_that_have_long_differed_under_the_leaders_number_are_requested_again)
 {
     node_fixture_t *node = node_fixture_create();
     int             beats;
@@ -729,7 +733,7 @@
     receive_table(node, TERM, 0, 1, "s");
     ck_assert_uint_ne(node->router.view_tables, 0);
     for (beats = 0; beats < 10; beats++) {
-        tick_for(node, 200);
+        tick_during(node, 200);
         receive_heartbeat(node, TERM, 0, 1);
     }
     ck_assert_uint_eq(node->router.view_tables, 0);
@@ -737,14 +741,14 @@
 }
 END_TEST
 
-START_TEST(a_loop_is_whole_or_not_made)
+START_TEST(loop_is_initialised_completely_or_not_at_all)
 {
     struct rlimit before;
     uv_loop_t     loop;
     rlim_t        more;
 
     for (more = 0; more < CW_LOOP_DESCRIPTORS; more += 3) {
-        leave_descriptors(&before, more);
+        limit_descriptors(&before, more);
         ck_assert_int_eq(cw_loop_start(&loop), UV_EMFILE);
         ck_assert_int_eq(setrlimit(RLIMIT_NOFILE, &before), 0);
     }
@@ -763,23 +767,23 @@
     tcase_add_test(cases, a_list_is_empty_then_huge_then_empty);
     tcase_add_test(cases, a_configuration_comes_before_the_list_and_the_other_way_round);
     tcase_add_test(cases, pages_come_out_of_order_twice_and_of_several_terms);
-    tcase_add_test(cases, transfers_have_as_many_pages_as_there_is_room_for_and_one_more);
-    tcase_add_test(cases, a_report_tells_more_than_there_is_room_for);
-    tcase_add_test(cases, more_nodes_come_than_may_count_slots_and_all_are_forgotten_after_a_freeze);
-    tcase_add_test(cases, a_leader_gives_keys_to_each_of_thousands_of_servers);
-    tcase_add_test(cases, a_leader_is_told_of_keys_that_do_not_exist);
-    tcase_add_test(cases, answers_to_orders_of_a_former_term_count_for_nothing);
-    tcase_add_test(cases, an_order_to_what_is_no_address_is_not_sent);
-    tcase_add_test(cases, a_status_is_told_whatever_another_node_calls_itself);
+    tcase_add_test(cases, transfers_have_the_greatest_number_of_pages_and_one_more);
+    tcase_add_test(cases, report_has_more_entries_than_there_is_room_for);
+    tcase_add_test(cases, more_than_a_thousand_nodes_are_known_and_forgotten_after_a_freeze);
+    tcase_add_test(cases, leader_assigns_keys_to_each_of_thousands_of_servers);
+    tcase_add_test(cases, leader_ignores_samples_of_keys_that_do_not_exist);
+    tcase_add_test(cases, answers_to_orders_of_an_earlier_term_are_ignored);
+    tcase_add_test(cases, order_to_an_invalid_address_is_not_sent);
+    tcase_add_test(cases, status_is_returned_whatever_the_name_of_another_node);
     tcase_add_test(cases, a_node_that_sees_a_leader_waits_for_its_list_and_does_not_read);
     tcase_add_test(cases, a_list_that_does_not_come_is_read);
     tcase_add_test(cases, a_node_that_sees_no_leader_reads_soon);
-    tcase_add_test(cases, nodes_that_hear_the_leader_do_not_all_read_at_the_same_moment);
+    tcase_add_test(cases, nodes_that_hear_the_leader_do_not_all_read_at_once);
     tcase_add_test(cases, a_node_that_does_not_hear_the_leader_does_not_wait_for_it);
-    tcase_add_test(cases, a_list_that_has_long_differed_under_the_leaders_number_is_asked_for_anew);
-    tcase_add_test(cases, a_list_that_goes_on_differing_is_asked_for_rarely);
-    tcase_add_test(cases, tables_that_have_long_differed_under_the_leaders_number_are_asked_for_anew);
-    tcase_add_test(cases, a_loop_is_whole_or_not_made);
+    tcase_add_test(cases, list_that_has_long_differed_under_the_leaders_number_is_requested_again);
+    tcase_add_test(cases, list_that_keeps_differing_is_requested_rarely);
+    tcase_add_test(cases, tables_that_have_long_differed_under_the_leaders_number_are_requested_again);
+    tcase_add_test(cases, loop_is_initialised_completely_or_not_at_all);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_router_quota.c
+++ b/tests/test_router_quota.c
@@ -1,6 +1,7 @@
 /**
  * @file test_router_quota.c
- * @brief Tenants' limits at a whole node: who may count, and messages by another version of the configuration.
+ * @brief Tenants' limits at a whole node: which nodes may count, and messages from nodes with another version of the
+ * configuration.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -14,7 +15,7 @@
 
 enum {
     MANY_NODES = 1500,
-    STARTED_MS = 4000, /* by then a node counts */
+    STARTED_MS = 4000, /* a process counts from this time after its start on */
     VERSION = 5,
     TENANT = 7,
     RECORD = 11
@@ -40,7 +41,7 @@
     }
 }
 
-START_TEST(all_nodes_may_count_however_many)
+START_TEST(all_nodes_are_candidates_however_many)
 {
     node_fixture_t *node = create();
 
@@ -52,8 +53,8 @@
 }
 END_TEST
 
-/* Under AddressSanitizer this holds when it also read and wrote nothing but its own. */
-START_TEST(the_status_names_the_counting_node_among_many)
+/* Under AddressSanitizer this also checks that no memory is accessed out of bounds. */
+START_TEST(status_names_the_counting_node_among_many)
 {
     node_fixture_t     *node = create();
     cw_configuration_t *configuration = cw_configuration_create(VERSION + 1);
@@ -81,34 +82,34 @@
 }
 END_TEST
 
-/* The node asks itself: the reply waits for the loop's next turn. */
-static const cw_quota_message_t *asked_by(node_fixture_t *node, uint64_t version)
+/* The node asks itself. Returns the reply, which waits for the next iteration of the loop. */
+static const cw_quota_message_t *reply_to_ask(node_fixture_t *node, uint64_t version)
 {
     cw_router_quota_t *quota = node->router.quota;
     cw_quota_message_t message = {.kind = CW_QUOTA_ASK,
                                   .ask = {.version = version, .sequence = 1, .wanted = 3, .usage = {.tenant = TENANT}}};
 
     cw_router_quota_deliver(quota, cw_peer_link_own_address(node->router.link), &message);
-    ck_assert_uint_ge(quota->own_count, 1);
-    return &quota->own[quota->own_count - 1];
+    ck_assert_uint_ge(quota->self_message_count, 1);
+    return &quota->self_messages[quota->self_message_count - 1];
 }
 
-START_TEST(an_ask_by_a_later_version_is_not_granted_without_a_limit)
+START_TEST(ask_with_later_configuration_version_is_not_granted)
 {
     node_fixture_t           *node = create();
-    const cw_quota_message_t *reply = asked_by(node, VERSION + 1);
+    const cw_quota_message_t *reply = reply_to_ask(node, VERSION + 1);
 
     ck_assert_int_eq(reply->kind, CW_QUOTA_GRANT);
     ck_assert(reply->grant.is_unknown);
     ck_assert_uint_eq(reply->grant.tokens, 0);
-    reply = asked_by(node, VERSION);
+    reply = reply_to_ask(node, VERSION);
     ck_assert(!reply->grant.is_unknown);
     ck_assert_uint_eq(reply->grant.tokens, 3);
     node_fixture_free(node);
 }
 END_TEST
 
-START_TEST(a_report_by_a_later_version_learns_which_tenants_are_unknown)
+START_TEST(report_with_later_configuration_version_is_told_unknown_tenants)
 {
     node_fixture_t           *node = create();
     cw_router_quota_t        *quota = node->router.quota;
@@ -120,7 +121,7 @@
     const cw_quota_message_t *reply;
 
     cw_router_quota_deliver(quota, cw_peer_link_own_address(node->router.link), &message);
-    reply = &quota->own[quota->own_count - 1];
+    reply = &quota->self_messages[quota->self_message_count - 1];
     ck_assert_int_eq(reply->kind, CW_QUOTA_STATUS);
     ck_assert_uint_eq(reply->unknown_count, 2);
     ck_assert_uint_eq(reply->unknown[1], TENANT + 1);
@@ -128,8 +129,8 @@
 }
 END_TEST
 
-/* Guards against two nodes that count one tenant, since one that does not reach the first asks the second. */
-START_TEST(a_node_that_would_ask_another_one_names_it_and_grants_nothing)
+/* Guards against two nodes that count one tenant because a node that does not reach the first asks the second. */
+START_TEST(node_that_would_ask_another_one_redirects_and_grants_nothing)
 {
     node_fixture_t           *node = create();
     cw_router_quota_t        *quota = node->router.quota;
@@ -142,8 +143,8 @@
     cw_router_quota_tick(&node->router, cw_router_now(&node->router));
     message.ask.usage.tenant = TENANT;
     cw_router_quota_deliver(quota, cw_peer_link_own_address(node->router.link), &message);
-    ck_assert_uint_eq(quota->own_count, 1);
-    reply = &quota->own[0];
+    ck_assert_uint_eq(quota->self_message_count, 1);
+    reply = &quota->self_messages[0];
     ck_assert_int_eq(reply->kind, CW_QUOTA_STATUS);
     ck_assert_uint_eq(reply->redirected_count, 1);
     ck_assert_uint_eq(reply->redirected[0], message.ask.usage.tenant);
@@ -166,9 +167,9 @@
     return 0;
 }
 
-/* Guards against callers that are refused after a start by the node that counts them, since that one was itself told a
- * moment ago, by two that had just started, that they do not count. */
-START_TEST(a_node_that_counts_goes_on_while_others_decline)
+/* Guards against refusals after a start: a node stopped counting for others, because two nodes that had just started
+ * had told it a moment ago that they do not count. */
+START_TEST(counting_node_goes_on_while_others_decline)
 {
     node_fixture_t    *node = create();
     cw_router_quota_t *quota = node->router.quota;
@@ -184,14 +185,14 @@
     cw_quota_share_declined(quota->share, inet_addr("10.1.0.2"), now);
     ck_assert_uint_eq(cw_router_quota_counting_node(quota, message.ask.usage.tenant), 0);
     cw_router_quota_deliver(quota, cw_peer_link_own_address(node->router.link), &message);
-    ck_assert_int_eq(quota->own[quota->own_count - 1].kind, CW_QUOTA_GRANT);
+    ck_assert_int_eq(quota->self_messages[quota->self_message_count - 1].kind, CW_QUOTA_GRANT);
     node_fixture_free(node);
 }
 END_TEST
 
-/* Guards against a process that gives out by an assumed number of nodes after it was told the true one (finding 1b02).
- */
-START_TEST(a_number_of_nodes_that_is_stated_is_in_force_at_once)
+/* Guards against a process that divides limits by an assumed number of nodes after it was told the true one (finding
+ * 1b02). */
+START_TEST(stated_number_of_nodes_is_applied_at_once)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -217,7 +218,7 @@
     return read;
 }
 
-START_TEST(messages_name_versions_and_unknown_tenants)
+START_TEST(messages_carry_versions_and_unknown_tenants)
 {
     uint32_t         unknown[] = {TENANT};
     Cwp__QuotaAsk    ask = CWP__QUOTA_ASK__INIT;
@@ -276,14 +277,14 @@
     Suite *suite = suite_create("router quota");
     TCase *cases = tcase_create("node");
 
-    tcase_add_test(cases, all_nodes_may_count_however_many);
-    tcase_add_test(cases, the_status_names_the_counting_node_among_many);
-    tcase_add_test(cases, an_ask_by_a_later_version_is_not_granted_without_a_limit);
-    tcase_add_test(cases, a_report_by_a_later_version_learns_which_tenants_are_unknown);
-    tcase_add_test(cases, a_node_that_would_ask_another_one_names_it_and_grants_nothing);
-    tcase_add_test(cases, a_node_that_counts_goes_on_while_others_decline);
-    tcase_add_test(cases, a_number_of_nodes_that_is_stated_is_in_force_at_once);
-    tcase_add_test(cases, messages_name_versions_and_unknown_tenants);
+    tcase_add_test(cases, all_nodes_are_candidates_however_many);
+    tcase_add_test(cases, status_names_the_counting_node_among_many);
+    tcase_add_test(cases, ask_with_later_configuration_version_is_not_granted);
+    tcase_add_test(cases, report_with_later_configuration_version_is_told_unknown_tenants);
+    tcase_add_test(cases, node_that_would_ask_another_one_redirects_and_grants_nothing);
+    tcase_add_test(cases, counting_node_goes_on_while_others_decline);
+    tcase_add_test(cases, stated_number_of_nodes_is_applied_at_once);
+    tcase_add_test(cases, messages_carry_versions_and_unknown_tenants);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
