--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -138,9 +138,8 @@
     /* the configuration */
     cw_configuration_exchange_t *exchange;
     cw_configuration_freshness_t freshness;
-    cw_credential_evidence_t
-        credential_evidence; /**< limits the age of `freshness` up to which callers' keys are accepted */
-    cw_configuration_newest_t configuration_newest;
+    cw_credential_evidence_t     credential_evidence; /**< greatest age of `freshness` to accept callers' keys by */
+    cw_configuration_newest_t    configuration_newest;
 
     cw_router_list_exchange_t *list_exchange;
 
@@ -152,7 +151,7 @@
     bool               reading_servers;     /**< a read of the list by this node is in progress */
     bool               reading_copy;        /**< that read is from a copy, which may be seconds old */
     cw_time_us_t       servers_read_at;     /**< when the last read of the list was sent */
-    cw_time_us_t       servers_lag;         /**< the last read may lack the changes of this long before it */
+    cw_time_us_t       servers_lag;         /**< the last read may lack changes made within this time before it */
     uint64_t           view_term;           /**< term of the leader that numbered this node's view */
     uint64_t           view_servers;        /**< number of this node's list in that term; 0: none */
     uint64_t           view_tables;         /**< number of this node's tables in that term; 0: none */
@@ -180,9 +179,9 @@
     cw_list_history_t       list_history;
     cw_send_allowance_t     push_allowance; /**< bytes that may be sent to bring other nodes up to date */
     cw_relay_delays_t       relay_delays;
-    cw_pass_on_queue_t     *pass_on;
+    cw_pass_on_queue_t     *pass_on;     /**< updates that this node, as a relay, forwards to its zone */
     cw_order_trust_t       *order_trust; /**< servers that this leader's orders have not reached lately */
-    cw_service_assignment_t keyed[CW_KEYED_SERVICES_MAX];
+    cw_service_assignment_t keyed[CW_KEYED_SERVICES_MAX]; /**< services divided by key that this node leads */
     size_t                  keyed_count;
 } cw_router_t;
 
@@ -276,7 +275,7 @@
 /* ---- router_list_exchange.c ---- */
 /** Creates the exchange of whole lists. */
 void cw_router_list_exchange_init(cw_router_t *router);
-/** Frees it. Only tests do. */
+/** Frees the exchange of whole lists. Only tests call this. */
 void cw_router_list_exchange_free(cw_router_t *router);
 /** Requests missing pages, and sends the pages that others have requested. */
 void cw_router_list_exchange_tick(cw_router_t *router, cw_time_us_t now);
--- a/src/router/router_quota.h
+++ b/src/router/router_quota.h
@@ -53,21 +53,22 @@
     cw_quota_share_t      *share;
     cw_quota_counter_t    *counter;
     cw_broker_candidate_t *candidates; /**< nodes that may count */
-    cw_broker_candidate_t *eligible;   /**< scratch array of the same capacity: those of them that are not silent */
-    size_t                 candidate_count;
-    size_t                 candidate_capacity;
-    cw_quota_choice_t     *choices;
-    uint64_t               candidates_fingerprint; /**< hash of all that choices depend on */
-    cw_time_us_t           changed_at;             /**< when that hash last changed */
-    cw_time_us_t           gathered_at;            /**< last update of the candidates */
-    cw_time_us_t           last_received_at;       /**< from any other node */
-    uint32_t               nodes;                  /**< number of nodes that share the limits */
-    uint32_t               in_reach;               /**< number of nodes heard from lately, including this one */
-    uint64_t               version;                /**< of the configuration whose limits the counter has */
-    uv_timer_t             deliver;
-    cw_quota_message_t    *self_messages; /**< messages of this node to itself, to be delivered */
-    size_t                 self_message_count;
-    size_t                 self_message_capacity;
+    cw_broker_candidate_t
+          *eligible; /**< scratch array of the same capacity: those of them that are neither silent nor declining */
+    size_t candidate_count;
+    size_t candidate_capacity;
+    cw_quota_choice_t  *choices;
+    uint64_t            candidates_fingerprint; /**< hash of all that choices depend on */
+    cw_time_us_t        changed_at;             /**< when that hash last changed */
+    cw_time_us_t        gathered_at;            /**< last update of the candidates */
+    cw_time_us_t        last_received_at;       /**< from any other node */
+    uint32_t            nodes;                  /**< number of nodes that share the limits */
+    uint32_t            in_reach;               /**< number of nodes heard from lately, including this one */
+    uint64_t            version;                /**< of the configuration whose limits the counter has */
+    uv_timer_t          deliver;
+    cw_quota_message_t *self_messages; /**< messages of this node to itself, to be delivered */
+    size_t              self_message_count;
+    size_t              self_message_capacity;
 };
 
 /* ---- router_quota_choice.c ---- */
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -7,7 +7,7 @@
  * limit. Therefore:
  *  - A node also counts as alive if others reach it on behalf of this one (router_detours.c).
  *  - A node that is asked, although it would ask another one itself, names that one and does not count
- * (router_quota.c).
+ *    (router_quota.c).
  *  - A process that has just started does not count. Until a leader has stated the number of nodes, it assumes that the
  *    limits are shared by as many nodes as there may be at most.
  */
@@ -18,10 +18,9 @@
 #include "router/router_quota.h"
 
 enum {
-    INITIAL_CANDIDATES = 64, /* initial capacity of the arrays, which doubles */
-    DECLINING_NODES_LIMIT =
-        2, /* with so many nodes declining, no node counts yet; a single one may just have restarted */
-    ISOLATED_AFTER_MS = 500, /* the slowest pause between reports of few nodes is 300 ms (router_peers.c) */
+    INITIAL_CANDIDATES = 64,   /* initial capacity of the arrays, which doubles */
+    DECLINING_NODES_LIMIT = 2, /* if so many decline, no node counts yet; a single one may just have restarted */
+    ISOLATED_AFTER_MS = 500,   /* the slowest pause between reports of few nodes is 300 ms (router_peers.c) */
     CHOICE_EXPIRY_S = 10
 };
 
