--- a/tests/test_quota_share.c
+++ b/tests/test_quota_share.c
@@ -52,7 +52,7 @@
 }
 
 /* A slow counting node answers an ask and its repeat. */
-START_TEST(a_grant_that_comes_twice_is_taken_once_and_not_given_back)
+START_TEST(a_repeated_grant_is_taken_once_and_not_returned)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(a_grant_that_comes_too_late_is_given_back_once)
+START_TEST(a_late_grant_is_returned_once)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -92,7 +92,7 @@
 }
 END_TEST
 
-START_TEST(a_tenant_that_came_while_nobody_counted_is_reported_when_a_node_does)
+START_TEST(a_tenant_admitted_without_a_counting_node_is_reported_to_the_next_one)
 {
     quota_sent_t      sent = {.counter = 0};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -137,7 +137,7 @@
 END_TEST
 
 /* The node that counted is gone, and no other one is known. */
-START_TEST(what_waits_is_decided_when_nobody_counts_any_more)
+START_TEST(waiting_requests_are_decided_when_no_node_counts_any_more)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1);
@@ -163,7 +163,7 @@
 END_TEST
 
 /* Its configuration is earlier, and has no limit for the tenant. */
-START_TEST(a_tenant_that_its_counting_node_does_not_know_is_served_from_the_own_part)
+START_TEST(a_tenant_unknown_to_its_counting_node_is_served_from_the_local_part)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -193,7 +193,7 @@
 }
 END_TEST
 
-START_TEST(all_tenants_that_are_due_are_reported_at_once)
+START_TEST(all_due_tenants_are_reported_at_once)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1);
@@ -272,7 +272,7 @@
 }
 
 /* Guards against a request that waits for a second where the node that was asked knows better who counts. */
-START_TEST(a_request_follows_to_the_node_that_is_named)
+START_TEST(a_request_follows_a_redirect)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -289,7 +289,7 @@
 END_TEST
 
 /* Guards against two nodes that name one another, and a request that goes to and fro between them. */
-START_TEST(two_nodes_that_name_one_another_leave_the_own_part)
+START_TEST(two_nodes_that_redirect_to_each_other_leave_the_local_part)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -305,7 +305,7 @@
 END_TEST
 
 /* Guards against a tenant that goes free since a node that does not count it has replied. */
-START_TEST(a_reply_that_names_another_node_says_nothing_else_of_the_tenant)
+START_TEST(a_redirect_does_not_change_the_mode)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -325,18 +325,18 @@
     Suite *suite = suite_create("quota share");
     TCase *cases = tcase_create("message by message");
 
-    tcase_add_test(cases, a_grant_that_comes_twice_is_taken_once_and_not_given_back);
-    tcase_add_test(cases, a_grant_that_comes_too_late_is_given_back_once);
-    tcase_add_test(cases, a_tenant_that_came_while_nobody_counted_is_reported_when_a_node_does);
+    tcase_add_test(cases, a_repeated_grant_is_taken_once_and_not_returned);
+    tcase_add_test(cases, a_late_grant_is_returned_once);
+    tcase_add_test(cases, a_tenant_admitted_without_a_counting_node_is_reported_to_the_next_one);
     tcase_add_test(cases, tokens_of_requests_that_did_not_run_expire);
-    tcase_add_test(cases, what_waits_is_decided_when_nobody_counts_any_more);
-    tcase_add_test(cases, a_tenant_that_its_counting_node_does_not_know_is_served_from_the_own_part);
-    tcase_add_test(cases, all_tenants_that_are_due_are_reported_at_once);
+    tcase_add_test(cases, waiting_requests_are_decided_when_no_node_counts_any_more);
+    tcase_add_test(cases, a_tenant_unknown_to_its_counting_node_is_served_from_the_local_part);
+    tcase_add_test(cases, all_due_tenants_are_reported_at_once);
     tcase_add_test(cases, tenants_of_a_report_without_a_reply_are_reported_again);
     tcase_add_test(cases, counting_nodes_that_are_gone_are_forgotten);
-    tcase_add_test(cases, a_request_follows_to_the_node_that_is_named);
-    tcase_add_test(cases, two_nodes_that_name_one_another_leave_the_own_part);
-    tcase_add_test(cases, a_reply_that_names_another_node_says_nothing_else_of_the_tenant);
+    tcase_add_test(cases, a_request_follows_a_redirect);
+    tcase_add_test(cases, two_nodes_that_redirect_to_each_other_leave_the_local_part);
+    tcase_add_test(cases, a_redirect_does_not_change_the_mode);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
