--- a/src/tenancy/quota_part.c
+++ b/src/tenancy/quota_part.c
@@ -70,9 +70,9 @@
  * part of a node is less than one request, this lets as many nodes admit one as the parts add up to. */
 static double starting_fraction(const cw_quota_share_t *share, uint32_t tenant)
 {
-    uint32_t random_bits = (uint32_t)XXH3_64bits_withSeed(&share->address, sizeof(share->address), tenant);
+    uint32_t hash = (uint32_t)XXH3_64bits_withSeed(&share->address, sizeof(share->address), tenant);
 
-    return (double)random_bits / ((double)UINT32_MAX + 1);
+    return (double)hash / ((double)UINT32_MAX + 1);
 }
 
 void cw_quota_local_begin(const cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now)
--- a/tests/process/lib/limited_tenant.sh
+++ b/tests/process/lib/limited_tenant.sh
@@ -1,6 +1,6 @@
-# To be sourced after scripts/cluster.sh: one tenant with a limit, and how much of it ran at once.
-RATE=${RATE:-10} BURST=${BURST:-0} # requests a second, and beyond that at once
-WINDOW_S=5 SLACK=20              # and a tenth: the nodes' own (docs/CONFIGURATION.md)
+# Sourced after scripts/cluster.sh. Configures a tenant with a limit, sends its requests, and finds how many of them ran in a window.
+RATE=${RATE:-10} BURST=${BURST:-0} # of the limit: requests a second, and requests beyond that
+WINDOW_S=5 SLACK=20              # defaults of the nodes, as is the overshoot of a tenth (docs/CONFIGURATION.md)
 ALLOWED=$(((RATE * WINDOW_S + BURST) * 11 / 10 + SLACK))
 CALLER_KEY=limited-key
 eval "untenanted_$(declare -f configuration)"
@@ -15,21 +15,21 @@
     local n
     for n in "${!NODE_PIDS[@]}"; do [ "$(metric "$n" cedarwinch_peers)" = $((${#NODE_PIDS[@]} - 1)) ] || return 1; done
 }
-counting() { # nodes that count for a tenant
+counting() { # prints the nodes that count for a tenant
     local n
     for n in "${!NODE_PIDS[@]}"; do
         [ "$(metric "$n" cedarwinch_limit_buckets)" != 1 ] || echo "$n"
     done
 }
 one_counts() { [ "$(counting | wc -l)" = 1 ]; }
-limited_callers() { # NAME SECONDS [ARGS...]: four times the limit
+limited_callers() { # NAME SECONDS [ARGS...]: sends four times the limit
     local name=$1 count=$(($2 * 4 * RATE)) KINDS=(--kind "maps.example,/hire/,POST,2000,0")
     shift 2
     cluster_callers "$name" --credential limited-key --rate $((4 * RATE)) --count "$count" "$@"
 }
-runs_of_limited() { # their moments in ns, one a line
+limited_run_times() { # prints when its requests ran, in ns, one a line
     cat "$WORK"/server-*.json | jq 'select(.event=="run" and .tenant=="limited").ns' | sort -n
 }
-most_in_window() { # the most that ran in one
-    runs_of_limited | awk -v w="$WINDOW_S" '{t[NR] = $1 / 1e9; while (t[NR] - t[first + 1] >= w) first++; if (NR - first > most) most = NR - first} END {print most + 0}'
+max_runs_in_window() { # prints the largest number of its requests that ran in any window
+    limited_run_times | awk -v w="$WINDOW_S" '{t[NR] = $1 / 1e9; while (t[NR] - t[first + 1] >= w) first++; if (NR - first > most) most = NR - first} END {print most + 0}'
 }
--- a/tests/process/tenant_limit_cut.sh
+++ b/tests/process/tenant_limit_cut.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Two regions are cut off from one another and healed, three times, while a tenant sends four times its limit: its runs over all
-# servers stay within the limit in each window, also those of after a cut, when nodes of both sides have counted.
+# Two regions are cut off from each other and connected again, three times, while a tenant sends four times its limit. The number of
+# its requests that run on all servers must stay within the limit in each window, also after a cut during which nodes of both
+# regions have counted.
 LINKED=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
 . "$(dirname "$0")/lib/limited_tenant.sh"
@@ -18,7 +19,7 @@
     until_true all_in_touch
 done
 wait "$callers"
-check "no window holds more than the limit allows" at_most "$(most_in_window)" "$ALLOWED"
+check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
 check "a good part of the limit is used" at_least "$(sum_of limited s200)" $((RATE * 30 / 2))
 check "records agree" cluster_check
 finish_test
--- a/tests/process/tenant_limit_pair_cut.sh
+++ b/tests/process/tenant_limit_pair_cut.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against two nodes that each give out the whole of a tenant's limit: four nodes, datagrams between the node that
-# counts and one other are cut for seven seconds, from the former, then both ways, each other node in turn.
+# Guards against two nodes that each give out the whole of a tenant's limit. In a cluster of four nodes, datagrams between the counting
+# node and each other node in turn are cut for seven seconds: first only those from the counting node, then both directions.
 LINKED=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
 . "$(dirname "$0")/lib/limited_tenant.sh"
@@ -24,7 +24,7 @@
     done
 done
 wait "$callers"
-check "no window holds more than the limit allows" at_most "$(most_in_window)" "$ALLOWED"
+check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
 check "the limit is used" at_least "$(sum_of limited s200)" $((RATE * 2 * (COUNT - 1) * CUT_S * 8 / 10))
 check "records agree" cluster_check
 finish_test
--- a/tests/process/tenant_limit_restart_all.sh
+++ b/tests/process/tenant_limit_restart_all.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against a tenant's limit that is broken after all nodes have lost power and started anew at once: each by itself
-# knows too few of the others, and several may count. Twice, while the tenant sends four times its limit.
+# Guards against a tenant's limit that is exceeded after all nodes have lost power and restarted at once: each node knows too few of
+# the others at first, so several may count. It happens twice while the tenant sends four times its limit.
 RATE=100 BURST=100
 . "$(dirname "$0")/../../scripts/cluster.sh"
 . "$(dirname "$0")/lib/limited_tenant.sh"
@@ -19,7 +19,7 @@
     until_true one_counts
 done
 wait "$callers"
-check "no window holds more than the limit allows" at_most "$(most_in_window)" "$ALLOWED"
+check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
 check "a good part of the limit is used" at_least "$(sum_of limited s200)" $((RATE * 20 / 2))
 check "records agree" cluster_check
 finish_test
--- a/tests/quota_port.c
+++ b/tests/quota_port.c
@@ -1,6 +1,6 @@
 /**
  * @file quota_port.c
- * @brief A share's port that keeps what the share sent.
+ * @brief A port of cw_quota_share that records what the share sends.
  */
 #include "quota_port.h"
 
--- a/tests/quota_world.c
+++ b/tests/quota_world.c
@@ -1,6 +1,6 @@
 /**
  * @file quota_world.c
- * @brief The nodes, their messages, and the load.
+ * @brief The simulated nodes, their messages and their load.
  */
 #include "quota_world.h"
 
@@ -12,7 +12,7 @@
 #include "router/broker_choice.h"
 
 enum { MAX_DECLINING = 2 /* as in router_quota_choice.c */ };
-enum { OWN_COUNT_S = 10 /* until a node goes by its own count of the others */ };
+enum { OWN_COUNT_S = 10 /* seconds until a node relies on its own count of the other nodes */ };
 enum { MAX_METERED = 8, MIN_DELAY_US = 1000, DELAY_RANGE_US = 9000, START_US = 1000000, DIRECT = QUOTA_SIM_MAX_NODES };
 
 typedef enum { REPORT, STATUS, ASK, GRANT, RETURN, PROBE, PROBE_REPLY, DECLINED } message_kind_t;
@@ -21,9 +21,9 @@
     message_kind_t       kind;
     size_t               from;
     size_t               to;
-    size_t               via;            /* DIRECT: none */
-    bool                 is_relayed;     /* the node in between has sent it on */
-    uint64_t             to_incarnation; /* of the process that it is meant for */
+    size_t               via;            /* index of the relaying node; DIRECT: none */
+    bool                 is_relayed;     /* the relaying node has sent it on */
+    uint64_t             to_incarnation; /* incarnation of the process that it is sent to */
     cw_time_us_t         due;
     uint64_t             incarnation;
     uint32_t             sequence;
@@ -79,7 +79,7 @@
            (sender->loss_to[to] == 0 || draw_unit(sim) >= sender->loss_to[to]);
 }
 
-/* On its way to `next`, which is where it goes, or a node in between. */
+/* Sends a copy of a message from node `last` to node `next`, which is its destination or a relaying node. */
 static void transmit(quota_sim_t *sim, const quota_sim_message_t *message, size_t last, size_t next)
 {
     quota_sim_message_t *copy;
@@ -121,7 +121,8 @@
     send_via(sim, message, via == 0 ? DIRECT : index_of(via));
 }
 
-/* What a node does with a report: it counts the tenants that it would ask itself about, and names who counts others. */
+/* Applies a report as a node does: it counts the tenants of which it would choose itself as the counting node, and
+ * redirects the others. */
 static void take_report(quota_sim_node_t *node, size_t to, uint64_t incarnation, uint32_t sequence,
                         const cw_quota_usage_t *usages, size_t count)
 {
@@ -213,7 +214,8 @@
     }
 }
 
-/* The node in between sends it on, if it receives from where it goes. */
+/* Sends a message on at its relaying node, if that node receives from the destination. False: the message has reached
+ * its destination. */
 static bool relay(quota_sim_t *sim, const quota_sim_message_t *message)
 {
     quota_sim_message_t relayed = *message;
@@ -245,13 +247,14 @@
             deliver(sim, message);
         }
         free(message);
-        next = sim->messages; /* what is delivered may have posted more */
+        next = sim->messages; /* delivering a message may have added others */
     }
 }
 
-/* ---- a node's port ---- */
+/* ---- a node's port and its view of the others ---- */
 
-/* Does the node count the other one as received from? */
+/* True if the node still counts the other one among those that it receives from: a loss or a return is noticed only
+ * after QUOTA_SIM_PEER_LOSS_MS or QUOTA_SIM_PEER_RETURN_MS. */
 static bool receives_from(const quota_sim_node_t *node, size_t other)
 {
     cw_time_us_t since = node->sim->now - node->reach_changed[other];
@@ -262,14 +265,14 @@
     return node->reaches[other] ? since >= CW_MS(QUOTA_SIM_PEER_RETURN_MS) : since < CW_MS(QUOTA_SIM_PEER_LOSS_MS);
 }
 
-/* By the reports of the other one, which arrive. */
+/* True if the other node does not receive from this one, as its reports say, which do arrive. */
 static bool is_missed_by(const quota_sim_node_t *node, size_t other)
 {
     const quota_sim_node_t *peer = &node->sim->nodes[other];
     size_t                  own = index_of(node->address);
 
     if (node->sim->now - node->fleet_size.started_at < CW_MS(QUOTA_SIM_PEER_LOSS_MS)) {
-        return false; /* all miss it, since the process before it ended */
+        return false; /* all nodes have lost it as a peer, since its previous process ended */
     }
     return receives_from(node, other) && peer->is_up && !peer->reaches[own] && !receives_from(peer, own);
 }
@@ -315,7 +318,7 @@
     return node->sim->new_nodes_decline && !cw_fleet_size_is_reached(&node->fleet_size, node->in_touch, node->sim->now);
 }
 
-/* Nodes that share the limits, as it knows by now. */
+/* Number of nodes that share the limits, as far as the node knows. */
 static uint32_t node_count_known_to(const quota_sim_node_t *node)
 {
     uint32_t nodes = cw_fleet_size_nodes(&node->fleet_size, node->max_in_touch, node->sim->now);
@@ -377,7 +380,7 @@
     return cw_broker_choose(candidates, count, "", tenant);
 }
 
-/* As router_quota_choice.c does, for those that ask this node, and for its own. */
+/* Chooses the counting node as router_quota_choice.c does, for nodes that ask this one and for its own requests. */
 static uint32_t choose_counter(const quota_sim_node_t *node, uint32_t tenant)
 {
     uint32_t first = choose(node, tenant, false);
@@ -495,7 +498,7 @@
     (void)context, (void)tenant, (void)mode, (void)counter, (void)age;
 }
 
-/* ---- the world ---- */
+/* ---- the simulation ---- */
 
 static void set_limits(quota_sim_node_t *node)
 {
@@ -532,7 +535,7 @@
     }
 }
 
-/* A leader's statement comes a while after the start, or never. */
+/* Lets a node learn the leader's statement of the number of nodes some time after its start, or never. */
 static void learn_fleet_size(quota_sim_node_t *node)
 {
     const quota_sim_t *sim = node->sim;
@@ -559,7 +562,7 @@
     return declines(node);
 }
 
-/* It has received from none yet. */
+/* A node that has just started has received from no other node yet. */
 static void forget_peers(quota_sim_node_t *node)
 {
     size_t other;
@@ -613,7 +616,7 @@
     sim->nodes[from].loss_to[to] = part;
 }
 
-/* The nodes have run for long. */
+/* At the start of a simulation all nodes have run for long and are connected. */
 static void connect_all(quota_sim_t *sim)
 {
     size_t one;
@@ -785,7 +788,7 @@
     return index_of(on_counter_of((void *)&sim->nodes[node], sim->tenants[tenant].hash));
 }
 
-/* ---- what ran ---- */
+/* ---- results ---- */
 
 uint64_t quota_sim_ran(const quota_sim_t *sim, size_t tenant, double from_s, double to_s)
 {
--- a/tests/quota_world.h
+++ b/tests/quota_world.h
@@ -1,7 +1,7 @@
 /**
  * @file quota_world.h
- * @brief Many nodes' shares and counters in logical time, with messages that are late and lost, links that are cut in
- * one direction or both, and detours round them, for tests.
+ * @brief Simulates the shares and counters of many nodes in logical time, with messages that are delayed and lost,
+ * links that are cut in one or both directions, and detours around them.
  */
 #ifndef CEDARWINCH_TESTS_QUOTA_WORLD_H
 #define CEDARWINCH_TESTS_QUOTA_WORLD_H
@@ -17,34 +17,37 @@
     QUOTA_SIM_MAX_SECONDS = 60,
     QUOTA_SIM_STEP_MS = 5,
     QUOTA_SIM_MAX_STEPS = QUOTA_SIM_MAX_SECONDS * 1000 / QUOTA_SIM_STEP_MS,
-    QUOTA_SIM_PEER_LOSS_MS = 1000,  /* a node that is gone is missed by then */
-    QUOTA_SIM_PEER_RETURN_MS = 150, /* one that is back is known by then */
-    QUOTA_SIM_SUSPECT_MS = 500      /* one that is silent is looked for by way of others from then on */
+    QUOTA_SIM_PEER_LOSS_MS = 1000,  /* after this time a node that is gone is lost as a peer */
+    QUOTA_SIM_PEER_RETURN_MS = 150, /* after this time a node that is back is known as a peer */
+    QUOTA_SIM_SUSPECT_MS = 500      /* after this time of silence a node is searched for through others */
 };
 
+/** A simulated tenant: its limit, its load and what became of its requests. */
 typedef struct quota_sim_tenant {
     uint32_t         hash;
     cw_quota_limit_t limit;        /* as configured */
-    double           load_per_s;   /* over all nodes */
-    uint32_t         first_node;   /* its requests come to these nodes */
-    uint32_t         nodes;        /* 0: to all */
-    double           not_run_part; /* share of what is let through that does not run */
+    double           load_per_s;   /* requests per second over all nodes */
+    uint32_t         first_node;   /* its requests arrive at `nodes` nodes from this one on */
+    uint32_t         nodes;        /* 0: at all nodes */
+    double           not_run_part; /* fraction of the admitted requests that do not run */
     uint64_t         arrived;
     uint64_t         ran;
     uint64_t         refused;
-    uint64_t         refused_alone; /* of them, at nodes that serve their own part */
+    uint64_t         refused_alone; /* of refused, at nodes in CW_QUOTA_ALONE */
     uint32_t         runs[QUOTA_SIM_MAX_STEPS];
     cw_time_us_t     longest_wait;
 } quota_sim_tenant_t;
 
+/** A simulated node. */
 typedef struct quota_sim_node {
-    uint32_t            address;
-    bool                is_up;
-    bool                is_frozen;
-    uint32_t            group;                        /* only nodes of the same one reach each other */
-    double              loss_to[QUOTA_SIM_MAX_NODES]; /* part of its datagrams that do not arrive there; 1: it is cut */
+    uint32_t address;
+    bool     is_up;
+    bool     is_frozen;
+    uint32_t group;                        /* only nodes of the same group reach each other */
+    double   loss_to[QUOTA_SIM_MAX_NODES]; /* fraction of its datagrams that are lost on the way to each other node; 1:
+                                              the link is cut */
     uint64_t            incarnation;
-    bool                has_old_limits; /* goes by the limits that were configured before */
+    bool                has_old_limits; /* the node still has the limits that were configured before */
     cw_quota_share_t   *share;
     cw_quota_counter_t *counter;
     cw_detours_t       *detours;
@@ -60,45 +63,49 @@
 
 typedef struct quota_sim_message quota_sim_message_t;
 
+/** A simulated cluster. */
 typedef struct quota_sim {
     cw_time_us_t         now;
     size_t               step;
     uint64_t             random;
     cw_quota_settings_t  settings;
     size_t               node_count;
-    size_t               capable; /* the first ones count */
+    size_t               capable; /* the first nodes, this many, are preferred as counting nodes */
     quota_sim_node_t     nodes[QUOTA_SIM_MAX_NODES];
     size_t               tenant_count;
     quota_sim_tenant_t   tenants[QUOTA_SIM_MAX_TENANTS];
-    cw_quota_limit_t     old_limits[QUOTA_SIM_MAX_TENANTS]; /* for nodes that are late */
+    cw_quota_limit_t     old_limits[QUOTA_SIM_MAX_TENANTS]; /* for nodes with has_old_limits */
     double               loss;
-    cw_time_us_t         reconnect_range;   /* nodes know of one that is back later by up to this */
-    bool                 new_nodes_decline; /* one that has started counts as soon as it is in touch with nearly all */
-    cw_time_us_t         size_known_after;  /* a node learns after its start how many there are; below 0: never */
+    cw_time_us_t         reconnect_range;   /* up to this much later others know of a node that is back */
+    bool                 new_nodes_decline; /* a started node counts only when it is in touch with nearly all */
+    cw_time_us_t         size_known_after;  /* from its start until a node learns the number of nodes; below 0: never */
     quota_sim_message_t *messages;
     size_t               sent; /* datagrams between nodes */
     size_t               asks;
     size_t               reports;
 } quota_sim_t;
 
+/** Creates a cluster whose nodes are up and know each other. */
 quota_sim_t *quota_sim_create(size_t nodes, size_t capable, uint64_t seed);
 void         quota_sim_free(quota_sim_t *sim);
-/** Returns the tenant's index. */
+/** Adds a tenant and returns its index. */
 size_t quota_sim_add_tenant(quota_sim_t *sim, double rate_per_s, double burst, double load_per_s);
-void   quota_sim_run(quota_sim_t *sim, double seconds);
-void   quota_sim_kill(quota_sim_t *sim, size_t node);
-/** This part of one node's datagrams does not arrive at the other from now on; 1: the link is cut in that direction. */
+/** Advances the simulation. */
+void quota_sim_run(quota_sim_t *sim, double seconds);
+/** Ends the process of a node. */
+void quota_sim_kill(quota_sim_t *sim, size_t node);
+/** From now on this fraction of one node's datagrams to the other is lost; 1: the link is cut in that direction. */
 void quota_sim_lose(quota_sim_t *sim, size_t from, size_t to, double part);
-/** Starts with empty memory. */
+/** Starts the process of a node with empty memory. */
 void quota_sim_start(quota_sim_t *sim, size_t node);
-/** Nodes that are late keep the limit that was. */
+/** Changes a limit; nodes with has_old_limits keep the limit before it. */
 void quota_sim_set_limit(quota_sim_t *sim, size_t tenant, double rate_per_s, double burst);
-/** Index of the node that counts for a tenant, as a node sees it. */
+/** Index of the counting node of a tenant in the view of a node. */
 size_t quota_sim_counter_of(const quota_sim_t *sim, size_t node, size_t tenant);
-/** Most that ran in a window, less what is allowed: above zero the limit is broken. from_s: windows that begin later.
- */
+/** Maximum number of requests that ran in any window beginning at from_s or later, less the number allowed. A value
+ * above zero means that the limit was exceeded. */
 double quota_sim_excess(const quota_sim_t *sim, size_t tenant, double from_s);
-/** What ran between two moments. */
+/** Number of requests that ran between two times. */
 uint64_t quota_sim_ran(const quota_sim_t *sim, size_t tenant, double from_s, double to_s);
 
 #endif
--- a/tests/test_caller_identity.c
+++ b/tests/test_caller_identity.c
@@ -1,6 +1,6 @@
 /**
  * @file test_caller_identity.c
- * @brief Whose caller sent a request, and for how long keys may be used.
+ * @brief Tests which tenant a request's key identifies, and for how long keys may be used.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "tenancy/credential_evidence.h"
 #include "tenancy/request_rank.h"
 
-/* printf %s sesame | sha256sum, and the digest of a key that nobody has */
+/* from: printf %s sesame | sha256sum; and the digest of a key that no caller has */
 static const char sesame[] = "d0c04f4b1951e4aeaaec8223ed2039e542f3aae805a6fa7f6d794e5afff5d272";
 static const char other_key[] = "d3a4646728a9de9a74d8fc4c41966a42e1c4b2b0b1b4ff9a0f2b7d4b0a5b5c1e";
 
@@ -38,7 +38,7 @@
     cw_route_add_part(route, "s", 1);
 }
 
-/* Tenant a has the key sesame, b has another, c has none and needs none. */
+/* Tenant a has the key sesame, b has another key, and c has none and needs none. */
 static cw_configuration_t *configured(void)
 {
     cw_configuration_t *configuration = cw_configuration_create(1);
@@ -64,7 +64,7 @@
     cw_http_field_builder_value(&builder, fields, value, strlen(value));
 }
 
-/* authorization: NULL for none. */
+/* authorization: value of the field; NULL: no such field. */
 static cw_caller_t identify(const cw_configuration_t *configuration, const char *path, const char *authorization)
 {
     cw_http_fields_t fields = {0};
@@ -170,7 +170,7 @@
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
     ck_assert(!caller.hides_credentials);
-    caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not handed to its servers */
+    caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not passed on to its servers */
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
     ck_assert(caller.hides_credentials);
     ck_assert_ptr_null(caller.tenant);
@@ -180,7 +180,7 @@
 }
 END_TEST
 
-/* Tenant c needs none, and its servers are not to see another tenant's key, however it was sent. */
+/* Tenant c needs no key. Its servers must not see another tenant's key, in whatever form it was sent. */
 START_TEST(another_tenants_key_is_hidden_in_any_form)
 {
     static const char *const forms[] = {"sesame",
@@ -213,7 +213,7 @@
                   .hides_credentials);
     cw_http_fields_clear(&fields);
     memset(parts, 'x', sizeof(parts) - 1);
-    for (index = 1; index < sizeof(parts) - 1; index += 2) { /* more parts than are looked at */
+    for (index = 1; index < sizeof(parts) - 1; index += 2) { /* more parts than are examined */
         parts[index] = ' ';
     }
     ck_assert(identify(configuration, "/c/x", parts).hides_credentials);
@@ -222,7 +222,8 @@
 }
 END_TEST
 
-/* Looking costs time: what is looked at is bounded for a request, in however many fields it stands. */
+/* Examining credentials takes time, so the number of parts examined is bounded for a request, no matter how many fields
+ * they are in. */
 START_TEST(the_number_of_credential_parts_examined_is_bounded)
 {
     enum { PARTS = 40 };
@@ -270,7 +271,7 @@
 
     ck_assert_int_eq(cw_caller_standing(&caller, configuration), CW_CALLER_STAYS);
     cw_configuration_seal(later);
-    ck_assert_int_eq(cw_caller_standing(&caller, later), CW_CALLER_STAYS); /* nobody needs a key any more */
+    ck_assert_int_eq(cw_caller_standing(&caller, later), CW_CALLER_STAYS); /* no tenant needs a key any more */
     cw_configuration_release(later);
 
     later = cw_configuration_create(3);
--- a/tests/test_credential_index.c
+++ b/tests/test_credential_index.c
@@ -1,6 +1,6 @@
 /**
  * @file test_credential_index.c
- * @brief Tenants by their keys: found, not found, claimed twice, and what the index costs.
+ * @brief Tests the index from keys to tenants: known, unknown and duplicate keys, and the memory it takes.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 
 enum { TENANTS = 10000, KEYS = 2, BYTES_A_KEY = 16 };
 
-/* Digests are even: a counter spread over the bytes stands for one. */
+/* Digests are evenly distributed; a pseudo-random sequence from the number imitates that. */
 static cw_key_digest_t digest(uint32_t number)
 {
     cw_key_digest_t key;
@@ -78,7 +78,7 @@
     cw_key_digest_t     key = digest(1);
     uint32_t            number;
 
-    for (number = 0; number < 200; number++) { /* all belong into one slot */
+    for (number = 0; number < 200; number++) { /* all fall into one slot of the index */
         key.bytes[31] = (uint8_t)number;
         cw_tenant_add_key(tenant, &key);
     }
@@ -170,7 +170,7 @@
 }
 END_TEST
 
-/* Two names whose hashes are the same: limits are counted by them. */
+/* The hashes of these two names are equal, and limits are counted by hash. */
 START_TEST(two_limited_tenants_with_one_hash_are_rejected)
 {
     static const char *const names[] = {"tenant-45619", "tenant-94911"};
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -1,7 +1,7 @@
 /**
  * @file test_quota.c
- * @brief Tenants' limits over all nodes: the bound holds in each window, nobody inside a limit is refused, and what it
- * costs in datagrams.
+ * @brief Tests tenants' limits over all nodes in a simulation: the bound holds in each window, no request within a
+ * limit is refused, and the number of datagrams is small.
  */
 #include <check.h>
 #include <math.h>
@@ -30,8 +30,8 @@
     printf("calm: %.0f datagrams a second, %zu asks, %.2f datagrams a request\n", (double)sim->sent / seconds,
            sim->asks, (double)sim->sent / (double)arrived);
     ck_assert_uint_le(sim->sent, 2 * arrived);
-    /* Those of the small tenant, whose next request seldom comes to a node that has had the counting node's word; of
-     * the large one in its first second, and few later. */
+    /* Asks come from the small tenant, whose next request seldom arrives at a node to which the counting node has
+     * replied, from the large tenant in its first second, and rarely later. */
     ck_assert_uint_le(sim->asks, sim->tenants[0].arrived + sim->tenants[1].arrived / 10);
     quota_sim_free(sim);
 }
@@ -64,7 +64,8 @@
 }
 END_TEST
 
-/* 40 a second over four nodes: one that gets a quarter of a hundred a second lets its quarter of the limit through. */
+/* The limit is 40 requests a second over four nodes; each node gets a quarter of the load and admits a quarter of the
+ * limit. */
 START_TEST(a_rate_is_shared_by_the_nodes)
 {
     quota_sim_t *sim = quota_sim_create(4, 4, 5);
@@ -80,19 +81,19 @@
 }
 END_TEST
 
-/* ---- other ways, on the same load ---- */
+/* ---- comparison with equal parts, under the same load ---- */
 
 typedef struct result {
     double   excess;
-    double   refused;   /* share of what came */
-    double   datagrams; /* a second */
+    double   refused;   /* fraction of the requests */
+    double   datagrams; /* per second */
     uint64_t waited_ms;
 } result_t;
 
 typedef struct load {
-    double   rate_per_s; /* limit */
-    double   per_s;      /* what comes */
-    uint32_t nodes;      /* it comes to these; 0: to all */
+    double   rate_per_s; /* the limit */
+    double   per_s;      /* the load */
+    uint32_t nodes;      /* number of nodes that the load arrives at; 0: all */
 } load_t;
 
 static result_t run_central_counting(const load_t *load)
@@ -118,8 +119,8 @@
     return (double)(*random >> 11) / (double)(1ULL << 53);
 }
 
-/* Each node an equal part, at least one request a second, with a bucket of a second. At most one request comes in a
- * millisecond. */
+/* Gives each node an equal part of the limit, at least one request a second, with a bucket of one second. At most one
+ * request arrives in each millisecond. */
 static result_t run_equal_parts(const load_t *load)
 {
     enum { STEPS = 20000, WINDOW = 5000 };
@@ -184,7 +185,8 @@
     (void)context, (void)tenant, (void)mode, (void)counter, (void)age;
 }
 
-/* Nobody to ask: a tenth of the limit, after a moment in which it may have what it lately let through. */
+/* Without a counting node a node admits its equal part, here a tenth of the limit, after a short time at the rate that
+ * it recently admitted. */
 START_TEST(a_node_without_a_counting_node_admits_its_equal_part)
 {
     cw_quota_settings_t settings = {.window = CW_SECONDS(5), .overshoot = 0.1, .slack = 20};
@@ -215,7 +217,7 @@
 int main(void)
 {
     Suite   *suite = suite_create("quota");
-    TCase   *cases = tcase_create("play");
+    TCase   *cases = tcase_create("simulation");
     SRunner *runner;
     int      failed;
 
--- a/tests/test_quota_counter.c
+++ b/tests/test_quota_counter.c
@@ -1,6 +1,6 @@
 /**
  * @file test_quota_counter.c
- * @brief The node that counts: what each message does to a tenant's bucket.
+ * @brief Tests the counting node: what each message does to a tenant's bucket.
  */
 #include "loop_fixture.h"
 #include "tenancy/quota_counter.h"
@@ -30,7 +30,7 @@
     (*count)++;
 }
 
-/* Ticks until then, as a node's loop does; returns how many nodes were told that the tenant is metered. */
+/* Ticks as a node's loop does. Returns the number of nodes that were told that the tenant is metered. */
 static int tick_until(cw_quota_counter_t *counter, cw_time_us_t from, cw_time_us_t to)
 {
     int told = 0;
@@ -64,7 +64,7 @@
     cw_quota_counter_give_back(counter, OTHER, &returned, now);
 }
 
-/* The tenant has come for so long that its bucket is full. Returns the time then. */
+/* Lets the tenant send requests until its bucket is full. Returns the time at the end. */
 static cw_time_us_t fill(cw_quota_counter_t *counter)
 {
     cw_time_us_t now = start + CW_SECONDS(3);
@@ -92,7 +92,7 @@
 {
     cw_quota_counter_t *counter = create();
 
-    report(counter, 1, 5000, 600, start); /* rate x window + burst: all of it */
+    report(counter, 1, 5000, 600, start); /* rate x window + burst: the whole limit of a window */
     ck_assert_uint_eq(ask(counter, 1, 1000, start).tokens, 0);
     cw_quota_counter_free(counter);
 }
@@ -106,7 +106,7 @@
     ck_assert_uint_eq(ask(counter, 1, 40, now).tokens, 40);
     ck_assert_uint_eq(ask(counter, 1, 40, now).tokens, 40);
     ck_assert_uint_eq(ask(counter, 2, 1000, now).tokens, (uint32_t)rate - 40);
-    ck_assert_uint_eq(ask(counter, 1, 40, now + CW_MS(500)).tokens, 0); /* overtaken */
+    ck_assert_uint_eq(ask(counter, 1, 40, now + CW_MS(500)).tokens, 0); /* overtaken by a later ask */
     cw_quota_counter_free(counter);
 }
 END_TEST
@@ -121,7 +121,7 @@
     give_back(counter, &granted, 1, 30, now);
     give_back(counter, &granted, 2, 1000, now);
     ck_assert_uint_eq(ask(counter, 2, 1000, now).tokens, (uint32_t)rate);
-    give_back(counter, &granted, 3, 1000, now + CW_SECONDS(2)); /* too late: they have expired */
+    give_back(counter, &granted, 3, 1000, now + CW_SECONDS(2)); /* too late: the tokens have expired */
     ck_assert_uint_eq(ask(counter, 3, 1000, now + CW_MS(10)).tokens, 1);
     cw_quota_counter_free(counter);
 }
@@ -140,7 +140,7 @@
 }
 END_TEST
 
-/* It comes late: the counting node stood still meanwhile, and has granted anew. */
+/* The return arrives after the counting node was frozen, dropped its records and granted tokens anew. */
 START_TEST(a_return_of_tokens_granted_before_a_reset_is_ignored)
 {
     cw_quota_counter_t *counter = create();
@@ -173,7 +173,7 @@
     ck_assert_uint_eq(granted.tokens, 0);
     ck_assert(granted.is_metered);
     ck_assert_int_ge(granted.retry_after, CW_MS(500));
-    ck_assert_int_gt(ask(counter, 2, 1, now).retry_after, granted.retry_after); /* behind those told before */
+    ck_assert_int_gt(ask(counter, 2, 1, now).retry_after, granted.retry_after); /* after the retry times given before */
     (void)tick_until(counter, now, now + CW_MS(500));
     ck_assert_uint_eq(ask(counter, 3, 10, now + CW_MS(500)).tokens, 0);
     (void)tick_until(counter, now, now + CW_MS(520));
@@ -207,7 +207,7 @@
 }
 END_TEST
 
-/* Another node may have counted meanwhile. */
+/* While a counting node was frozen, another one may have counted, so its buckets are no longer valid. */
 START_TEST(a_counter_that_stalled_starts_over)
 {
     cw_quota_counter_t *counter = create();
@@ -228,19 +228,19 @@
     cw_quota_tenant_limit_t lower = {.tenant = TENANT, .limit = {.rate_per_s = 10, .burst = 10}};
     cw_time_us_t            now = fill(counter);
 
-    report(counter, 1, 101, 300, now); /* in the window: below the old limit, above the new one */
+    report(counter, 1, 101, 300, now); /* requests in the last window: below the old limit, above the new one */
     (void)tick_until(counter, now, now + CW_SECONDS(1));
     now += CW_SECONDS(1);
     cw_quota_counter_set_limits(counter, &lower, 1, now);
     ck_assert(cw_quota_counter_is_metered(counter, TENANT, now));
     ck_assert_uint_eq(ask(counter, 1, 10, now).tokens, 0);
-    cw_quota_counter_set_limits(counter, NULL, 0, now); /* none any more */
+    cw_quota_counter_set_limits(counter, NULL, 0, now); /* the limit is removed */
     ck_assert_uint_eq(ask(counter, 2, 10, now).tokens, 10);
     cw_quota_counter_free(counter);
 }
 END_TEST
 
-/* Its configuration is earlier than that of the node that asks. */
+/* The configuration of the counting node is earlier than that of the asking node. */
 START_TEST(a_limit_unknown_to_the_counting_node_grants_nothing)
 {
     cw_quota_counter_t *counter = create();
@@ -253,7 +253,7 @@
     ck_assert(granted.is_unknown);
     ck_assert(cw_quota_counter_is_behind(counter, TENANT + 1, 8));
     ck_assert(!cw_quota_counter_is_behind(counter, TENANT, 8));
-    asked.version = 6; /* the limit was taken away since */
+    asked.version = 6; /* the limit was removed since that version */
     granted = cw_quota_counter_ask(counter, NODE, &asked, start);
     ck_assert_uint_eq(granted.tokens, 10);
     ck_assert(!granted.is_unknown);
--- a/tests/test_quota_failures.c
+++ b/tests/test_quota_failures.c
@@ -1,6 +1,7 @@
 /**
  * @file test_quota_failures.c
- * @brief Tenants' limits over all nodes while nodes and links fail: the bound holds in each window all the same.
+ * @brief Tests tenants' limits over all nodes in a simulation with failing nodes and links: the bound holds in each
+ * window.
  */
 #include <check.h>
 #include <stdio.h>
@@ -13,26 +14,27 @@
     CAPABLE = 5,
     CALM_S = 7,
     SEEDS = 4,
-    LOSSY_NODES = 6,   /* as tests/process/tenant_limit_lossy.sh has */
-    LOSSY_RUNS = 16,   /* half of them with each loss */
-    MAX_WAIT_MS = 150, /* three asks of 40 ms, and a turn */
+    LOSSY_NODES = 6,   /* as in tests/process/tenant_limit_lossy.sh */
+    LOSSY_RUNS = 16,   /* half of the runs for each loss */
+    MAX_WAIT_MS = 150, /* three asks of 40 ms each, and some time for processing */
     START_NODES = 81,
-    START_REFUSALS = 8 /* requests of a small tenant that come together while a bucket begins */
+    /* requests of a small tenant that may be refused because they arrive together while a bucket starts */
+    START_REFUSALS = 8
 };
 
 static const double rate = 100;
 static const double small_rate = 10;
-static const double hot_factor = 4.7; /* times the limit */
+static const double hot_factor = 4.7; /* load as a multiple of the limit */
 
 typedef struct scenario {
     quota_sim_t *sim;
     size_t       hot_tenant;
     size_t       calm_tenant;
     size_t       small_tenant;
-    size_t       counter; /* of the hot tenant */
+    size_t       counter; /* counting node of the hot tenant */
 } scenario_t;
 
-/* A tenant gets hot; another one stays far below its limit, as does a small one. */
+/* One tenant sends far more than its limit (hot); another one and a small one stay far below theirs. */
 static scenario_t start_scenario(uint64_t seed)
 {
     scenario_t scenario = {.sim = quota_sim_create(NODES, CAPABLE, seed)};
@@ -63,7 +65,8 @@
     fflush(stdout);
 }
 
-/* Bounds hold in every window; the hot tenant gets its limit again; those below theirs are hardly refused. */
+/* The bounds hold in every window, the hot tenant gets its limit again, and the tenants below their limits are hardly
+ * refused. */
 static void check_scenario(scenario_t *scenario, const char *name, double from_s, double max_refused_part)
 {
     double       to_s = (double)scenario->sim->step * QUOTA_SIM_STEP_MS / 1000;
@@ -165,7 +168,7 @@
         quota_sim_start(scenario.sim, index);
     }
     quota_sim_run(scenario.sim, 8);
-    check_scenario(&scenario, "herd restarts", 11.5, 0.03);
+    check_scenario(&scenario, "all restart", 11.5, 0.03);
 }
 END_TEST
 
@@ -190,7 +193,7 @@
 }
 END_TEST
 
-/* All of the hot tenant's requests come to the node that is cut off. */
+/* All requests of the hot tenant arrive at the node that is cut off. */
 START_TEST(a_node_cut_off_from_all_serves_its_equal_part)
 {
     scenario_t scenario = start_scenario((uint64_t)_i);
@@ -205,7 +208,8 @@
     most = (double)quota_sim_ran(scenario.sim, scenario.hot_tenant, 20, 26);
     print_results(&scenario, "cut off from all", 20);
     ck_assert_double_le(quota_sim_excess(scenario.sim, scenario.hot_tenant, 0), 0);
-    ck_assert_double_le(most, rate * 6 / NODES + 2); /* one window later it has no more than its part */
+    ck_assert_double_le(most,
+                        rate * 6 / NODES + 2); /* from one window after the cut it admits no more than its own part */
     ck_assert_double_ge(most, rate * 6 / NODES * 0.7);
     quota_sim_free(scenario.sim);
 }
@@ -232,7 +236,8 @@
            quota_sim_excess(scenario.sim, scenario.hot_tenant, 14),
            quota_sim_excess(scenario.sim, scenario.hot_tenant, 15));
     fflush(stdout);
-    if (scenario.counter % 3 != 0) { /* the one that counts is not late: the lower limit binds at once */
+    if (scenario.counter % 3 !=
+        0) { /* the counting node does not have the old limit: the lower limit applies at once */
         ck_assert_double_le(quota_sim_excess(scenario.sim, scenario.hot_tenant, 15), 0);
     }
     ck_assert_double_le(quota_sim_excess(scenario.sim, scenario.hot_tenant, 18), 0);
@@ -246,7 +251,7 @@
     scenario_t scenario = start_scenario((uint64_t)_i);
     size_t     index;
 
-    for (index = 0; index < NODES; index += 3) { /* some of the most capable among them: they count from now on */
+    for (index = 0; index < NODES; index += 3) { /* some of the most capable nodes among them: they count from now on */
         quota_sim_kill(scenario.sim, index);
     }
     quota_sim_run(scenario.sim, 6);
@@ -269,7 +274,7 @@
 }
 END_TEST
 
-/* The least that a limit allows: its window holds few requests, so each one too many shows. */
+/* With the smallest limits a window holds few requests, so that each request too many shows. */
 START_TEST(a_small_limit_holds_while_links_lose_many_datagrams)
 {
     static const double losses[] = {0.2, 0.4};
@@ -307,7 +312,7 @@
     }
 }
 
-/* A few nodes, a tenant that sends four times its limit from the first moment, and the node that counts it. */
+/* A small cluster, a tenant that sends four times its limit from the start, and its counting node. */
 typedef struct small_cluster {
     quota_sim_t *sim;
     size_t       tenant;
@@ -324,7 +329,8 @@
     return cluster;
 }
 
-/* The bound holds in each window, the limit is used, and nobody waits for a decision for longer than some asks take. */
+/* The bound holds in each window, the limit is used, and no request waits for its decision for longer than a few asks
+ * take. */
 static void check_small_cluster(const small_cluster_t *cluster, const char *name, double from_s, double min_used,
                                 cw_time_us_t longest_wait)
 {
@@ -344,8 +350,8 @@
     quota_sim_free(sim);
 }
 
-/* Guards against two nodes that each give out the whole limit since one of them misses the other (soak 3111): between
- * the node that counts and each other one in turn a link is cut, in one direction or both. */
+/* Guards against two nodes that each give out the whole limit because one of them has lost the other (soak 3111): the
+ * link between the counting node and each other node in turn is cut, in one or both directions. */
 START_TEST(one_node_counts_while_a_pair_of_nodes_is_cut)
 {
     static const size_t counts[] = {2, 3, 4, 12};
@@ -365,11 +371,12 @@
         }
     }
     check_small_cluster(&cluster, "pair cut", 5, nodes == 2 ? 0.7 : 0.85,
-                        CW_MS(MAX_WAIT_MS)); /* two that are cut have no node between them */
+                        CW_MS(MAX_WAIT_MS)); /* two nodes that are cut have no third node that could relay for them */
 }
 END_TEST
 
-/* Guards against the same where no single node reaches all: cuts overlap, and some are of one direction. */
+/* Guards against the same failure where no single node reaches all others: cuts overlap, and some are in one direction.
+ */
 START_TEST(one_node_counts_while_cuts_overlap)
 {
     size_t          nodes = 4 + (size_t)(_i % 3);
@@ -389,7 +396,8 @@
 }
 END_TEST
 
-/* Guards against a second node that counts where the first one starts anew beside a cut, or is frozen and goes on. */
+/* Guards against a second counting node if the first one restarts while a link of it is cut, or is frozen and goes on.
+ */
 START_TEST(the_counting_node_restarts_during_a_cut)
 {
     small_cluster_t cluster = start_small_cluster(4, 100, 0, (uint64_t)_i);
@@ -409,13 +417,13 @@
     quota_sim_run(cluster.sim, 6);
     set_cut(cluster.sim, cluster.counter, other, (direction_t)(_i % DIRECTIONS), 0);
     quota_sim_run(cluster.sim, 5);
-    /* At a frozen node requests wait for as long as it is frozen. */
-    check_small_cluster(&cluster, "starts anew beside a cut", 5, 0.7,
+    /* Requests at a frozen node wait for as long as it is frozen. */
+    check_small_cluster(&cluster, "restart during a cut", 5, 0.7,
                         CW_MS(_i % 2 == 0 ? MAX_WAIT_MS : MAX_WAIT_MS + 1600));
 }
 END_TEST
 
-/* Guards against the same where a third of the datagrams is lost in one direction. */
+/* Guards against a second counting node if a third of the datagrams is lost in one direction. */
 START_TEST(one_node_counts_while_a_link_loses_a_third)
 {
     small_cluster_t cluster = start_small_cluster(4, 100, 0, (uint64_t)_i);
@@ -427,7 +435,7 @@
 }
 END_TEST
 
-/* Guards against a limit that is changed beside a cut and then counted by two nodes. */
+/* Guards against a limit that is changed while a link is cut and is then counted by two nodes. */
 START_TEST(a_limit_changes_during_a_cut)
 {
     small_cluster_t cluster = start_small_cluster(4, 50, 0, (uint64_t)_i);
@@ -440,7 +448,7 @@
     quota_sim_run(cluster.sim, 8);
     set_cut(cluster.sim, cluster.counter, other, (direction_t)(_i % DIRECTIONS), 0);
     quota_sim_run(cluster.sim, 3);
-    printf("limit %s beside a cut: excess %.0f\n", is_raised ? "raised" : "lowered",
+    printf("limit %s during a cut: excess %.0f\n", is_raised ? "raised" : "lowered",
            quota_sim_excess(cluster.sim, cluster.tenant, 12));
     fflush(stdout);
     ck_assert_double_le(quota_sim_excess(cluster.sim, cluster.tenant, 12), 0);
@@ -448,8 +456,9 @@
 }
 END_TEST
 
-/* Guards against limits that are broken after all nodes have started anew at once under a hot tenant (finding 1b02):
- * three may count, nodes learn of one another one by one, and of how many they are early, late or never. */
+/* Guards against limits that are exceeded after all nodes have restarted at once under a hot tenant (finding 1b02):
+ * three nodes may count, nodes become known to each other one by one, and they learn the number of nodes early, late or
+ * never. */
 START_TEST(all_nodes_restart_at_once)
 {
     static const cw_time_us_t size_known_after[] = {CW_MS(10), CW_MS(400), -1};
@@ -474,7 +483,7 @@
         }
     }
     quota_sim_run(sim, 10);
-    printf("all start anew, stated after %.0f ms: excess %.0f, used %.2f; small refused %llu of %llu\n",
+    printf("all restart, number of nodes known after %.0f ms: excess %.0f, used %.2f; small refused %llu of %llu\n",
            (double)sim->size_known_after / 1000, quota_sim_excess(sim, tenant, 0),
            (double)quota_sim_ran(sim, tenant, 6, 15) / (rate_per_s * 9),
            (unsigned long long)sim->tenants[small].refused, (unsigned long long)sim->tenants[small].arrived);
@@ -488,7 +497,7 @@
 }
 END_TEST
 
-/* More than the limit comes, but so much of it does not run that what runs is below. */
+/* The load is above the limit, but so many admitted requests do not run that the number that runs is below it. */
 START_TEST(requests_that_did_not_run_return_their_tokens)
 {
     quota_sim_t *sim = quota_sim_create(3, 3, (uint64_t)_i);
@@ -519,7 +528,8 @@
     quota_sim_run(sim, 4);
     sim->tenants[tenant].load_per_s = 0;
     quota_sim_run(sim, 0.2);
-    for (index = 0; index < 200; index++) { /* more than the bucket holds: their ask says that there is no more */
+    for (index = 0; index < 200;
+         index++) { /* more than the bucket holds: the reply to their ask says that no token is left */
         cw_time_us_t retry_after;
 
         if (cw_quota_share_enter(share, hash, &limit, sim->now, &retry_after) == CW_QUOTA_WAIT) {
@@ -548,7 +558,7 @@
 int main(void)
 {
     Suite   *suite = suite_create("quota, failures");
-    TCase   *scenario = tcase_create("play");
+    TCase   *scenario = tcase_create("simulation");
     SRunner *runner;
     int      failed;
 
--- a/tests/test_quota_memory.c
+++ b/tests/test_quota_memory.c
@@ -1,9 +1,10 @@
 /**
  * @file test_quota_memory.c
- * @brief What 10,000 tenants with limits take at a node that lets their requests through, and at one that counts them.
+ * @brief Measures the memory of 10,000 tenants with limits on a node that admits their requests and on one that counts
+ * them.
  *
- * Measured as the heap in use, so with the allocator's own bytes and the hash tables. docs/CAPACITY.md states the
- * figures.
+ * The measure is the heap in use, so it includes the allocator's overhead and the hash tables. docs/CAPACITY.md states
+ * the figures.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -16,11 +17,11 @@
 
 enum {
     TENANTS = 10000,
-    NODES = 8,                 /* that report each tenant */
-    SHARE_BYTES = 400,         /* a tenant at a node */
-    LIMIT_BYTES = 200,         /* a tenant that nobody has reported, at a node that may count it */
-    RECORD_BYTES = 260,        /* a node's record of a tenant there, the hash table of the records included */
-    STDIO_BUFFER_BYTES = 8192, /* stdio's buffer, by the first line that is printed */
+    NODES = 8,          /* nodes that report each tenant */
+    SHARE_BYTES = 400,  /* a tenant on a node that admits its requests */
+    LIMIT_BYTES = 200,  /* a tenant without reports, on a node that may count it */
+    RECORD_BYTES = 260, /* a node's record of a tenant on the counting node, including the hash table of the records */
+    STDIO_BUFFER_BYTES = 8192, /* buffer that stdio allocates with the first line that is printed */
     GATE_BYTES = 160           /* a tenant with a request under way */
 };
 
--- a/tests/test_quota_share.c
+++ b/tests/test_quota_share.c
@@ -1,6 +1,6 @@
 /**
  * @file test_quota_share.c
- * @brief A node's part in a tenant's limit, message by message: the test is the counting node.
+ * @brief Tests a node's side of a tenant's limit message by message; the test acts as the counting node.
  */
 #include "loop_fixture.h"
 #include "quota_port.h"
@@ -36,7 +36,7 @@
     cw_quota_share_granted(share, COUNTER, &granted, now);
 }
 
-/* Of a report: no tenant is metered. */
+/* Replies to a report: no tenant is metered. */
 static void reply(cw_quota_share_t *share, uint32_t sequence, cw_time_us_t now)
 {
     cw_quota_status_t status = {.sequence = sequence};
@@ -51,7 +51,7 @@
     return cw_quota_share_decide(share, TENANT, now, &retry_after);
 }
 
-/* A slow counting node answers an ask and its repeat. */
+/* A slow counting node replies both to an ask and to its repetition. */
 START_TEST(a_repeated_grant_is_taken_once_and_not_returned)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -111,7 +111,7 @@
 }
 END_TEST
 
-/* What is given back later does not keep alive what was given back before. */
+/* Tokens that are returned to the node later do not prolong the life of those returned before. */
 START_TEST(tokens_of_requests_that_did_not_run_expire)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -125,7 +125,8 @@
     for (index = 0; index < 50; index++) {
         cw_quota_share_give_back(share, TENANT, now);
     }
-    for (index = 0; index < 2; index++) { /* one is used and comes back, each time before the last one's end */
+    for (index = 0; index < 2;
+         index++) { /* one token is used and returned, each time before the expiry of the last ones */
         now += CW_MS(200);
         if (enter(share, now) == CW_QUOTA_ADMITTED) {
             cw_quota_share_give_back(share, TENANT, now);
@@ -136,7 +137,7 @@
 }
 END_TEST
 
-/* The node that counted is gone, and no other one is known. */
+/* The counting node is gone, and no other one is known. */
 START_TEST(waiting_requests_are_decided_when_no_node_counts_any_more)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -150,7 +151,8 @@
     for (index = 0; enter(share, now) == CW_QUOTA_ADMITTED; index++) {
         ck_assert_int_lt(index, 1000);
     }
-    reply(share, sent.sequence, now); /* of the report before the ask: the next one need not wait, and is due */
+    reply(share, sent.sequence, now); /* the reply belongs to the report before the ask; after it the next request need
+                                         not wait, and a report is due */
     ck_assert_int_eq(enter(share, now), CW_QUOTA_ADMITTED);
     sent.counter = 0;
     cw_quota_share_tick(share, now + CW_MS(5));
@@ -162,7 +164,7 @@
 }
 END_TEST
 
-/* Its configuration is earlier, and has no limit for the tenant. */
+/* The configuration of the counting node is earlier and has no limit for the tenant. */
 START_TEST(a_tenant_unknown_to_its_counting_node_is_served_from_the_local_part)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -180,7 +182,7 @@
     for (; now < start + CW_MS(300); now += CW_MS(20)) {
         cw_quota_share_tick(share, now);
     }
-    ck_assert_uint_ge(sent.reports, 1); /* whether it is known by now */
+    ck_assert_uint_ge(sent.reports, 1); /* asks whether the counting node knows the tenant now */
     status.sequence = sent.sequence;
     cw_quota_share_status(share, COUNTER, &status, now);
     ck_assert_int_eq(cw_quota_share_mode(share, TENANT), CW_QUOTA_ALONE);
@@ -214,7 +216,7 @@
 }
 END_TEST
 
-/* One of its datagrams, or the reply, is lost. */
+/* One of the datagrams of the report, or a reply to it, is lost. */
 START_TEST(tenants_of_a_report_without_a_reply_are_reported_again)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -271,7 +273,7 @@
     cw_quota_share_status(share, from, &status, now);
 }
 
-/* Guards against a request that waits for a second where the node that was asked knows better who counts. */
+/* Guards against a request that waits for a second although the asked node names the counting node. */
 START_TEST(a_request_follows_a_redirect)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -288,7 +290,8 @@
 }
 END_TEST
 
-/* Guards against two nodes that name one another, and a request that goes to and fro between them. */
+/* Guards against two nodes that name each other as the counting node, and a request that is sent back and forth between
+ * them. */
 START_TEST(two_nodes_that_redirect_to_each_other_leave_the_local_part)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -304,7 +307,7 @@
 }
 END_TEST
 
-/* Guards against a tenant that goes free since a node that does not count it has replied. */
+/* Guards against a tenant that becomes free because a node that does not count it has replied. */
 START_TEST(a_redirect_does_not_change_the_mode)
 {
     quota_sent_t      sent = {.counter = COUNTER};
