--- a/src/tenancy/quota_counter.c
+++ b/src/tenancy/quota_counter.c
@@ -15,7 +15,7 @@
     FORGET_INTERVAL_MS = 1000
 };
 
-/* fraction of all nodes: if this many are reached, the whole limit is given out, since the equal parts of the remaining
+/* Fraction of all nodes: if this many are reached, the whole limit is given out, since the equal parts of the remaining
  * nodes are within the overshoot */
 static const double full_share_reach = 0.895;
 
--- a/src/tenancy/quota_share.c
+++ b/src/tenancy/quota_share.c
@@ -18,8 +18,8 @@
     FORGET_AFTER_WINDOWS = 3
 };
 
-static const double expected_factor = 1.5; /* factor on the number of requests that a report interval usually brings;
-                                              even twice that number comes without a particular cause */
+static const double expected_factor = 1.5; /* times what a report interval usually brings, which is admitted without an
+ ask; twice the usual number comes without a particular cause, too */
 /* Fraction of the depth of the bucket that one node admits without a reply */
 static const double unconfirmed_part = 0.5;
 
