--- a/src/tenancy/quota_share.c
+++ b/src/tenancy/quota_share.c
@@ -18,8 +18,9 @@
     FORGET_AFTER_WINDOWS = 3
 };
 
-static const double expected_factor = 1.5; /* times what a report interval usually brings, which is admitted without an
- ask; twice the usual number comes without a particular cause, too */
+/* Multiple of what a report interval usually brings that is admitted without an ask. Twice the usual number comes now
+ * and then without a particular cause, too. */
+static const double expected_factor = 1.5;
 /* Fraction of the depth of the bucket that one node admits without a reply */
 static const double unconfirmed_part = 0.5;
 
