--- a/src/proxy/engine_queue.c
+++ b/src/proxy/engine_queue.c
@@ -7,8 +7,7 @@
 
 #include "proxy/engine_internal.h"
 
-/* Compares a waiting request with one that is added: by rank, then turn, then deadline; the added request is placed
- * after its equals. */
+/* Order of the queue: rank, then turn, then deadline. An added request comes after its equals. */
 static int compare_for_insertion(const cw_request_t *waiting, const cw_request_t *added)
 {
     if (waiting->rank != added->rank) {
--- a/tests/engine_world.c
+++ b/tests/engine_world.c
@@ -1,6 +1,6 @@
 /**
  * @file engine_fixture.c
- * @brief The engine, its servers, its callers.
+ * @brief Implements the engine test fixture: the engine, its servers and its callers.
  */
 #include "engine_world.h"
 
@@ -16,7 +16,7 @@
 static const cw_http_limits_t limits = {
     .header_bytes = 8000, .body_bytes = 100000, .header_timeout = CW_SECONDS(30), .idle_timeout = CW_SECONDS(30)};
 
-/* The region of each server's zone: s0 lies in the near one. */
+/* Zone and region of each server; s0 is in the near region. */
 static const cw_zone_region_t regions[] = {{"z1", "near"}, {"z2", "far"}};
 
 /* ---- servers ---- */
@@ -44,7 +44,7 @@
     cw_http_fields_clear(&fields);
 }
 
-static void note_fields(engine_server_t *server, const cw_http_fields_t *fields)
+static void record_fields(engine_server_t *server, const cw_http_fields_t *fields)
 {
     size_t index;
 
@@ -68,13 +68,13 @@
     server->exchange = exchange;
     snprintf(server->deadline, sizeof(server->deadline), "%s", deadline == NULL ? "" : deadline);
     snprintf(server->target, sizeof(server->target), "%s", target == NULL ? "" : target);
-    note_fields(server, inbound->fields);
+    record_fields(server, inbound->fields);
     if (server->status != 0) {
         engine_server_answer(server, server->status, server->id, server->not_run ? "not-run" : NULL);
     }
 }
 
-static void on_server_gone(void *context, cw_http_exchange_t *exchange)
+static void on_server_caller_gone(void *context, cw_http_exchange_t *exchange)
 {
     engine_server_t *server = context;
 
@@ -85,7 +85,7 @@
 static void start_server(engine_fixture_t *fixture, size_t index, cw_server_list_t *list, uint32_t capacity)
 {
     engine_server_t           *server = &fixture->servers[index];
-    cw_http_listener_handler_t handler = {server, on_server_request, on_server_gone};
+    cw_http_listener_handler_t handler = {server, on_server_request, on_server_caller_gone};
     cw_server_entry_t         *entry = cw_server_list_add(list);
 
     server->fixture = fixture;
@@ -95,7 +95,7 @@
     entry->id = strdup(server->id);
     entry->service = strdup("service");
     entry->address = strdup(server->address);
-    entry->zone = strdup(regions[index].zone); /* s0 is nearer: it is chosen first */
+    entry->zone = strdup(regions[index].zone); /* s0 is nearer, so it is chosen first */
     entry->capacity = capacity;
 }
 
@@ -129,7 +129,7 @@
     return fixture->rejects_all || cw_engine_rejects_head(fixture->engine, head);
 }
 
-static void on_front_gone(void *context, cw_http_exchange_t *exchange)
+static void on_front_caller_gone(void *context, cw_http_exchange_t *exchange)
 {
     engine_fixture_t *fixture = context;
 
@@ -143,12 +143,12 @@
     cw_engine_forget_server(fixture->engine, server);
 }
 
-engine_fixture_setup_t engine_fixture_usual_setup(void)
+engine_fixture_setup_t engine_fixture_default_setup(void)
 {
     return (engine_fixture_setup_t){.servers = ENGINE_FIXTURE_SERVERS, .capacity = 1, .silence_factor = 1000};
 }
 
-static cw_engine_settings_t settings_of(const engine_fixture_setup_t *setup)
+static cw_engine_settings_t engine_settings(const engine_fixture_setup_t *setup)
 {
     return (cw_engine_settings_t){.names = {.request_id = "id",
                                             .deadline = "deadline",
@@ -170,9 +170,9 @@
 
 void engine_fixture_begin(engine_fixture_t *fixture, const engine_fixture_setup_t *setup)
 {
-    cw_engine_settings_t       settings = settings_of(setup);
+    cw_engine_settings_t       settings = engine_settings(setup);
     cw_upstream_options_t      options = {.idle_max = CW_SECONDS(20)};
-    cw_http_listener_handler_t handler = {fixture, on_front_request, on_front_gone};
+    cw_http_listener_handler_t handler = {fixture, on_front_request, on_front_caller_gone};
     char                       address[32];
 
     memset(fixture, 0, sizeof(*fixture));
@@ -215,7 +215,7 @@
     cw_configuration_release(configuration);
 }
 
-/* region: its requests go to servers there only; NULL: to all. */
+/* region: the only region whose servers get the route's requests; NULL: all regions. */
 static void add_route_to(cw_configuration_t *configuration, const char *name, bool repeatable, const char *service,
                          const char *region)
 {
@@ -245,7 +245,7 @@
 
 void engine_fixture_init(engine_fixture_t *fixture)
 {
-    engine_fixture_setup_t setup = engine_fixture_usual_setup();
+    engine_fixture_setup_t setup = engine_fixture_default_setup();
 
     engine_fixture_begin(fixture, &setup);
     configure(fixture);
@@ -253,7 +253,7 @@
 
 void engine_fixture_init_with_silence(engine_fixture_t *fixture, double silence_factor)
 {
-    engine_fixture_setup_t setup = engine_fixture_usual_setup();
+    engine_fixture_setup_t setup = engine_fixture_default_setup();
 
     setup.silence_factor = silence_factor;
     engine_fixture_begin(fixture, &setup);
@@ -262,7 +262,7 @@
 
 void engine_fixture_init_with_crossing(engine_fixture_t *fixture, double crossing_ms_per_mb)
 {
-    engine_fixture_setup_t setup = engine_fixture_usual_setup();
+    engine_fixture_setup_t setup = engine_fixture_default_setup();
 
     setup.crossing_ms_per_mb = crossing_ms_per_mb;
     engine_fixture_begin(fixture, &setup);
@@ -271,7 +271,7 @@
 
 /* ---- calls ---- */
 
-static void note_latest(engine_fixture_t *fixture, const engine_call_t *call, const cw_upstream_answer_t *answer)
+static void record_latest(engine_fixture_t *fixture, const engine_call_t *call, const cw_upstream_answer_t *answer)
 {
     fixture->answered = true;
     fixture->result = call->result;
@@ -295,7 +295,7 @@
     call->retry_after_s = retry_after == NULL ? -1 : atof(retry_after);
     snprintf(call->body, sizeof(call->body), "%.*s", (int)answer->body_length,
              answer->body == NULL ? "" : answer->body);
-    note_latest(call->fixture, call, answer);
+    record_latest(call->fixture, call, answer);
 }
 
 engine_call_t *engine_fixture_send(engine_fixture_t *fixture, size_t number, const char *text, size_t length)
@@ -311,7 +311,8 @@
     return call;
 }
 
-/* A call that was answered, or given up by the test, is used again after ENGINE_FIXTURE_CALLS others. */
+/* An entry of the calls is used again after ENGINE_FIXTURE_CALLS others; by then its call was answered or abandoned by
+ * the test. */
 static cw_upstream_call_t *send_next(engine_fixture_t *fixture, const char *text, size_t length)
 {
     size_t number = fixture->next_call++ % ENGINE_FIXTURE_CALLS;
--- a/tests/test_crash_suspects.c
+++ b/tests/test_crash_suspects.c
@@ -1,6 +1,6 @@
 /**
  * @file test_crash_suspects.c
- * @brief Which requests are taken to crash servers, and which are not, whatever ended beside them.
+ * @brief Which requests are recognized as crashing servers, and which are not although servers ended while they ran.
  */
 #include "loop_fixture.h"
 #include "retry/crash_suspects.h"
@@ -10,21 +10,21 @@
 static cw_crash_suspects_t *suspects;
 static cw_time_us_t         now;
 static uint32_t             next_server;
-static uint32_t             seen; /* crashes told to the owner */
+static uint32_t             observed; /* crashes reported to the callback */
 
-static void note_seen(void *context, const cw_crash_t *crash)
+static void count_crash(void *context, const cw_crash_t *crash)
 {
     (void)context;
     (void)crash;
-    seen++;
+    observed++;
 }
 
 static void setup(void)
 {
-    suspects = cw_crash_suspects_create(note_seen, NULL);
+    suspects = cw_crash_suspects_create(count_crash, NULL);
     now = CW_SECONDS(100);
     next_server = 1;
-    seen = 0;
+    observed = 0;
 }
 
 static void teardown(void)
@@ -32,7 +32,7 @@
     cw_crash_suspects_free(suspects);
 }
 
-/* The request is sent to another server, which is lost. Returns the server. */
+/* Sends the request to another server, which is then lost; returns that server. */
 static uint32_t lose(uint64_t request)
 {
     cw_crash_t loss = {.request = request, .server = next_server++, .sent_at = now, .lost_at = now + CW_MS(WORK_MS)};
@@ -66,12 +66,12 @@
     crash(KILLER);
     ck_assert(cw_crash_suspects_is_refused(suspects, KILLER, now, &refused_for));
     ck_assert_int_eq(refused_for, CW_SECONDS(CW_SUSPECT_REFUSED_S));
-    ck_assert_uint_eq(seen, 3);
+    ck_assert_uint_eq(observed, 3);
     ck_assert(!is_refused(INNOCENT));
 }
 END_TEST
 
-START_TEST(connections_that_are_reset_by_servers_that_live_prove_nothing)
+START_TEST(connections_reset_by_live_servers_do_not_count_as_crashes)
 {
     int index;
 
@@ -85,13 +85,13 @@
 }
 END_TEST
 
-START_TEST(servers_that_are_lost_together_count_once_for_a_popular_request)
+START_TEST(servers_lost_at_the_same_time_count_once_for_a_popular_request)
 {
     uint32_t first = next_server;
     uint32_t server;
     int      index;
 
-    for (index = 0; index < COPIES; index++) { /* a zone loses its power with as many copies under way */
+    for (index = 0; index < COPIES; index++) { /* as when a zone loses power with this many copies under way */
         cw_crash_t loss = {.request = INNOCENT, .server = next_server++, .sent_at = now, .lost_at = now + CW_MS(index)};
 
         ck_assert(cw_crash_suspects_note_loss(suspects, &loss));
@@ -105,7 +105,7 @@
 }
 END_TEST
 
-START_TEST(hundreds_of_requests_at_one_crash_are_each_remembered_and_none_is_refused)
+START_TEST(all_requests_at_one_crash_are_remembered_and_none_is_refused)
 {
     uint32_t server = next_server++;
     uint64_t request;
@@ -128,14 +128,14 @@
     crash(INNOCENT);
     crash(INNOCENT);
     ck_assert(cw_crash_suspects_clear(suspects, INNOCENT, now));
-    ck_assert(!cw_crash_suspects_clear(suspects, INNOCENT, now + 1)); /* known already */
+    ck_assert(!cw_crash_suspects_clear(suspects, INNOCENT, now + 1)); /* the answer is known already */
     now += CW_MS(1);
     crash(INNOCENT);
     ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, INNOCENT), 1);
 }
 END_TEST
 
-START_TEST(an_answer_ends_a_refusal_that_was_wrong)
+START_TEST(an_answer_ends_a_wrong_refusal)
 {
     crash(INNOCENT);
     crash(INNOCENT);
@@ -145,7 +145,7 @@
 }
 END_TEST
 
-START_TEST(a_late_report_from_before_an_answer_does_not_count)
+START_TEST(a_late_report_of_a_crash_before_an_answer_does_not_count)
 {
     cw_crash_t late = {.request = INNOCENT, .server = 900, .sent_at = now, .lost_at = now + CW_MS(1)};
 
@@ -156,7 +156,7 @@
 }
 END_TEST
 
-START_TEST(nodes_that_each_saw_a_part_refuse_it_together)
+START_TEST(crashes_reported_by_other_nodes_count_towards_a_refusal)
 {
     cw_crash_t other = {.request = KILLER, .server = 900};
 
@@ -164,7 +164,8 @@
     other.sent_at = now + CW_MS(10);
     other.lost_at = now + CW_MS(30);
     cw_crash_suspects_take(suspects, &other, now + CW_MS(200));
-    cw_crash_suspects_take(suspects, &other, now + CW_MS(600)); /* repeated, since datagrams are lost */
+    cw_crash_suspects_take(suspects, &other,
+                           now + CW_MS(600)); /* the report is sent repeatedly, since datagrams may be lost */
     ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, KILLER), 2);
     now += CW_MS(700);
     crash(KILLER);
@@ -191,19 +192,19 @@
 }
 END_TEST
 
-START_TEST(losses_that_are_not_proved_yet_keep_a_node_from_repeating_it)
+START_TEST(unconfirmed_losses_prevent_a_repeat)
 {
     (void)lose(KILLER);
     (void)lose(KILLER);
     ck_assert(cw_crash_suspects_may_repeat(suspects, KILLER));
     (void)lose(KILLER);
     ck_assert(!cw_crash_suspects_may_repeat(suspects, KILLER));
-    ck_assert(!is_refused(KILLER)); /* a caller's next request may still be sent */
+    ck_assert(!is_refused(KILLER)); /* the next request of a caller may still be sent */
     ck_assert(cw_crash_suspects_may_repeat(suspects, INNOCENT));
 }
 END_TEST
 
-START_TEST(a_refusal_ends_and_one_more_crash_brings_it_back_for_longer)
+START_TEST(a_refusal_ends_and_one_more_crash_starts_a_longer_one)
 {
     cw_time_us_t refused_for;
 
@@ -219,7 +220,7 @@
 }
 END_TEST
 
-START_TEST(what_came_once_is_forgotten)
+START_TEST(a_request_with_a_single_crash_is_forgotten)
 {
     crash(KILLER);
     now += CW_SECONDS(CW_SUSPECT_FORGET_S) + CW_SECONDS(1);
@@ -228,7 +229,7 @@
 }
 END_TEST
 
-START_TEST(what_is_remembered_is_bounded)
+START_TEST(the_number_of_remembered_requests_and_losses_is_bounded)
 {
     uint64_t request;
 
@@ -236,7 +237,7 @@
         crash(request);
     }
     ck_assert_uint_eq(cw_crash_suspects_count(suspects), CW_SUSPECTS_MAX);
-    ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, 1000), 0); /* the oldest went */
+    ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, 1000), 0); /* the oldest one was forgotten */
     for (request = 1; request <= CW_LOSSES_MAX; request++) {
         (void)lose(request);
     }
@@ -251,18 +252,18 @@
 
     tcase_add_checked_fixture(cases, setup, teardown);
     tcase_add_test(cases, a_request_is_refused_after_three_crashes);
-    tcase_add_test(cases, connections_that_are_reset_by_servers_that_live_prove_nothing);
-    tcase_add_test(cases, servers_that_are_lost_together_count_once_for_a_popular_request);
-    tcase_add_test(cases, hundreds_of_requests_at_one_crash_are_each_remembered_and_none_is_refused);
+    tcase_add_test(cases, connections_reset_by_live_servers_do_not_count_as_crashes);
+    tcase_add_test(cases, servers_lost_at_the_same_time_count_once_for_a_popular_request);
+    tcase_add_test(cases, all_requests_at_one_crash_are_remembered_and_none_is_refused);
     tcase_add_test(cases, an_answer_by_any_server_ends_the_chain);
-    tcase_add_test(cases, an_answer_ends_a_refusal_that_was_wrong);
-    tcase_add_test(cases, a_late_report_from_before_an_answer_does_not_count);
-    tcase_add_test(cases, nodes_that_each_saw_a_part_refuse_it_together);
+    tcase_add_test(cases, an_answer_ends_a_wrong_refusal);
+    tcase_add_test(cases, a_late_report_of_a_crash_before_an_answer_does_not_count);
+    tcase_add_test(cases, crashes_reported_by_other_nodes_count_towards_a_refusal);
     tcase_add_test(cases, reports_may_come_in_any_order);
-    tcase_add_test(cases, losses_that_are_not_proved_yet_keep_a_node_from_repeating_it);
-    tcase_add_test(cases, a_refusal_ends_and_one_more_crash_brings_it_back_for_longer);
-    tcase_add_test(cases, what_came_once_is_forgotten);
-    tcase_add_test(cases, what_is_remembered_is_bounded);
+    tcase_add_test(cases, unconfirmed_losses_prevent_a_repeat);
+    tcase_add_test(cases, a_refusal_ends_and_one_more_crash_starts_a_longer_one);
+    tcase_add_test(cases, a_request_with_a_single_crash_is_forgotten);
+    tcase_add_test(cases, the_number_of_remembered_requests_and_losses_is_bounded);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -1,13 +1,13 @@
 /**
  * @file test_engine.c
- * @brief A request's way through the engine: routes, queue, keys, splits.
+ * @brief How a request passes through the engine: routes, queue, keys and splits.
  */
 #include <stdlib.h>
 #include <unistd.h>
 
 #include "engine_world.h"
 
-START_TEST(an_answer_comes_back_whole_with_the_deadline_and_target_passed_on)
+START_TEST(an_answer_is_relayed_and_the_server_gets_deadline_and_target)
 {
     engine_fixture_t fixture;
 
@@ -23,7 +23,7 @@
 }
 END_TEST
 
-/* Both servers are busy, and a third request waits for longer than a fifth of its objective. */
+/* Occupies both servers and lets a third request wait for longer than a fifth of its objective. */
 static void begin_waiting(engine_fixture_t *fixture)
 {
     cw_time_us_t end;
@@ -41,7 +41,7 @@
     }
 }
 
-START_TEST(what_can_no_longer_be_served_is_refused_at_once)
+START_TEST(a_waiting_request_is_refused_at_once_when_it_cannot_be_served_in_time)
 {
     engine_fixture_t fixture;
     cw_time_us_t     begun;
@@ -52,16 +52,16 @@
     cw_engine_wake(fixture.engine);
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.status, 503);
-    ck_assert_int_lt(cw_engine_now(fixture.engine) - begun, CW_SECONDS(5)); /* its deadline lies beyond */
+    ck_assert_int_lt(cw_engine_now(fixture.engine) - begun, CW_SECONDS(5)); /* long before its deadline */
 }
 END_TEST
 
-START_TEST(what_was_let_in_waits_though_it_will_be_late)
+START_TEST(an_admitted_request_waits_beyond_its_objective)
 {
     engine_fixture_t fixture;
 
     begin_waiting(&fixture);
-    cw_engine_set_queued_elsewhere(fixture.engine, "service", 4); /* its turn comes after its objective */
+    cw_engine_set_queued_elsewhere(fixture.engine, "service", 4); /* its turn is now expected after its objective */
     cw_engine_wake(fixture.engine);
     cw_test_run_some(&fixture.loop, 20);
     ck_assert(!fixture.answered);
@@ -69,7 +69,7 @@
 }
 END_TEST
 
-START_TEST(no_route_is_404_and_no_configuration_is_503)
+START_TEST(a_request_without_a_route_gets_404)
 {
     engine_fixture_t fixture;
 
@@ -104,7 +104,7 @@
 }
 END_TEST
 
-START_TEST(a_key_goes_to_its_owner_only_and_waits_while_it_moves)
+START_TEST(a_request_with_a_key_goes_only_to_the_owner_and_waits_while_the_key_moves)
 {
     engine_fixture_t fixture;
     cw_key_route_t   routes[2] = {{.low = 0, .last = 999, .server = "s1", .fence = 4, .routable = false},
@@ -128,7 +128,7 @@
 }
 END_TEST
 
-START_TEST(what_waits_elsewhere_for_the_owner_counts_in_the_wait)
+START_TEST(requests_waiting_at_other_nodes_for_the_owner_count_in_the_estimate)
 {
     engine_fixture_t   fixture;
     cw_key_route_t     route = {.low = 0, .last = 65535, .server = "s1", .fence = 4, .routable = true};
@@ -144,7 +144,7 @@
         uv_run(&fixture.loop, UV_RUN_ONCE);
     }
     cw_test_run_some(&fixture.loop, 20);
-    ck_assert(!fixture.answered); /* just one is before it */
+    ck_assert(!fixture.answered); /* only one request is before it */
     report.waiting = 100000;
     cw_server_pool_report(fixture.pool, 9, &report, 1, cw_engine_now(fixture.engine));
     cw_engine_wake(fixture.engine);
@@ -154,7 +154,7 @@
 }
 END_TEST
 
-START_TEST(an_old_table_is_not_used)
+START_TEST(an_expired_table_is_not_used)
 {
     engine_fixture_t fixture;
     cw_key_route_t   route = {.low = 0, .last = 65535, .server = "s1", .fence = 4, .routable = true};
@@ -170,7 +170,7 @@
 }
 END_TEST
 
-START_TEST(splits_keep_their_weights)
+START_TEST(requests_are_split_by_weight)
 {
     engine_fixture_t    fixture;
     cw_configuration_t *configuration;
@@ -198,15 +198,15 @@
     TCase *cases = tcase_create("engine");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, an_answer_comes_back_whole_with_the_deadline_and_target_passed_on);
-    tcase_add_test(cases, what_can_no_longer_be_served_is_refused_at_once);
-    tcase_add_test(cases, what_was_let_in_waits_though_it_will_be_late);
-    tcase_add_test(cases, no_route_is_404_and_no_configuration_is_503);
+    tcase_add_test(cases, an_answer_is_relayed_and_the_server_gets_deadline_and_target);
+    tcase_add_test(cases, a_waiting_request_is_refused_at_once_when_it_cannot_be_served_in_time);
+    tcase_add_test(cases, an_admitted_request_waits_beyond_its_objective);
+    tcase_add_test(cases, a_request_without_a_route_gets_404);
     tcase_add_test(cases, no_server_gets_more_than_its_slots);
-    tcase_add_test(cases, a_key_goes_to_its_owner_only_and_waits_while_it_moves);
-    tcase_add_test(cases, what_waits_elsewhere_for_the_owner_counts_in_the_wait);
-    tcase_add_test(cases, an_old_table_is_not_used);
-    tcase_add_test(cases, splits_keep_their_weights);
+    tcase_add_test(cases, a_request_with_a_key_goes_only_to_the_owner_and_waits_while_the_key_moves);
+    tcase_add_test(cases, requests_waiting_at_other_nodes_for_the_owner_count_in_the_estimate);
+    tcase_add_test(cases, an_expired_table_is_not_used);
+    tcase_add_test(cases, requests_are_split_by_weight);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine_callers.c
+++ b/tests/test_engine_callers.c
@@ -1,6 +1,6 @@
 /**
  * @file test_engine_callers.c
- * @brief Callers' keys on a request's way: who comes in, what servers are told, what a later configuration changes.
+ * @brief Callers' keys: which callers are admitted, what servers are told, and what a later configuration changes.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -48,7 +48,7 @@
     return configuration;
 }
 
-/* digest: of the key "sesame", or of "other"; NULL: none. */
+/* Adds a tenant. digest: digest of its key, "sesame" or "other"; NULL: the tenant has no key. */
 static cw_tenant_t *add_tenant(cw_configuration_t *configuration, const char *name, const char *digest)
 {
     cw_tenant_t    *tenant = cw_configuration_add_tenant(configuration);
@@ -63,11 +63,11 @@
     return tenant;
 }
 
-/* printf %s sesame | sha256sum; the same of other */
+/* Output of: printf %s sesame | sha256sum; and the same for other. */
 static const char sesame[] = "d0c04f4b1951e4aeaaec8223ed2039e542f3aae805a6fa7f6d794e5afff5d272";
 static const char other[] = "d9298a10d1b0735837dc4bd85dac641b0f3cef27a47e5d53a54f2f3f5b2fcffa";
 
-/* Version 1: "red" has the key sesame, "blue" has other. */
+/* Puts version 1 in force: "red" has the key sesame, "blue" has other. */
 static void use_keys(engine_fixture_t *fixture)
 {
     cw_configuration_t *configuration = begin_configuration(1);
@@ -77,7 +77,7 @@
     engine_fixture_use(fixture, configuration);
 }
 
-/* A later version in which red has lost its key. */
+/* Puts a version in force in which red has no key. */
 static void use_without_reds_key(engine_fixture_t *fixture, uint64_t version)
 {
     cw_configuration_t *configuration = begin_configuration(version);
@@ -89,7 +89,7 @@
 
 /* ---- calls ---- */
 
-/* lines: further header lines, each with its end. */
+/* Sends a request. lines: further header lines, each with its line end. */
 static engine_call_t *ask(engine_fixture_t *fixture, size_t number, const char *path, const char *lines)
 {
     char text[TEXT_BYTES];
@@ -115,7 +115,7 @@
     engine_server_answer(&fixture->servers[0], status, "done", field);
 }
 
-/* A request on its way to the server; its fields there are in `seen`. */
+/* Sends a request and waits until the server has answered it; the header fields that the server got are in `seen`. */
 static void serve(engine_fixture_t *fixture, const char *path, const char *lines)
 {
     engine_call_t *call = ask(fixture, 0, path, lines);
@@ -133,7 +133,7 @@
     return cw_engine_queued(fixture->engine) == 1;
 }
 
-/* Call 0 takes the only slot, call 1 waits for it. */
+/* Call 0 takes the only slot, and call 1 waits for it. */
 static void fill_and_queue(engine_fixture_t *fixture, const char *path, const char *lines)
 {
     (void)ask(fixture, 0, path, lines);
@@ -142,10 +142,10 @@
     cw_test_run_until(&fixture->loop, is_queued, fixture);
 }
 
-/** A node that counts slots, and never replies. */
+/** Fake of a node that counts slots and never replies. */
 typedef struct fake_broker {
     uint32_t asks;
-    uint32_t priority; /* of the last ask */
+    uint32_t priority; /* of the last request for a slot */
     uint32_t returns;
 } fake_broker_t;
 
@@ -182,9 +182,9 @@
 
 #define KEY "Authorization: Token sesame\r\n"
 
-/* ---- who comes in ---- */
+/* ---- admission of callers ---- */
 
-START_TEST(without_a_known_key_nothing_reaches_a_server)
+START_TEST(requests_without_a_known_key_do_not_reach_a_server)
 {
     engine_fixture_t fixture;
 
@@ -206,7 +206,7 @@
 }
 END_TEST
 
-START_TEST(without_keys_in_the_configuration_credentials_go_on_to_servers)
+START_TEST(without_keys_in_the_configuration_credentials_are_passed_on)
 {
     engine_fixture_t fixture;
 
@@ -220,7 +220,7 @@
 
 /* ---- what servers are told ---- */
 
-START_TEST(a_server_gets_the_tenants_name_in_place_of_the_key)
+START_TEST(a_server_gets_the_tenants_name_instead_of_the_key)
 {
     engine_fixture_t fixture;
 
@@ -234,7 +234,7 @@
 }
 END_TEST
 
-static size_t count_tenant_lines(const char *seen)
+static size_t count_tenant_fields(const char *seen)
 {
     char  *copy = strdup(seen);
     char  *state = NULL;
@@ -251,7 +251,7 @@
     return count;
 }
 
-START_TEST(a_callers_own_tenant_header_is_removed_in_any_spelling_and_number)
+START_TEST(tenant_fields_sent_by_the_caller_are_removed_in_any_spelling)
 {
     static const char spoofed[] = "The-Tenant: blue\r\nTHE-TENANT: blue\r\nthe_tenant: blue\r\nThe_Tenant: blue\r\n"
                                   "the-tenant:\r\n";
@@ -262,20 +262,20 @@
     use_keys(&fixture);
     snprintf(lines, sizeof(lines), "%s" KEY, spoofed);
     serve(&fixture, "/safe/x", lines);
-    ck_assert_uint_eq(count_tenant_lines(fixture.servers[0].seen), 1);
+    ck_assert_uint_eq(count_tenant_fields(fixture.servers[0].seen), 1);
     ck_assert_ptr_nonnull(strstr(fixture.servers[0].seen, "The-Tenant: red\n"));
-    serve(&fixture, "/open/x", lines); /* a key counts on an open route too */
-    ck_assert_uint_eq(count_tenant_lines(fixture.servers[0].seen), 1);
+    serve(&fixture, "/open/x", lines); /* a key is also checked on a route that is open to callers without a key */
+    ck_assert_uint_eq(count_tenant_fields(fixture.servers[0].seen), 1);
     ck_assert_ptr_nonnull(strstr(fixture.servers[0].seen, "The-Tenant: red\n"));
     serve(&fixture, "/open/x", spoofed);
-    ck_assert_uint_eq(count_tenant_lines(fixture.servers[0].seen), 0);
-    engine_fixture_use(&fixture, begin_configuration(2)); /* nobody has keys */
+    ck_assert_uint_eq(count_tenant_fields(fixture.servers[0].seen), 0);
+    engine_fixture_use(&fixture, begin_configuration(2)); /* no tenant has keys */
     serve(&fixture, "/safe/x", spoofed);
-    ck_assert_uint_eq(count_tenant_lines(fixture.servers[0].seen), 0);
+    ck_assert_uint_eq(count_tenant_fields(fixture.servers[0].seen), 0);
 }
 END_TEST
 
-START_TEST(a_connection_header_does_not_take_the_tenants_name_away)
+START_TEST(a_connection_field_does_not_remove_the_tenants_name)
 {
     engine_fixture_t fixture;
 
@@ -289,7 +289,7 @@
 
 /* ---- a later configuration ---- */
 
-/* Only the head is sent: the answer does not wait for the body. */
+/* Sends only the head of a request with a body; the answer does not wait for the body. */
 static int status_of_head(engine_fixture_t *fixture, const char *path, const char *lines)
 {
     char text[TEXT_BYTES];
@@ -316,8 +316,9 @@
 }
 END_TEST
 
-/* Its head was read before the version that has its key came into force: without its body it cannot run. */
-START_TEST(a_request_whose_body_was_not_read_never_runs)
+/* The head was read before the configuration with its key came into force. Since its body was not read, the request
+ * cannot run. */
+START_TEST(a_request_with_an_unread_body_never_runs)
 {
     engine_fixture_t fixture;
 
@@ -330,7 +331,7 @@
 }
 END_TEST
 
-START_TEST(a_key_counts_as_soon_as_its_configuration_does)
+START_TEST(a_key_is_accepted_as_soon_as_its_configuration_is_in_force)
 {
     engine_fixture_t    fixture;
     cw_configuration_t *configuration;
@@ -343,12 +344,12 @@
     engine_fixture_use(&fixture, configuration);
     serve(&fixture, "/safe/x", KEY);
     ck_assert_ptr_nonnull(strstr(fixture.servers[0].seen, "The-Tenant: red\n"));
-    use_without_reds_key(&fixture, 3); /* on the same connections */
+    use_without_reds_key(&fixture, 3); /* the same connections are used */
     ck_assert_int_eq(status_of(&fixture, "/safe/x", KEY), 401);
 }
 END_TEST
 
-START_TEST(a_key_taken_away_ends_what_waits_and_not_what_is_at_a_server)
+START_TEST(a_revoked_key_ends_waiting_requests_but_not_those_at_a_server)
 {
     engine_fixture_t fixture;
 
@@ -371,7 +372,7 @@
 }
 END_TEST
 
-START_TEST(another_tenants_requests_stay_when_a_key_is_taken_away)
+START_TEST(a_revoked_key_does_not_affect_another_tenants_requests)
 {
     engine_fixture_t fixture;
 
@@ -390,7 +391,7 @@
 }
 END_TEST
 
-START_TEST(a_request_that_comes_back_from_a_server_is_not_sent_again_for_a_key_taken_away)
+START_TEST(a_request_that_was_not_run_is_not_sent_again_for_a_revoked_key)
 {
     engine_fixture_t fixture;
 
@@ -406,7 +407,7 @@
 }
 END_TEST
 
-START_TEST(a_key_that_moves_to_another_tenant_is_let_in_anew)
+START_TEST(a_key_that_moves_to_another_tenant_is_refused_once_and_then_admitted)
 {
     engine_fixture_t    fixture;
     cw_configuration_t *configuration = begin_configuration(2);
@@ -429,11 +430,11 @@
 }
 END_TEST
 
-START_TEST(a_silent_server_keeps_the_request_of_a_key_taken_away)
+START_TEST(a_request_with_a_revoked_key_stays_at_a_silent_server)
 {
     engine_fixture_t fixture;
 
-    init_with_silence(&fixture, 0.01); /* repeated after 150 ms */
+    init_with_silence(&fixture, 0.01); /* would be repeated after 150 ms */
     use_keys(&fixture);
     (void)ask(&fixture, 0, "/safe/x", KEY);
     cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request);
@@ -448,7 +449,7 @@
 }
 END_TEST
 
-START_TEST(what_waits_for_an_owner_of_its_key_ends_with_the_callers_key)
+START_TEST(a_request_waiting_for_an_owner_ends_when_the_callers_key_is_revoked)
 {
     engine_fixture_t    fixture;
     cw_configuration_t *configuration = begin_configuration(1);
@@ -468,7 +469,7 @@
 }
 END_TEST
 
-START_TEST(what_waits_for_a_slot_withdraws_its_ask_when_its_callers_key_goes)
+START_TEST(a_request_for_a_slot_is_withdrawn_when_the_callers_key_is_revoked)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake = {0};
@@ -479,7 +480,7 @@
     cw_engine_set_slots(fixture.engine, &port);
     (void)ask(&fixture, 0, "/once/x", KEY);
     cw_test_run_until(&fixture.loop, has_asked, &fake);
-    ck_assert_uint_eq(fake.priority, 1U << 16); /* red's priority goes before its route's */
+    ck_assert_uint_eq(fake.priority, 1U << 16); /* red's priority ranks above its route's */
     use_without_reds_key(&fixture, 2);
     cw_test_run_until_set(&fixture.loop, &fixture.calls[0].answered);
     ck_assert_int_eq(fixture.calls[0].status, 401);
@@ -488,24 +489,25 @@
 }
 END_TEST
 
-START_TEST(credentials_are_hidden_from_the_version_on_that_has_keys)
+START_TEST(credentials_are_hidden_once_a_configuration_has_keys)
 {
     engine_fixture_t fixture;
 
     init(&fixture);
     engine_fixture_use(&fixture, begin_configuration(1));
     fill_and_queue(&fixture, "/once/x", KEY);
-    ck_assert_ptr_nonnull(strstr(fixture.servers[0].seen, "sesame")); /* nobody was known by keys */
+    ck_assert_ptr_nonnull(strstr(fixture.servers[0].seen, "sesame")); /* no keys were configured */
     use_without_reds_key(&fixture, 2);
     answer(&fixture, 200, NULL);
-    cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request); /* let in by the version before */
+    cw_test_run_until_set(&fixture.loop,
+                          &fixture.servers[0].has_request); /* this request was admitted under the previous version */
     ck_assert_ptr_null(strstr(fixture.servers[0].seen, "sesame"));
 }
 END_TEST
 
 /* ---- evidence ---- */
 
-START_TEST(where_keys_are_trusted_no_longer_their_requests_are_told_to_come_back)
+START_TEST(requests_with_keys_are_refused_when_keys_are_not_trusted)
 {
     engine_fixture_t fixture;
 
@@ -514,7 +516,8 @@
     cw_engine_trust_keys(fixture.engine, cw_engine_now(fixture.engine));
     ck_assert_int_eq(status_of(&fixture, "/safe/x", KEY), 503);
     ck_assert(fixture.calls[0].retry_after_s > 0);
-    ck_assert_int_eq(status_of(&fixture, "/safe/x", "Authorization: Token unknown\r\n"), 503); /* it may be a new one */
+    ck_assert_int_eq(status_of(&fixture, "/safe/x", "Authorization: Token unknown\r\n"),
+                     503); /* the key may be a new one */
     ck_assert_int_eq(status_of(&fixture, "/safe/x", ""), 401);
     ck_assert_uint_eq(fixture.servers[0].requests, 0);
     serve(&fixture, "/open/x", "");
@@ -538,7 +541,7 @@
     add_tenant(configuration, "red", sesame)->priority = 1;
     (void)add_tenant(configuration, "blue", other);
     engine_fixture_use(&fixture, configuration);
-    fill_and_queue(&fixture, "/once/x", KEY); /* red, whose route is the more urgent one, waits first */
+    fill_and_queue(&fixture, "/once/x", KEY); /* red's request, whose route is more urgent, waits first */
     (void)ask(&fixture, 2, "/safe/x", "Authorization: Token other\r\n");
     while (cw_engine_queued(fixture.engine) < 2) {
         cw_test_run_some(&fixture.loop, 1);
@@ -554,23 +557,23 @@
     Suite *suite = suite_create("engine callers");
     TCase *cases = tcase_create("engine callers");
 
-    tcase_add_test(cases, without_a_known_key_nothing_reaches_a_server);
-    tcase_add_test(cases, without_keys_in_the_configuration_credentials_go_on_to_servers);
-    tcase_add_test(cases, a_server_gets_the_tenants_name_in_place_of_the_key);
-    tcase_add_test(cases, a_callers_own_tenant_header_is_removed_in_any_spelling_and_number);
-    tcase_add_test(cases, a_connection_header_does_not_take_the_tenants_name_away);
+    tcase_add_test(cases, requests_without_a_known_key_do_not_reach_a_server);
+    tcase_add_test(cases, without_keys_in_the_configuration_credentials_are_passed_on);
+    tcase_add_test(cases, a_server_gets_the_tenants_name_instead_of_the_key);
+    tcase_add_test(cases, tenant_fields_sent_by_the_caller_are_removed_in_any_spelling);
+    tcase_add_test(cases, a_connection_field_does_not_remove_the_tenants_name);
     tcase_add_test(cases, a_caller_without_a_known_key_is_rejected_before_its_body);
-    tcase_add_test(cases, a_request_whose_body_was_not_read_never_runs);
-    tcase_add_test(cases, a_key_counts_as_soon_as_its_configuration_does);
-    tcase_add_test(cases, a_key_taken_away_ends_what_waits_and_not_what_is_at_a_server);
-    tcase_add_test(cases, another_tenants_requests_stay_when_a_key_is_taken_away);
-    tcase_add_test(cases, a_request_that_comes_back_from_a_server_is_not_sent_again_for_a_key_taken_away);
-    tcase_add_test(cases, a_key_that_moves_to_another_tenant_is_let_in_anew);
-    tcase_add_test(cases, a_silent_server_keeps_the_request_of_a_key_taken_away);
-    tcase_add_test(cases, what_waits_for_an_owner_of_its_key_ends_with_the_callers_key);
-    tcase_add_test(cases, what_waits_for_a_slot_withdraws_its_ask_when_its_callers_key_goes);
-    tcase_add_test(cases, credentials_are_hidden_from_the_version_on_that_has_keys);
-    tcase_add_test(cases, where_keys_are_trusted_no_longer_their_requests_are_told_to_come_back);
+    tcase_add_test(cases, a_request_with_an_unread_body_never_runs);
+    tcase_add_test(cases, a_key_is_accepted_as_soon_as_its_configuration_is_in_force);
+    tcase_add_test(cases, a_revoked_key_ends_waiting_requests_but_not_those_at_a_server);
+    tcase_add_test(cases, a_revoked_key_does_not_affect_another_tenants_requests);
+    tcase_add_test(cases, a_request_that_was_not_run_is_not_sent_again_for_a_revoked_key);
+    tcase_add_test(cases, a_key_that_moves_to_another_tenant_is_refused_once_and_then_admitted);
+    tcase_add_test(cases, a_request_with_a_revoked_key_stays_at_a_silent_server);
+    tcase_add_test(cases, a_request_waiting_for_an_owner_ends_when_the_callers_key_is_revoked);
+    tcase_add_test(cases, a_request_for_a_slot_is_withdrawn_when_the_callers_key_is_revoked);
+    tcase_add_test(cases, credentials_are_hidden_once_a_configuration_has_keys);
+    tcase_add_test(cases, requests_with_keys_are_refused_when_keys_are_not_trusted);
     tcase_add_test(cases, a_more_urgent_tenant_is_served_before_a_more_urgent_route);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_engine_leaving.c
+++ b/tests/test_engine_leaving.c
@@ -1,12 +1,12 @@
 /**
  * @file test_engine_leaving.c
- * @brief Callers that leave take their requests along.
+ * @brief A request ends when its caller disconnects, and no server gets it afterwards.
  */
 #include <unistd.h>
 
 #include "engine_world.h"
 
-START_TEST(a_caller_that_leaves_takes_its_request_from_the_server)
+START_TEST(a_disconnected_callers_request_is_withdrawn_from_the_server)
 {
     engine_fixture_t    fixture;
     cw_upstream_call_t *call;
@@ -22,7 +22,8 @@
 }
 END_TEST
 
-/* The caller leaves, and what its request waited for comes: no server gets it. */
+/* Disconnects the caller and waits until the engine has no request. The tests then provide what the request waited for;
+ * no server may get it. */
 static void leave(engine_fixture_t *fixture, cw_upstream_call_t *call)
 {
     cw_upstream_call_abandon(call);
@@ -31,7 +32,7 @@
     }
 }
 
-START_TEST(a_caller_that_leaves_the_queue_takes_its_request_along)
+START_TEST(a_disconnected_callers_request_leaves_the_queue)
 {
     engine_fixture_t    fixture;
     cw_upstream_call_t *first;
@@ -51,14 +52,14 @@
     while (cw_engine_queued(fixture.engine) > 0) {
         uv_run(&fixture.loop, UV_RUN_ONCE);
     }
-    cw_upstream_call_abandon(first); /* both servers are free again */
+    cw_upstream_call_abandon(first); /* both servers become free */
     leave(&fixture, second);
     cw_test_run_some(&fixture.loop, 20);
     ck_assert_uint_eq(fixture.servers[0].requests + fixture.servers[1].requests, 2);
 }
 END_TEST
 
-START_TEST(a_caller_that_leaves_while_its_key_has_no_owner_takes_its_request_along)
+START_TEST(a_disconnected_callers_request_ends_while_its_key_has_no_owner)
 {
     cw_key_route_t      route = {.low = 0, .last = 65535, .fence = 1, .routable = true, .server = "s0"};
     engine_fixture_t    fixture;
@@ -78,7 +79,7 @@
 }
 END_TEST
 
-START_TEST(a_caller_that_leaves_before_a_repeat_takes_its_request_along)
+START_TEST(a_disconnected_callers_request_is_not_repeated)
 {
     cw_key_route_t      route = {.low = 0, .last = 65535, .fence = 1, .routable = true, .server = "s0"};
     engine_fixture_t    fixture;
@@ -86,7 +87,7 @@
     cw_time_us_t        end;
 
     engine_fixture_init(&fixture);
-    fixture.servers[0].status = 421; /* it does not hold the key yet: once more after a pause */
+    fixture.servers[0].status = 421; /* s0 does not hold the key yet: the request is repeated after a pause */
     fixture.servers[0].not_run = true;
     cw_engine_set_table(fixture.engine, "keyed", &route, 1, 1);
     cw_engine_set_tables_valid(fixture.engine, cw_engine_now(fixture.engine),
@@ -97,7 +98,7 @@
         uv_run(&fixture.loop, UV_RUN_ONCE);
     }
     leave(&fixture, call);
-    end = cw_engine_now(fixture.engine) + CW_MS(300); /* far longer than the pause */
+    end = cw_engine_now(fixture.engine) + CW_MS(300); /* far longer than the pause before a repeat */
     while (cw_engine_now(fixture.engine) < end) {
         cw_test_run_some(&fixture.loop, 1);
         usleep(ENGINE_FIXTURE_PAUSE_US);
@@ -112,10 +113,10 @@
     TCase *cases = tcase_create("engine, callers that leave");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, a_caller_that_leaves_takes_its_request_from_the_server);
-    tcase_add_test(cases, a_caller_that_leaves_the_queue_takes_its_request_along);
-    tcase_add_test(cases, a_caller_that_leaves_while_its_key_has_no_owner_takes_its_request_along);
-    tcase_add_test(cases, a_caller_that_leaves_before_a_repeat_takes_its_request_along);
+    tcase_add_test(cases, a_disconnected_callers_request_is_withdrawn_from_the_server);
+    tcase_add_test(cases, a_disconnected_callers_request_leaves_the_queue);
+    tcase_add_test(cases, a_disconnected_callers_request_ends_while_its_key_has_no_owner);
+    tcase_add_test(cases, a_disconnected_callers_request_is_not_repeated);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine_limits.c
+++ b/tests/test_engine_limits.c
@@ -1,7 +1,7 @@
 /**
  * @file test_engine_limits.c
- * @brief Requests for servers that name a rate limit, where nodes are few: sent by leave of the node that counts, or
- * not.
+ * @brief Requests for servers that state a rate limit, where there are few nodes: they are sent only with a slot from
+ * the node that counts for the server, or from this node's own part of the limit.
  */
 #include <stdio.h>
 #include <string.h>
@@ -11,12 +11,13 @@
 
 enum { BROKER = 77 };
 
-/** The node that counts, as the engine sees it. */
+/** Fake of the node that counts slots. */
 typedef struct counting_node {
     uint32_t      asks;
-    cw_slot_ask_t asked; /* last */
+    cw_slot_ask_t asked; /* the last request for a slot */
     uint32_t      returns;
-    double        limit_per_s; /* named by the answer that came with the last return; below 0: none */
+    double
+        limit_per_s; /* rate limit stated in the answer that was passed on with the last returned slot; below 0: none */
 } counting_node_t;
 
 static uint32_t broker_of(void *context, const char *zone, uint32_t service)
@@ -50,7 +51,7 @@
     return ((counting_node_t *)context)->asks > 0;
 }
 
-/* All answers name a limit of 3 a second. */
+/* Every answer states a limit of 3 requests a second. */
 static void decode(int status, const cw_http_fields_t *fields, cw_server_signals_t *signals)
 {
     (void)status;
@@ -87,7 +88,7 @@
     cw_engine_slot_reply(fixture->engine, &message);
 }
 
-/* s1 owns all keys. */
+/* Makes s1 the owner of all keys, and sends a request for a key. */
 static void ask_by_key(engine_fixture_t *fixture)
 {
     cw_key_route_t route = {.low = 0, .last = 65535, .fence = 1, .routable = true};
@@ -99,7 +100,7 @@
     (void)engine_fixture_ask(fixture, "GET", "/keyed/x", "15000");
 }
 
-START_TEST(a_server_without_a_limit_is_sent_to_without_asking)
+START_TEST(no_slot_is_requested_for_a_server_without_a_limit)
 {
     engine_fixture_t fixture;
     counting_node_t  node;
@@ -113,7 +114,7 @@
 }
 END_TEST
 
-START_TEST(the_owner_of_a_key_with_a_limit_is_sent_to_by_leave_and_its_answer_goes_back)
+START_TEST(a_request_to_an_owner_with_a_limit_needs_a_slot_that_is_returned)
 {
     engine_fixture_t fixture;
     counting_node_t  node;
@@ -132,7 +133,7 @@
 }
 END_TEST
 
-START_TEST(what_is_beyond_an_owners_limit_is_refused_at_once_with_the_true_time)
+START_TEST(a_request_beyond_the_owners_limit_is_refused_with_the_time_to_retry)
 {
     engine_fixture_t fixture;
     counting_node_t  node;
@@ -150,13 +151,13 @@
 }
 END_TEST
 
-START_TEST(what_one_limited_server_has_no_room_for_goes_to_another_server)
+START_TEST(a_request_beyond_one_servers_limit_goes_to_another_server)
 {
     engine_fixture_t fixture;
     counting_node_t  node;
 
     begin(&fixture, &node);
-    limit(&fixture, "s0", 6); /* which would be chosen first */
+    limit(&fixture, "s0", 6); /* s0 would be chosen first */
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until(&fixture.loop, has_asked, &node);
     ck_assert_uint_eq(node.asked.server, cw_server_pool_find(fixture.pool, "s0")->hash);
@@ -169,7 +170,7 @@
 }
 END_TEST
 
-START_TEST(where_all_servers_are_beyond_their_limits_the_first_room_is_told)
+START_TEST(when_all_limits_are_reached_the_earliest_time_to_retry_is_told)
 {
     engine_fixture_t fixture;
     counting_node_t  node;
@@ -179,7 +180,7 @@
     limit(&fixture, "s1", 6);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until(&fixture.loop, has_asked, &node);
-    ck_assert_int_gt(node.asked.wait_most, CW_SECONDS(10)); /* nothing else would do: it may wait */
+    ck_assert_int_gt(node.asked.wait_most, CW_SECONDS(10)); /* no other server will do, so it may wait */
     reply(&fixture, &node, CW_SLOT_REFUSED);
     reply(&fixture, &node, CW_SLOT_REFUSED);
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
@@ -189,7 +190,7 @@
 }
 END_TEST
 
-START_TEST(answers_to_requests_that_did_not_run_do_not_end_a_limit)
+START_TEST(answers_to_requests_that_were_not_run_do_not_end_a_limit)
 {
     engine_fixture_t    fixture;
     counting_node_t     node;
@@ -212,7 +213,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_that_is_raised_is_tried_at_once_where_the_one_before_had_no_room)
+START_TEST(a_server_with_a_raised_limit_is_tried_at_once)
 {
     engine_fixture_t fixture;
     counting_node_t  node;
@@ -227,7 +228,7 @@
 }
 END_TEST
 
-START_TEST(while_the_counting_node_does_not_reply_only_the_own_part_is_sent)
+START_TEST(without_a_reply_only_this_nodes_part_of_the_limit_is_used)
 {
     engine_fixture_t fixture;
     counting_node_t  node;
@@ -236,10 +237,10 @@
     limit(&fixture, "s1", 6);
     ask_by_key(&fixture);
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
-    ck_assert_int_eq(fixture.status, 503); /* the part of one of four nodes begins empty */
+    ck_assert_int_eq(fixture.status, 503); /* the part of one of four nodes is empty at first */
     ck_assert_uint_eq(node.asks, 2);
     ck_assert_uint_eq(fixture.servers[1].requests, 0);
-    engine_fixture_run_for(&fixture, CW_MS(750)); /* 6 a second, shared by 4: a token in 667 ms */
+    engine_fixture_run_for(&fixture, CW_MS(750)); /* 6 a second shared by 4 nodes: a token in 667 ms */
     fixture.answered = false;
     (void)engine_fixture_ask(&fixture, "GET", "/keyed/x", "15000");
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
@@ -252,14 +253,14 @@
     Suite *suite = suite_create("engine, rate limits of servers");
     TCase *cases = tcase_create("limits");
 
-    tcase_add_test(cases, a_server_without_a_limit_is_sent_to_without_asking);
-    tcase_add_test(cases, the_owner_of_a_key_with_a_limit_is_sent_to_by_leave_and_its_answer_goes_back);
-    tcase_add_test(cases, what_is_beyond_an_owners_limit_is_refused_at_once_with_the_true_time);
-    tcase_add_test(cases, what_one_limited_server_has_no_room_for_goes_to_another_server);
-    tcase_add_test(cases, where_all_servers_are_beyond_their_limits_the_first_room_is_told);
-    tcase_add_test(cases, answers_to_requests_that_did_not_run_do_not_end_a_limit);
-    tcase_add_test(cases, a_limit_that_is_raised_is_tried_at_once_where_the_one_before_had_no_room);
-    tcase_add_test(cases, while_the_counting_node_does_not_reply_only_the_own_part_is_sent);
+    tcase_add_test(cases, no_slot_is_requested_for_a_server_without_a_limit);
+    tcase_add_test(cases, a_request_to_an_owner_with_a_limit_needs_a_slot_that_is_returned);
+    tcase_add_test(cases, a_request_beyond_the_owners_limit_is_refused_with_the_time_to_retry);
+    tcase_add_test(cases, a_request_beyond_one_servers_limit_goes_to_another_server);
+    tcase_add_test(cases, when_all_limits_are_reached_the_earliest_time_to_retry_is_told);
+    tcase_add_test(cases, answers_to_requests_that_were_not_run_do_not_end_a_limit);
+    tcase_add_test(cases, a_server_with_a_raised_limit_is_tried_at_once);
+    tcase_add_test(cases, without_a_reply_only_this_nodes_part_of_the_limit_is_used);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine_outcomes.c
+++ b/tests/test_engine_outcomes.c
@@ -1,24 +1,25 @@
 /**
  * @file test_engine_outcomes.c
- * @brief What the outcome of a sending allows next, and what its caller gets.
+ * @brief What the outcome of an attempt allows next, and which answer the caller gets.
  */
 #include <unistd.h>
 
 #include "engine_world.h"
 
-/* s0 is busy, s1 has the request and is silent; then the request's turn seems to lie beyond its deadline. */
-START_TEST(what_was_taken_from_a_silent_server_is_not_given_up_by_an_estimate)
+/* s0 is busy, and s1 has the request but is silent. After that the estimate puts the request's turn beyond its
+ * deadline. */
+START_TEST(a_request_taken_from_a_silent_server_is_not_refused_by_an_estimate)
 {
     engine_fixture_t fixture;
     cw_time_us_t     end;
 
     engine_fixture_init_with_silence(&fixture, 0.01);
-    (void)engine_fixture_ask(&fixture, "POST", "/once/x", "15000"); /* not to be repeated: it stays */
+    (void)engine_fixture_ask(&fixture, "POST", "/once/x", "15000"); /* not repeatable: it stays at s0 */
     cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until_set(&fixture.loop, &fixture.servers[1].has_request);
     cw_engine_set_queued_elsewhere(fixture.engine, "service", 100000);
-    while (fixture.servers[1].gone == 0) { /* taken from s1, which does not answer */
+    while (fixture.servers[1].gone == 0) { /* until it is taken from s1, which does not answer */
         cw_test_run_some(&fixture.loop, 1);
         usleep(ENGINE_FIXTURE_PAUSE_US);
     }
@@ -32,7 +33,7 @@
 }
 END_TEST
 
-START_TEST(what_a_server_did_not_run_goes_to_another_even_if_it_must_not_be_repeated)
+START_TEST(a_request_that_was_not_run_goes_to_another_server_even_if_not_repeatable)
 {
     engine_fixture_t fixture;
 
@@ -47,7 +48,7 @@
 }
 END_TEST
 
-START_TEST(a_503_without_that_word_is_no_promise)
+START_TEST(a_503_without_the_denial_field_does_not_count_as_not_run)
 {
     engine_fixture_t fixture;
 
@@ -60,7 +61,7 @@
 }
 END_TEST
 
-START_TEST(a_broken_answer_is_502_where_it_may_have_run)
+START_TEST(a_broken_answer_is_502_where_the_request_may_have_run)
 {
     engine_fixture_t fixture;
 
@@ -74,7 +75,7 @@
 }
 END_TEST
 
-START_TEST(a_broken_answer_is_asked_for_again_where_that_may_be)
+START_TEST(a_repeatable_request_with_a_broken_answer_is_repeated)
 {
     engine_fixture_t fixture;
 
@@ -90,7 +91,7 @@
 }
 END_TEST
 
-START_TEST(without_budget_nothing_is_repeated)
+START_TEST(without_retry_budget_nothing_is_repeated)
 {
     engine_fixture_t fixture;
 
@@ -104,14 +105,14 @@
 }
 END_TEST
 
-/* The repeat finds no server: what has run is not refused as if it had not. */
-START_TEST(what_a_server_answered_with_500_ends_with_no_promise)
+/* The repeat finds no server. The request has run, so it must not be refused as if it had not. */
+START_TEST(a_request_that_got_a_500_is_not_refused_as_not_run)
 {
     engine_fixture_t fixture;
 
     engine_fixture_init(&fixture);
     fixture.servers[0].status = 500;
-    (void)engine_fixture_ask(&fixture, "GET", "/far/x", "15000"); /* takes the only slot of the other server */
+    (void)engine_fixture_ask(&fixture, "GET", "/far/x", "15000"); /* takes the only slot of s1 */
     cw_test_run_until_set(&fixture.loop, &fixture.servers[1].has_request);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "1300");
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
@@ -121,7 +122,7 @@
 }
 END_TEST
 
-START_TEST(the_time_limit_ends_what_is_at_a_server_with_504)
+START_TEST(a_request_at_a_server_gets_504_at_its_time_limit)
 {
     engine_fixture_t fixture;
 
@@ -132,7 +133,7 @@
 }
 END_TEST
 
-START_TEST(another_life_at_the_address_is_not_asked_twice)
+START_TEST(an_address_with_another_incarnation_gets_no_further_request)
 {
     engine_fixture_t fixture;
 
@@ -156,15 +157,15 @@
     TCase *cases = tcase_create("engine, outcomes");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, what_was_taken_from_a_silent_server_is_not_given_up_by_an_estimate);
-    tcase_add_test(cases, what_a_server_did_not_run_goes_to_another_even_if_it_must_not_be_repeated);
-    tcase_add_test(cases, a_503_without_that_word_is_no_promise);
-    tcase_add_test(cases, a_broken_answer_is_502_where_it_may_have_run);
-    tcase_add_test(cases, a_broken_answer_is_asked_for_again_where_that_may_be);
-    tcase_add_test(cases, without_budget_nothing_is_repeated);
-    tcase_add_test(cases, what_a_server_answered_with_500_ends_with_no_promise);
-    tcase_add_test(cases, the_time_limit_ends_what_is_at_a_server_with_504);
-    tcase_add_test(cases, another_life_at_the_address_is_not_asked_twice);
+    tcase_add_test(cases, a_request_taken_from_a_silent_server_is_not_refused_by_an_estimate);
+    tcase_add_test(cases, a_request_that_was_not_run_goes_to_another_server_even_if_not_repeatable);
+    tcase_add_test(cases, a_503_without_the_denial_field_does_not_count_as_not_run);
+    tcase_add_test(cases, a_broken_answer_is_502_where_the_request_may_have_run);
+    tcase_add_test(cases, a_repeatable_request_with_a_broken_answer_is_repeated);
+    tcase_add_test(cases, without_retry_budget_nothing_is_repeated);
+    tcase_add_test(cases, a_request_that_got_a_500_is_not_refused_as_not_run);
+    tcase_add_test(cases, a_request_at_a_server_gets_504_at_its_time_limit);
+    tcase_add_test(cases, an_address_with_another_incarnation_gets_no_further_request);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine_quota.c
+++ b/tests/test_engine_quota.c
@@ -1,7 +1,7 @@
 /**
  * @file test_engine_quota.c
- * @brief A tenant's limit on a request's way: it waits for its token, goes on with it, or is refused; and where the
- * token goes when the request does not run.
+ * @brief Requests of a tenant with a rate limit: they wait for a token, are sent when it is granted or are refused; a
+ * request that has not run returns its token.
  */
 #include <fcntl.h>
 #include <stdio.h>
@@ -17,7 +17,7 @@
 
 enum { COUNTER = 7 };
 
-/** The node's share of tenants' limits, and what it has asked of the node that counts. */
+/** An engine with the node's share of the tenants' limits, and the messages it has sent to the counting node. */
 typedef struct fixture {
     engine_fixture_t  base;
     cw_quota_share_t *share;
@@ -31,7 +31,7 @@
     cw_engine_quota_decided(fixture->base.engine, tenant);
 }
 
-/* A tenant of one request a second, and so few that each needs a token. */
+/* Configures a tenant with a limit of one request a second; that is so low that each request needs a token. */
 static void use_limit(fixture_t *fixture)
 {
     cw_configuration_t *configuration = cw_configuration_create(1);
@@ -79,7 +79,7 @@
     return engine_fixture_send(&fixture->base, number, text, (size_t)length);
 }
 
-/* It waits for a token that has been asked for. */
+/* Sends a request and waits until a token was requested for it. */
 static engine_call_t *ask_and_wait(fixture_t *fixture, size_t number)
 {
     engine_call_t *call;
@@ -102,7 +102,7 @@
     cw_quota_share_granted(fixture->share, COUNTER, &reply, cw_engine_now(fixture->base.engine));
 }
 
-/* field: a header field of the server's answer; NULL: none. */
+/* Answers the request at the server. field: name of a header field of the answer; NULL: none. */
 static void answer(fixture_t *fixture, int status, const char *field)
 {
     fixture->base.servers[0].has_request = false;
@@ -118,7 +118,7 @@
 
 /* ---- cases ---- */
 
-START_TEST(a_request_waits_for_its_token_and_goes_on_with_it)
+START_TEST(a_request_waits_for_its_token_and_is_sent_after_the_grant)
 {
     fixture_t      fixture;
     engine_call_t *call;
@@ -137,7 +137,7 @@
 }
 END_TEST
 
-START_TEST(without_a_token_it_is_refused_and_has_not_run)
+START_TEST(a_request_without_a_token_is_refused_and_not_run)
 {
     fixture_t      fixture;
     engine_call_t *call;
@@ -153,7 +153,7 @@
 }
 END_TEST
 
-/* Its callers need no key: the tenant is the route's owner. */
+/* The callers need no key, so the tenant is the owner of the route. */
 START_TEST(a_refusal_names_the_tenant_of_callers_without_a_key)
 {
     static char        text[4096];
@@ -180,7 +180,7 @@
 }
 END_TEST
 
-START_TEST(its_caller_may_leave_while_it_waits_and_the_next_gets_the_token)
+START_TEST(the_token_of_a_disconnected_callers_request_goes_to_the_next_request)
 {
     fixture_t      fixture;
     engine_call_t *call;
@@ -196,7 +196,7 @@
 }
 END_TEST
 
-START_TEST(it_waits_no_longer_than_its_time_limit)
+START_TEST(a_request_awaits_a_token_no_longer_than_its_time_limit)
 {
     fixture_t      fixture;
     engine_call_t *call;
@@ -210,8 +210,9 @@
 }
 END_TEST
 
-/* The counting node does not reply: the ask is sent again, then this node's own part decides. */
-START_TEST(without_a_reply_this_nodes_own_part_decides)
+/* The counting node does not reply. The request for tokens is sent again, and then this node's own part of the limit
+ * decides. */
+START_TEST(without_a_reply_this_nodes_part_of_the_limit_decides)
 {
     fixture_t      fixture;
     engine_call_t *call;
@@ -232,7 +233,7 @@
 }
 END_TEST
 
-START_TEST(a_request_that_a_server_did_not_run_gives_its_token_back)
+START_TEST(a_request_that_was_not_run_returns_its_token)
 {
     fixture_t      fixture;
     engine_call_t *call;
@@ -251,7 +252,7 @@
 }
 END_TEST
 
-START_TEST(a_request_that_has_run_does_not)
+START_TEST(a_request_that_has_run_does_not_return_its_token)
 {
     fixture_t      fixture;
     engine_call_t *call;
@@ -268,8 +269,8 @@
 }
 END_TEST
 
-/* The answer broke off: it may have run. */
-START_TEST(a_request_that_may_have_run_does_not_either)
+/* The caller disconnects while the request is at the server, so the request may have run. */
+START_TEST(a_request_that_may_have_run_does_not_return_its_token)
 {
     fixture_t      fixture;
     engine_call_t *call;
@@ -285,7 +286,7 @@
 }
 END_TEST
 
-/* The same tenant, whose callers are known by keys. digest: of the only one; NULL: it was taken away. */
+/* Configures the same tenant with callers that need a key. digest: digest of its only key; NULL: the key is revoked. */
 static void use_limit_and_key(fixture_t *fixture, uint64_t version, const char *digest)
 {
     cw_configuration_t *configuration = cw_configuration_create(version);
@@ -304,7 +305,7 @@
     engine_fixture_use(&fixture->base, configuration);
 }
 
-START_TEST(what_waits_for_a_token_ends_when_its_callers_key_is_taken_away)
+START_TEST(a_request_awaiting_a_token_ends_when_its_callers_key_is_revoked)
 {
     /* printf %s sesame | sha256sum */
     static const char sesame[] = "d0c04f4b1951e4aeaaec8223ed2039e542f3aae805a6fa7f6d794e5afff5d272";
@@ -319,7 +320,7 @@
     use_limit_and_key(&fixture, 3, NULL);
     cw_test_run_until_set(&fixture.base.loop, &fixture.base.calls[0].answered);
     ck_assert_int_eq(fixture.base.calls[0].status, 401);
-    grant(&fixture, 1, 0); /* nobody waits for it any more */
+    grant(&fixture, 1, 0); /* no request waits for it any more */
     cw_test_run_some(&fixture.base.loop, 5);
     ck_assert_uint_eq(fixture.base.servers[0].requests, 0);
     ck_assert_uint_eq(cw_engine_requests(fixture.base.engine), 0);
@@ -331,16 +332,16 @@
     Suite *suite = suite_create("engine, tenants' limits");
     TCase *cases = tcase_create("limits");
 
-    tcase_add_test(cases, a_request_waits_for_its_token_and_goes_on_with_it);
-    tcase_add_test(cases, without_a_token_it_is_refused_and_has_not_run);
+    tcase_add_test(cases, a_request_waits_for_its_token_and_is_sent_after_the_grant);
+    tcase_add_test(cases, a_request_without_a_token_is_refused_and_not_run);
     tcase_add_test(cases, a_refusal_names_the_tenant_of_callers_without_a_key);
-    tcase_add_test(cases, its_caller_may_leave_while_it_waits_and_the_next_gets_the_token);
-    tcase_add_test(cases, it_waits_no_longer_than_its_time_limit);
-    tcase_add_test(cases, without_a_reply_this_nodes_own_part_decides);
-    tcase_add_test(cases, a_request_that_a_server_did_not_run_gives_its_token_back);
-    tcase_add_test(cases, a_request_that_has_run_does_not);
-    tcase_add_test(cases, a_request_that_may_have_run_does_not_either);
-    tcase_add_test(cases, what_waits_for_a_token_ends_when_its_callers_key_is_taken_away);
+    tcase_add_test(cases, the_token_of_a_disconnected_callers_request_goes_to_the_next_request);
+    tcase_add_test(cases, a_request_awaits_a_token_no_longer_than_its_time_limit);
+    tcase_add_test(cases, without_a_reply_this_nodes_part_of_the_limit_decides);
+    tcase_add_test(cases, a_request_that_was_not_run_returns_its_token);
+    tcase_add_test(cases, a_request_that_has_run_does_not_return_its_token);
+    tcase_add_test(cases, a_request_that_may_have_run_does_not_return_its_token);
+    tcase_add_test(cases, a_request_awaiting_a_token_ends_when_its_callers_key_is_revoked);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine_regions.c
+++ b/tests/test_engine_regions.c
@@ -1,6 +1,6 @@
 /**
  * @file test_engine_regions.c
- * @brief Requests that are bound to regions, and requests that leave theirs.
+ * @brief Requests that are restricted to regions, and requests that are sent to another region.
  */
 #include "base/metrics.h"
 #include "engine_world.h"
@@ -12,11 +12,11 @@
     engine_fixture_init(&fixture);
     fixture.servers[0].status = 200;
     fixture.servers[1].status = 200;
-    (void)engine_fixture_ask(&fixture, "GET", "/far/x", "15000"); /* though s0 is nearer */
+    (void)engine_fixture_ask(&fixture, "GET", "/far/x", "15000"); /* s1 gets it although s0 is nearer */
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.status, 200);
     ck_assert_uint_eq(fixture.servers[0].requests, 0);
-    (void)engine_fixture_ask(&fixture, "GET", "/elsewhere/x", "15000"); /* no server lies there */
+    (void)engine_fixture_ask(&fixture, "GET", "/elsewhere/x", "15000"); /* there is no server in that region */
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.status, 503);
     ck_assert(fixture.retry_after_s > 0);
@@ -24,12 +24,13 @@
 }
 END_TEST
 
-START_TEST(what_is_bound_to_regions_is_let_in_by_the_speed_of_their_servers)
+START_TEST(a_request_restricted_to_regions_is_admitted_by_the_speed_of_their_servers)
 {
     engine_fixture_t fixture;
 
     engine_fixture_init(&fixture);
-    cw_server_pool_find(fixture.pool, "s1")->pace = 1.2; /* two before it take it beyond its objective there */
+    cw_server_pool_find(fixture.pool, "s1")->pace =
+        1.2; /* with two requests before it, the third cannot be answered within its objective */
     cw_server_pool_find(fixture.pool, "s1")->pace_at = cw_engine_now(fixture.engine);
     (void)engine_fixture_ask(&fixture, "GET", "/far/1", "15000");
     cw_test_run_until_set(&fixture.loop, &fixture.servers[1].has_request);
@@ -44,10 +45,11 @@
 }
 END_TEST
 
-/* The near server has a request; the far one has none. Usual times are a third of 10 s, so its slot comes in 3.3 s. */
+/* Occupies the near server; the far one is free. The mean time is a third of 10 s, so the near slot is expected to be
+ * free after 3.3 s. */
 static void begin_with_near_server_taken(engine_fixture_t *fixture)
 {
-    engine_fixture_init_with_crossing(fixture, 100000); /* 6 s for the body, 80 ms for what has none */
+    engine_fixture_init_with_crossing(fixture, 100000); /* crossing costs 6 s with the body, and 80 ms without one */
     fixture->servers[1].status = 200;
     (void)engine_fixture_ask(fixture, "GET", "/safe/x", "15000");
     cw_test_run_until_set(&fixture->loop, &fixture->servers[0].has_request);
@@ -76,7 +78,7 @@
 }
 END_TEST
 
-START_TEST(a_short_request_crosses_rather_than_wait)
+START_TEST(a_short_request_goes_to_another_region_instead_of_waiting)
 {
     engine_fixture_t fixture;
 
@@ -88,7 +90,7 @@
 }
 END_TEST
 
-START_TEST(a_large_body_crosses_when_its_region_has_lost_its_servers)
+START_TEST(a_large_body_goes_to_another_region_if_its_own_has_no_server)
 {
     engine_fixture_t fixture;
 
@@ -102,12 +104,12 @@
 }
 END_TEST
 
-START_TEST(a_request_comes_back_from_a_region_that_is_cut_off)
+START_TEST(a_request_returns_to_its_region_if_the_other_is_unreachable)
 {
     engine_fixture_t fixture;
 
     begin_with_near_server_taken(&fixture);
-    cw_http_listener_close(fixture.servers[1].listener); /* connections there are refused */
+    cw_http_listener_close(fixture.servers[1].listener); /* its connections are refused */
     cw_test_run_some(&fixture.loop, 5);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/y", "15000");
     while (cw_server_pool_find(fixture.pool, "s1")->faults == 0) {
@@ -124,8 +126,8 @@
 }
 END_TEST
 
-/* The other route to the service may send to the owner. */
-START_TEST(what_may_not_go_to_its_keys_owner_is_refused_at_once_with_that_reason)
+/* Another route to the service may send requests to this owner. */
+START_TEST(a_request_whose_keys_owner_is_outside_its_regions_is_refused_at_once)
 {
     cw_key_route_t   route = {.low = 0, .last = 65535, .fence = 1, .routable = true, .server = "s0"};
     uint64_t         refused = cw_metric_value(CW_METRIC_REFUSED_REGIONS);
@@ -159,12 +161,12 @@
 
     tcase_set_timeout(cases, 60);
     tcase_add_test(cases, a_request_goes_only_to_servers_in_the_regions_of_its_route);
-    tcase_add_test(cases, what_is_bound_to_regions_is_let_in_by_the_speed_of_their_servers);
+    tcase_add_test(cases, a_request_restricted_to_regions_is_admitted_by_the_speed_of_their_servers);
     tcase_add_test(cases, a_large_body_waits_for_a_server_of_its_region);
-    tcase_add_test(cases, a_short_request_crosses_rather_than_wait);
-    tcase_add_test(cases, a_large_body_crosses_when_its_region_has_lost_its_servers);
-    tcase_add_test(cases, a_request_comes_back_from_a_region_that_is_cut_off);
-    tcase_add_test(cases, what_may_not_go_to_its_keys_owner_is_refused_at_once_with_that_reason);
+    tcase_add_test(cases, a_short_request_goes_to_another_region_instead_of_waiting);
+    tcase_add_test(cases, a_large_body_goes_to_another_region_if_its_own_has_no_server);
+    tcase_add_test(cases, a_request_returns_to_its_region_if_the_other_is_unreachable);
+    tcase_add_test(cases, a_request_whose_keys_owner_is_outside_its_regions_is_refused_at_once);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine_rest.c
+++ b/tests/test_engine_rest.c
@@ -1,6 +1,6 @@
 /**
  * @file test_engine_rest.c
- * @brief Servers that turn a request away and ask for rest: this node leaves them alone until then.
+ * @brief Servers that turn a request away and ask for rest: this node sends them nothing until the rest is over.
  */
 #include <stdio.h>
 #include <string.h>
@@ -18,7 +18,7 @@
     *signals = (cw_server_signals_t){.has_rest = status == STATUS_UNAVAILABLE, .rest = rest};
 }
 
-/* Both servers turn away what comes. */
+/* Starts with both servers turning all requests away. */
 static void begin(engine_fixture_t *fixture)
 {
     size_t index;
@@ -38,7 +38,7 @@
     cw_test_run_until_set(&fixture->loop, &fixture->answered);
 }
 
-/* s1 owns all keys. */
+/* Makes s1 the owner of all keys. */
 static void give_keys(engine_fixture_t *fixture)
 {
     cw_key_route_t route = {.low = 0, .last = 65535, .fence = 1, .routable = true};
@@ -49,7 +49,7 @@
     cw_server_pool_find(fixture->pool, "s1")->service = strdup("keyed");
 }
 
-START_TEST(a_request_is_not_sent_again_to_the_owner_that_turned_it_away)
+START_TEST(a_request_is_not_sent_again_to_an_owner_that_asked_for_rest)
 {
     engine_fixture_t fixture;
 
@@ -59,11 +59,11 @@
     ck_assert_int_eq(fixture.status, STATUS_UNAVAILABLE);
     ck_assert_uint_eq(fixture.servers[1].requests, 1);
     ck_assert(fixture.retry_after_s > 2.9 && fixture.retry_after_s <= 3);
-    ck_assert_uint_eq(cw_metric_value(CW_METRIC_RETRIES), 0); /* and no retry is charged */
+    ck_assert_uint_eq(cw_metric_value(CW_METRIC_RETRIES), 0); /* no retry is charged */
 }
 END_TEST
 
-START_TEST(the_next_ones_are_refused_at_once_with_what_is_left)
+START_TEST(further_requests_are_refused_with_the_rest_that_is_left)
 {
     engine_fixture_t fixture;
 
@@ -79,7 +79,7 @@
 }
 END_TEST
 
-START_TEST(a_rest_is_no_fault_of_the_server)
+START_TEST(a_rest_does_not_count_as_a_fault_of_the_server)
 {
     engine_fixture_t fixture;
 
@@ -91,7 +91,7 @@
 }
 END_TEST
 
-START_TEST(the_owner_is_sent_to_again_when_its_rest_is_over)
+START_TEST(an_owner_gets_requests_again_after_its_rest)
 {
     engine_fixture_t fixture;
 
@@ -106,7 +106,7 @@
 }
 END_TEST
 
-START_TEST(where_another_server_will_do_it_gets_the_request)
+START_TEST(another_server_gets_the_request_if_it_will_do)
 {
     engine_fixture_t fixture;
 
@@ -121,7 +121,7 @@
 }
 END_TEST
 
-START_TEST(where_all_servers_rest_the_shortest_rest_is_told)
+START_TEST(when_all_servers_rest_the_shortest_rest_is_told)
 {
     engine_fixture_t fixture;
 
@@ -136,7 +136,7 @@
 }
 END_TEST
 
-/** A node that hands out slots, as the engine sees it. */
+/** Fake of the node that counts slots. */
 typedef struct broker {
     uint32_t      asks;
     uint32_t      returns;
@@ -172,7 +172,7 @@
     return ((broker_t *)context)->asks > 0;
 }
 
-START_TEST(a_slot_of_a_server_that_rests_is_declined_and_another_asked_for)
+START_TEST(a_slot_of_a_resting_server_is_declined_and_another_requested)
 {
     engine_fixture_t fixture;
     broker_t         broker = {0};
@@ -201,13 +201,13 @@
     Suite *suite = suite_create("engine, servers at rest");
     TCase *cases = tcase_create("rest");
 
-    tcase_add_test(cases, a_request_is_not_sent_again_to_the_owner_that_turned_it_away);
-    tcase_add_test(cases, the_next_ones_are_refused_at_once_with_what_is_left);
-    tcase_add_test(cases, a_rest_is_no_fault_of_the_server);
-    tcase_add_test(cases, the_owner_is_sent_to_again_when_its_rest_is_over);
-    tcase_add_test(cases, where_another_server_will_do_it_gets_the_request);
-    tcase_add_test(cases, where_all_servers_rest_the_shortest_rest_is_told);
-    tcase_add_test(cases, a_slot_of_a_server_that_rests_is_declined_and_another_asked_for);
+    tcase_add_test(cases, a_request_is_not_sent_again_to_an_owner_that_asked_for_rest);
+    tcase_add_test(cases, further_requests_are_refused_with_the_rest_that_is_left);
+    tcase_add_test(cases, a_rest_does_not_count_as_a_fault_of_the_server);
+    tcase_add_test(cases, an_owner_gets_requests_again_after_its_rest);
+    tcase_add_test(cases, another_server_gets_the_request_if_it_will_do);
+    tcase_add_test(cases, when_all_servers_rest_the_shortest_rest_is_told);
+    tcase_add_test(cases, a_slot_of_a_resting_server_is_declined_and_another_requested);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine_slots.c
+++ b/tests/test_engine_slots.c
@@ -1,18 +1,18 @@
 /**
  * @file test_engine_slots.c
- * @brief Slots asked for at the nodes that count them: granted, refused, not replied to.
+ * @brief Slots requested from the nodes that count them (brokers): granted, refused or not replied to.
  */
 #include <stdio.h>
 #include <string.h>
 
 #include "engine_world.h"
 
-/** A node that hands out slots, as the engine sees it: it keeps what it was sent. */
+/** Fake broker that records the messages it was sent. */
 typedef struct fake_broker {
     uint32_t      asks;
-    cw_slot_ask_t asked; /* last */
+    cw_slot_ask_t asked; /* the last request for a slot */
     uint32_t      returns;
-    cw_slot_end_t end; /* of the last return */
+    cw_slot_end_t end; /* use of the slot in the last return */
 } fake_broker_t;
 
 enum { BROKER = 77 };
@@ -50,7 +50,7 @@
     return fake->asks > 0;
 }
 
-/* A request has asked, and waits for the reply. */
+/* Sends a request and waits until it has asked for a slot. */
 static void ask_for_slot(engine_fixture_t *fixture, fake_broker_t *fake, const char *path)
 {
     cw_slot_port_t port = {.context = fake, .broker_of = fake_broker_of, .ask = fake_ask, .give_back = fake_give_back};
@@ -73,7 +73,7 @@
     cw_engine_slot_reply(fixture->engine, &message);
 }
 
-START_TEST(a_request_goes_where_its_slot_is_and_gives_it_back)
+START_TEST(a_request_goes_to_the_server_of_its_slot_and_returns_it)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake;
@@ -89,16 +89,17 @@
 }
 END_TEST
 
-START_TEST(a_refused_slot_is_a_refusal_with_the_time_to_come_back)
+START_TEST(a_refused_slot_leads_to_a_refusal_with_the_time_to_retry)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake;
 
     ask_for_slot(&fixture, &fake, "/safe/x");
-    cw_server_pool_find(fixture.pool, "s1")->listed = false; /* no broker counts its slots: it would be used */
-    reply(&fixture, &fake, CW_SLOT_REFUSED, NULL);           /* one that may hardly wait, */
+    cw_server_pool_find(fixture.pool, "s1")->listed =
+        false;                                     /* otherwise s1 would be used, since no broker counts its slots */
+    reply(&fixture, &fake, CW_SLOT_REFUSED, NULL); /* the first request for a slot, with a short wait */
     ck_assert_uint_eq(fake.asks, 2);
-    reply(&fixture, &fake, CW_SLOT_REFUSED, NULL); /* and one that may */
+    reply(&fixture, &fake, CW_SLOT_REFUSED, NULL); /* the second one, with a long wait */
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.status, 503);
     ck_assert(fixture.retry_after_s > 0.29 && fixture.retry_after_s < 0.31);
@@ -117,7 +118,7 @@
     ask_for_slot(&fixture, &fake, "/safe/x");
     server = cw_server_pool_find(fixture.pool, "s0");
     server->service = other;
-    reply(&fixture, &fake, CW_SLOT_GRANTED, "s0"); /* of another ask under the same number */
+    reply(&fixture, &fake, CW_SLOT_GRANTED, "s0"); /* the grant belongs to another request with the same ticket */
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_uint_eq(fixture.servers[0].requests, 0);
     ck_assert_uint_eq(fake.returns, 1);
@@ -126,7 +127,7 @@
 }
 END_TEST
 
-START_TEST(a_process_that_starts_anew_does_not_ask_under_the_numbers_of_the_one_before)
+START_TEST(a_restarted_process_does_not_reuse_ticket_numbers)
 {
     engine_fixture_t former;
     engine_fixture_t later;
@@ -140,7 +141,7 @@
 }
 END_TEST
 
-START_TEST(servers_of_a_zone_without_a_broker_are_used_when_the_others_refuse)
+START_TEST(servers_of_a_zone_without_a_broker_are_used_when_other_zones_refuse)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake;
@@ -155,7 +156,7 @@
 }
 END_TEST
 
-START_TEST(without_a_reply_the_server_is_chosen_here_and_a_late_grant_is_declined)
+START_TEST(without_a_reply_the_server_is_chosen_locally_and_a_late_grant_is_declined)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake;
@@ -164,7 +165,7 @@
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.status, 200);
     ck_assert_str_eq(fixture.body.data, "s0");
-    ck_assert_uint_eq(fake.asks, 2); /* a datagram may be lost */
+    ck_assert_uint_eq(fake.asks, 2); /* sent twice, since a datagram may be lost */
     ck_assert_uint_eq(fake.returns, 1);
     reply(&fixture, &fake, CW_SLOT_GRANTED, "s0");
     ck_assert_uint_eq(fake.returns, 2);
@@ -173,7 +174,7 @@
 }
 END_TEST
 
-START_TEST(a_request_taken_from_a_silent_server_is_not_given_up_when_no_slot_is_free)
+START_TEST(a_request_taken_from_a_silent_server_is_not_refused_when_no_slot_is_free)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake;
@@ -181,12 +182,13 @@
     uint32_t       asks;
 
     memset(&fake, 0, sizeof(fake));
-    engine_fixture_init_with_silence(&fixture, 0.01); /* a repeatable request is repeated after the shortest time */
+    engine_fixture_init_with_silence(&fixture,
+                                     0.01); /* a repeatable request is repeated after the shortest possible time */
     cw_engine_set_slots(fixture.engine, &port);
     fixture.servers[1].status = 200;
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until(&fixture.loop, has_asked, &fake);
-    reply(&fixture, &fake, CW_SLOT_GRANTED, "s0"); /* which does not answer */
+    reply(&fixture, &fake, CW_SLOT_GRANTED, "s0"); /* s0 does not answer */
     cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request);
     asks = fake.asks;
     while (fake.asks == asks) {
@@ -200,7 +202,7 @@
 }
 END_TEST
 
-START_TEST(a_broker_that_lets_a_repeated_request_wait_is_asked_again_before_it_counts_as_unresponsive)
+START_TEST(a_broker_that_queues_a_repeated_request_is_asked_again_before_it_counts_as_silent)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake;
@@ -212,11 +214,11 @@
     fixture.servers[1].status = 200;
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until(&fixture.loop, has_asked, &fake);
-    reply(&fixture, &fake, CW_SLOT_GRANTED, "s0"); /* which does not answer */
+    reply(&fixture, &fake, CW_SLOT_GRANTED, "s0"); /* s0 does not answer */
     while (fake.asks == 1) {
         uv_run(&fixture.loop, UV_RUN_ONCE);
     }
-    reply(&fixture, &fake, CW_SLOT_QUEUED, NULL); /* it may wait until its deadline, after its objective */
+    reply(&fixture, &fake, CW_SLOT_QUEUED, NULL); /* it may wait until its deadline, beyond its objective */
     while (fake.asks == 2 && !fixture.answered) {
         uv_run(&fixture.loop, UV_RUN_ONCE);
     }
@@ -231,7 +233,7 @@
 }
 END_TEST
 
-START_TEST(a_caller_that_leaves_while_its_request_waits_for_a_slot_withdraws_the_ask)
+START_TEST(a_disconnected_callers_request_for_a_slot_is_withdrawn)
 {
     engine_fixture_t    fixture;
     fake_broker_t       fake;
@@ -253,26 +255,26 @@
 }
 END_TEST
 
-/** Asks in their order, each refused at once. */
-typedef struct refusing_brokers {
+/** Fake brokers that record the requests for slots in their order; the test refuses them. */
+typedef struct recording_brokers {
     engine_fixture_t *fixture;
-    char              text[256]; /* zone and wait in ms of each */
+    char              text[256]; /* zone and wait in seconds of each request */
     uint32_t          broker;
     cw_slot_ask_t     asked;
     bool              has_asked;
-} refusing_brokers_t;
+} recording_brokers_t;
 
 static uint32_t broker_of_zone(void *context, const char *zone, uint32_t service)
 {
     (void)context;
     (void)service;
-    return (uint32_t)(zone[1] - '0'); /* z1, z2 */
+    return (uint32_t)(zone[1] - '0'); /* the number in z1 or z2 */
 }
 
-static void note_ask(void *context, uint32_t broker, const cw_slot_ask_t *asked)
+static void record_ask(void *context, uint32_t broker, const cw_slot_ask_t *asked)
 {
-    refusing_brokers_t *brokers = context;
-    size_t              length = strlen(brokers->text);
+    recording_brokers_t *brokers = context;
+    size_t               length = strlen(brokers->text);
 
     snprintf(brokers->text + length, sizeof(brokers->text) - length, "z%u %d, ", broker,
              (int)(asked->wait_most / 1000000));
@@ -281,14 +283,14 @@
     brokers->has_asked = true;
 }
 
-static void note_return(void *context, uint32_t broker, const cw_slot_return_t *returned)
+static void ignore_return(void *context, uint32_t broker, const cw_slot_return_t *returned)
 {
     (void)context;
     (void)broker;
     (void)returned;
 }
 
-static void refuse_all(refusing_brokers_t *brokers)
+static void refuse_all(recording_brokers_t *brokers)
 {
     while (!brokers->fixture->answered) {
         if (brokers->has_asked) {
@@ -304,18 +306,20 @@
     }
 }
 
-START_TEST(zones_are_asked_in_order_of_distance_and_of_what_crossing_is_worth)
+START_TEST(zones_are_asked_by_distance_and_crossing_cost)
 {
-    engine_fixture_t   fixture;
-    refusing_brokers_t brokers = {.fixture = &fixture};
-    cw_slot_port_t port = {.context = &brokers, .broker_of = broker_of_zone, .ask = note_ask, .give_back = note_return};
+    engine_fixture_t    fixture;
+    recording_brokers_t brokers = {.fixture = &fixture};
+    cw_slot_port_t      port = {
+             .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
     engine_fixture_init_with_crossing(&fixture, 100000);
     cw_engine_set_slots(fixture.engine, &port);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     refuse_all(&brokers);
     ck_assert_int_eq(fixture.status, 503);
-    ck_assert_int_eq(strncmp(brokers.text, "z1 0, z2 0, z1 ", 15), 0); /* a short request: 1 s here at first */
+    ck_assert_int_eq(strncmp(brokers.text, "z1 0, z2 0, z1 ", 15),
+                     0); /* for a short request, the first wait is just under 1 s */
     brokers.text[0] = '\0';
     (void)engine_fixture_upload(&fixture, "/once/x");
     refuse_all(&brokers);
@@ -323,23 +327,24 @@
 }
 END_TEST
 
-START_TEST(no_ask_may_wait_for_longer_than_its_request_has_time)
+START_TEST(no_ask_may_wait_longer_than_the_time_left_of_its_request)
 {
-    engine_fixture_t   fixture;
-    refusing_brokers_t brokers = {.fixture = &fixture};
-    cw_slot_port_t port = {.context = &brokers, .broker_of = broker_of_zone, .ask = note_ask, .give_back = note_return};
+    engine_fixture_t    fixture;
+    recording_brokers_t brokers = {.fixture = &fixture};
+    cw_slot_port_t      port = {
+             .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
     engine_fixture_init(&fixture);
     cw_engine_set_slots(fixture.engine, &port);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
-    refuse_all(&brokers); /* the last ask may wait the longest */
+    refuse_all(&brokers); /* the last request for a slot has the longest wait */
     ck_assert_int_gt(brokers.asked.wait_most, CW_SECONDS(10));
     ck_assert_int_le(brokers.asked.wait_most, CW_SECONDS(15));
 }
 END_TEST
 
-/* Refuses all asks until one has come to `broker`. */
-static void refuse_until_asked(refusing_brokers_t *brokers, uint32_t broker)
+/* Refuses all requests for slots until `broker` is asked. */
+static void refuse_until_asked(recording_brokers_t *brokers, uint32_t broker)
 {
     while (!brokers->has_asked || brokers->broker != broker) {
         if (brokers->has_asked) {
@@ -353,11 +358,12 @@
     }
 }
 
-START_TEST(a_zone_that_leaves_between_asks_costs_no_other_zone_its_ask)
+START_TEST(a_zone_that_disappears_between_asks_does_not_shift_the_stages)
 {
-    engine_fixture_t   fixture;
-    refusing_brokers_t brokers = {.fixture = &fixture};
-    cw_slot_port_t port = {.context = &brokers, .broker_of = broker_of_zone, .ask = note_ask, .give_back = note_return};
+    engine_fixture_t    fixture;
+    recording_brokers_t brokers = {.fixture = &fixture};
+    cw_slot_port_t      port = {
+             .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
     engine_fixture_init(&fixture);
     cw_engine_set_slots(fixture.engine, &port);
@@ -369,9 +375,9 @@
 }
 END_TEST
 
-/* Broker 1 has not replied to a request, which went to s0; it is not asked now. */
-static void begin_with_unresponsive_broker(engine_fixture_t *fixture, refusing_brokers_t *brokers,
-                                           const cw_slot_port_t *port)
+/* Lets broker 1 not reply to a request, which is then sent to s0. After this broker 1 is not asked for a while. */
+static void begin_with_silent_broker(engine_fixture_t *fixture, recording_brokers_t *brokers,
+                                     const cw_slot_port_t *port)
 {
     engine_fixture_init(fixture);
     cw_engine_set_slots(fixture->engine, port);
@@ -384,13 +390,14 @@
     brokers->text[0] = '\0';
 }
 
-START_TEST(servers_of_a_zone_whose_broker_is_unresponsive_are_used_when_the_others_refuse)
+START_TEST(servers_of_a_zone_with_a_silent_broker_are_used_when_other_zones_refuse)
 {
-    engine_fixture_t   fixture;
-    refusing_brokers_t brokers = {.fixture = &fixture};
-    cw_slot_port_t port = {.context = &brokers, .broker_of = broker_of_zone, .ask = note_ask, .give_back = note_return};
+    engine_fixture_t    fixture;
+    recording_brokers_t brokers = {.fixture = &fixture};
+    cw_slot_port_t      port = {
+             .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
-    begin_with_unresponsive_broker(&fixture, &brokers, &port);
+    begin_with_silent_broker(&fixture, &brokers, &port);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/y", "15000");
     refuse_all(&brokers);
     ck_assert_int_eq(fixture.status, 200);
@@ -399,14 +406,16 @@
 }
 END_TEST
 
-START_TEST(servers_whose_broker_has_refused_are_not_used_in_place_of_it)
+START_TEST(servers_whose_broker_has_refused_are_not_used_without_a_slot)
 {
-    engine_fixture_t   fixture;
-    refusing_brokers_t brokers = {.fixture = &fixture};
-    cw_slot_port_t port = {.context = &brokers, .broker_of = broker_of_zone, .ask = note_ask, .give_back = note_return};
+    engine_fixture_t    fixture;
+    recording_brokers_t brokers = {.fixture = &fixture};
+    cw_slot_port_t      port = {
+             .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
-    begin_with_unresponsive_broker(&fixture, &brokers, &port);
-    cw_server_pool_begin(cw_server_pool_find(fixture.pool, "s0"), cw_engine_now(fixture.engine)); /* its one slot */
+    begin_with_silent_broker(&fixture, &brokers, &port);
+    cw_server_pool_begin(cw_server_pool_find(fixture.pool, "s0"),
+                         cw_engine_now(fixture.engine)); /* its only slot is taken */
     (void)engine_fixture_ask(&fixture, "GET", "/safe/y", "15000");
     refuse_all(&brokers);
     ck_assert_int_eq(fixture.status, 503);
@@ -414,16 +423,18 @@
 }
 END_TEST
 
-START_TEST(a_broker_that_does_not_reply_frees_no_slot_that_another_has_refused)
+START_TEST(a_silent_broker_does_not_open_servers_that_another_broker_has_refused)
 {
-    engine_fixture_t   fixture;
-    refusing_brokers_t brokers = {.fixture = &fixture};
-    cw_slot_port_t port = {.context = &brokers, .broker_of = broker_of_zone, .ask = note_ask, .give_back = note_return};
+    engine_fixture_t    fixture;
+    recording_brokers_t brokers = {.fixture = &fixture};
+    cw_slot_port_t      port = {
+             .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
     engine_fixture_init(&fixture);
     cw_engine_set_slots(fixture.engine, &port);
     fixture.servers[0].status = 200;
-    cw_server_pool_begin(cw_server_pool_find(fixture.pool, "s1"), cw_engine_now(fixture.engine)); /* its one slot */
+    cw_server_pool_begin(cw_server_pool_find(fixture.pool, "s1"),
+                         cw_engine_now(fixture.engine)); /* its only slot is taken */
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     while (!fixture.answered) {
         if (brokers.has_asked && brokers.broker == 1) {
@@ -440,11 +451,12 @@
 }
 END_TEST
 
-START_TEST(a_key_that_moves_to_another_zone_before_the_reply_is_asked_for_there)
+START_TEST(when_a_key_moves_before_the_reply_its_new_zone_is_asked)
 {
-    engine_fixture_t   fixture;
-    refusing_brokers_t brokers = {.fixture = &fixture};
-    cw_slot_port_t port = {.context = &brokers, .broker_of = broker_of_zone, .ask = note_ask, .give_back = note_return};
+    engine_fixture_t    fixture;
+    recording_brokers_t brokers = {.fixture = &fixture};
+    cw_slot_port_t      port = {
+             .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
     cw_key_route_t route = {.low = 0, .last = 65535, .server = "s0", .fence = 4, .routable = true};
 
     engine_fixture_init(&fixture);
@@ -469,22 +481,22 @@
     TCase *cases = tcase_create("engine, slots");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, a_request_goes_where_its_slot_is_and_gives_it_back);
-    tcase_add_test(cases, a_refused_slot_is_a_refusal_with_the_time_to_come_back);
+    tcase_add_test(cases, a_request_goes_to_the_server_of_its_slot_and_returns_it);
+    tcase_add_test(cases, a_refused_slot_leads_to_a_refusal_with_the_time_to_retry);
     tcase_add_test(cases, a_slot_of_another_services_server_is_not_used);
-    tcase_add_test(cases, a_process_that_starts_anew_does_not_ask_under_the_numbers_of_the_one_before);
-    tcase_add_test(cases, servers_of_a_zone_without_a_broker_are_used_when_the_others_refuse);
-    tcase_add_test(cases, without_a_reply_the_server_is_chosen_here_and_a_late_grant_is_declined);
-    tcase_add_test(cases, a_request_taken_from_a_silent_server_is_not_given_up_when_no_slot_is_free);
-    tcase_add_test(cases, a_broker_that_lets_a_repeated_request_wait_is_asked_again_before_it_counts_as_unresponsive);
-    tcase_add_test(cases, a_caller_that_leaves_while_its_request_waits_for_a_slot_withdraws_the_ask);
-    tcase_add_test(cases, zones_are_asked_in_order_of_distance_and_of_what_crossing_is_worth);
-    tcase_add_test(cases, no_ask_may_wait_for_longer_than_its_request_has_time);
-    tcase_add_test(cases, a_zone_that_leaves_between_asks_costs_no_other_zone_its_ask);
-    tcase_add_test(cases, servers_of_a_zone_whose_broker_is_unresponsive_are_used_when_the_others_refuse);
-    tcase_add_test(cases, servers_whose_broker_has_refused_are_not_used_in_place_of_it);
-    tcase_add_test(cases, a_broker_that_does_not_reply_frees_no_slot_that_another_has_refused);
-    tcase_add_test(cases, a_key_that_moves_to_another_zone_before_the_reply_is_asked_for_there);
+    tcase_add_test(cases, a_restarted_process_does_not_reuse_ticket_numbers);
+    tcase_add_test(cases, servers_of_a_zone_without_a_broker_are_used_when_other_zones_refuse);
+    tcase_add_test(cases, without_a_reply_the_server_is_chosen_locally_and_a_late_grant_is_declined);
+    tcase_add_test(cases, a_request_taken_from_a_silent_server_is_not_refused_when_no_slot_is_free);
+    tcase_add_test(cases, a_broker_that_queues_a_repeated_request_is_asked_again_before_it_counts_as_silent);
+    tcase_add_test(cases, a_disconnected_callers_request_for_a_slot_is_withdrawn);
+    tcase_add_test(cases, zones_are_asked_by_distance_and_crossing_cost);
+    tcase_add_test(cases, no_ask_may_wait_longer_than_the_time_left_of_its_request);
+    tcase_add_test(cases, a_zone_that_disappears_between_asks_does_not_shift_the_stages);
+    tcase_add_test(cases, servers_of_a_zone_with_a_silent_broker_are_used_when_other_zones_refuse);
+    tcase_add_test(cases, servers_whose_broker_has_refused_are_not_used_without_a_slot);
+    tcase_add_test(cases, a_silent_broker_does_not_open_servers_that_another_broker_has_refused);
+    tcase_add_test(cases, when_a_key_moves_before_the_reply_its_new_zone_is_asked);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_engine_stop.c
+++ b/tests/test_engine_stop.c
@@ -1,12 +1,12 @@
 /**
  * @file test_engine_stop.c
- * @brief Requests of a node that stops.
+ * @brief Requests of a node that is stopping.
  */
 #include <stdlib.h>
 
 #include "engine_world.h"
 
-START_TEST(what_is_under_way_when_a_stop_ends_is_answered)
+START_TEST(a_request_at_a_server_is_answered_when_the_stop_ends)
 {
     engine_fixture_t fixture;
     cw_time_us_t     begun;
@@ -18,20 +18,20 @@
     cw_engine_stop(fixture.engine, cw_engine_now(fixture.engine) + CW_MS(30));
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.result, CW_UPSTREAM_ANSWERED);
-    ck_assert_int_eq(fixture.status, 504);                                   /* it may have run */
-    ck_assert_int_lt(cw_engine_now(fixture.engine) - begun, CW_SECONDS(10)); /* not by its own limit */
+    ck_assert_int_eq(fixture.status, 504);                                   /* the request may have run */
+    ck_assert_int_lt(cw_engine_now(fixture.engine) - begun, CW_SECONDS(10)); /* before its own time limit */
     ck_assert_uint_eq(cw_engine_requests(fixture.engine), 0);
 }
 END_TEST
 
-START_TEST(what_waits_when_a_stop_ends_is_refused)
+START_TEST(a_waiting_request_is_refused_when_the_stop_ends)
 {
     engine_fixture_t fixture;
     cw_time_us_t     begun;
 
     engine_fixture_init(&fixture);
     begun = cw_engine_now(fixture.engine);
-    (void)engine_fixture_ask(&fixture, "GET", "/keyed/x", "15000"); /* no owner of its key is known */
+    (void)engine_fixture_ask(&fixture, "GET", "/keyed/x", "15000"); /* the owner of its key is not known */
     while (cw_engine_queued(fixture.engine) == 0) {
         cw_test_run_some(&fixture.loop, 1);
     }
@@ -42,14 +42,14 @@
 }
 END_TEST
 
-/* The stop began long ago, and ends in ten seconds. */
+/* Stops the engine as if the stop had begun 60 s ago; it ends in 10 s. */
 static void stop_late(engine_fixture_t *fixture)
 {
     cw_engine_stop(fixture->engine, cw_engine_now(fixture->engine) + CW_SECONDS(10));
     fixture->engine->stopping_since -= CW_SECONDS(60);
 }
 
-START_TEST(late_in_a_stop_only_what_surely_ends_is_taken)
+START_TEST(late_in_a_stop_only_requests_that_end_in_time_are_accepted)
 {
     engine_fixture_t fixture;
 
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(early_in_a_stop_a_request_is_taken_and_its_time_is_cut)
+START_TEST(early_in_a_stop_requests_are_accepted_with_a_shorter_deadline)
 {
     engine_fixture_t fixture;
 
@@ -87,10 +87,10 @@
     TCase *cases = tcase_create("engine, a stop");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, what_is_under_way_when_a_stop_ends_is_answered);
-    tcase_add_test(cases, what_waits_when_a_stop_ends_is_refused);
-    tcase_add_test(cases, late_in_a_stop_only_what_surely_ends_is_taken);
-    tcase_add_test(cases, early_in_a_stop_a_request_is_taken_and_its_time_is_cut);
+    tcase_add_test(cases, a_request_at_a_server_is_answered_when_the_stop_ends);
+    tcase_add_test(cases, a_waiting_request_is_refused_when_the_stop_ends);
+    tcase_add_test(cases, late_in_a_stop_only_requests_that_end_in_time_are_accepted);
+    tcase_add_test(cases, early_in_a_stop_requests_are_accepted_with_a_shorter_deadline);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_request_rules.c
+++ b/tests/test_request_rules.c
@@ -1,6 +1,6 @@
 /**
  * @file test_request_rules.c
- * @brief Each outcome of a sending with each kind of route: what it allows, and what its caller may get at last.
+ * @brief Each outcome of an attempt with each kind of route: which step it allows, and which final answer may follow.
  */
 #include "loop_fixture.h"
 #include "proxy/request_rules.h"
@@ -12,7 +12,7 @@
 
 enum { OUTCOMES = sizeof(outcomes) / sizeof(outcomes[0]) };
 
-static cw_outcome_facts_t usual(cw_outcome_t outcome, bool is_repeatable)
+static cw_outcome_facts_t make_facts(cw_outcome_t outcome, bool is_repeatable)
 {
     return (cw_outcome_facts_t){.outcome = outcome,
                                 .status = outcome == CW_OUTCOME_ANSWERED ? 500 : 0,
@@ -22,13 +22,13 @@
                                 .max_attempts = MAX_ATTEMPTS};
 }
 
-START_TEST(what_may_have_run_goes_out_again_only_where_that_may_be)
+START_TEST(a_request_that_may_have_run_is_sent_again_only_if_repeatable)
 {
     size_t index;
 
     for (index = 0; index < OUTCOMES; index++) {
-        cw_outcome_facts_t once = usual(outcomes[index], false);
-        cw_outcome_facts_t safe = usual(outcomes[index], true);
+        cw_outcome_facts_t once = make_facts(outcomes[index], false);
+        cw_outcome_facts_t safe = make_facts(outcomes[index], true);
         bool is_sent_again = cw_step_after(&once) == CW_NEXT_REPEAT || cw_step_after(&once) == CW_NEXT_ELSEWHERE;
 
         ck_assert_int_eq(is_sent_again, !cw_outcome_may_have_run(outcomes[index]));
@@ -37,12 +37,12 @@
 }
 END_TEST
 
-START_TEST(nothing_goes_out_again_without_time)
+START_TEST(nothing_is_sent_again_without_time)
 {
     size_t index;
 
     for (index = 0; index < OUTCOMES; index++) {
-        cw_outcome_facts_t facts = usual(outcomes[index], true);
+        cw_outcome_facts_t facts = make_facts(outcomes[index], true);
 
         facts.has_time = false;
         ck_assert_int_ne(cw_step_after(&facts), CW_NEXT_REPEAT);
@@ -51,12 +51,12 @@
 }
 END_TEST
 
-START_TEST(attempts_bound_what_a_server_has_seen_and_nothing_else)
+START_TEST(only_attempts_that_reached_a_server_are_limited)
 {
     size_t index;
 
     for (index = 0; index < OUTCOMES; index++) {
-        cw_outcome_facts_t facts = usual(outcomes[index], true);
+        cw_outcome_facts_t facts = make_facts(outcomes[index], true);
 
         facts.attempts = MAX_ATTEMPTS;
         if (outcomes[index] == CW_OUTCOME_UNSENT) {
@@ -68,23 +68,23 @@
 }
 END_TEST
 
-START_TEST(a_ready_answer_is_passed_on_where_no_repeat_may_be)
+START_TEST(a_complete_answer_is_relayed_where_no_repeat_is_allowed)
 {
-    cw_outcome_facts_t facts = usual(CW_OUTCOME_ANSWERED, true);
+    cw_outcome_facts_t facts = make_facts(CW_OUTCOME_ANSWERED, true);
 
     facts.status = 200;
     ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_PASS_ON);
     facts.status = 404;
     ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_PASS_ON);
-    facts = usual(CW_OUTCOME_ANSWERED, false);
+    facts = make_facts(CW_OUTCOME_ANSWERED, false);
     ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_PASS_ON);
     ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_ANSWERED), CW_NEXT_PASS_ON);
-    ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_SILENT), CW_NEXT_WAIT); /* its answer may still come */
+    ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_SILENT), CW_NEXT_WAIT); /* the answer may still arrive */
     ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_BROKEN), CW_NEXT_END);
 }
 END_TEST
 
-START_TEST(only_the_servers_own_denial_says_that_it_did_not_run)
+START_TEST(only_a_denial_by_the_server_counts_as_not_run)
 {
     ck_assert_int_eq(cw_outcome_of_answer(503, true), CW_OUTCOME_DENIED);
     ck_assert_int_eq(cw_outcome_of_answer(421, false), CW_OUTCOME_DENIED);
@@ -96,7 +96,7 @@
 }
 END_TEST
 
-START_TEST(what_may_have_run_is_never_refused)
+START_TEST(a_request_that_may_have_run_is_never_refused)
 {
     ck_assert_int_eq(cw_final_of(false, false, false), CW_FINAL_REFUSED);
     ck_assert_int_eq(cw_final_of(false, false, true), CW_FINAL_REFUSED);
@@ -107,7 +107,7 @@
 }
 END_TEST
 
-START_TEST(a_servers_promise_without_its_denial_is_passed_on_only_where_it_may_run_twice)
+START_TEST(a_promising_status_without_a_denial_is_relayed_only_if_repeatable)
 {
     static const int promises[] = {408, 421, 429, 503};
     static const int others[] = {200, 400, 404, 500, 502, 504};
@@ -129,13 +129,13 @@
     Suite *suite = suite_create("request rules");
     TCase *cases = tcase_create("rules");
 
-    tcase_add_test(cases, what_may_have_run_goes_out_again_only_where_that_may_be);
-    tcase_add_test(cases, nothing_goes_out_again_without_time);
-    tcase_add_test(cases, attempts_bound_what_a_server_has_seen_and_nothing_else);
-    tcase_add_test(cases, a_ready_answer_is_passed_on_where_no_repeat_may_be);
-    tcase_add_test(cases, only_the_servers_own_denial_says_that_it_did_not_run);
-    tcase_add_test(cases, what_may_have_run_is_never_refused);
-    tcase_add_test(cases, a_servers_promise_without_its_denial_is_passed_on_only_where_it_may_run_twice);
+    tcase_add_test(cases, a_request_that_may_have_run_is_sent_again_only_if_repeatable);
+    tcase_add_test(cases, nothing_is_sent_again_without_time);
+    tcase_add_test(cases, only_attempts_that_reached_a_server_are_limited);
+    tcase_add_test(cases, a_complete_answer_is_relayed_where_no_repeat_is_allowed);
+    tcase_add_test(cases, only_a_denial_by_the_server_counts_as_not_run);
+    tcase_add_test(cases, a_request_that_may_have_run_is_never_refused);
+    tcase_add_test(cases, a_promising_status_without_a_denial_is_relayed_only_if_repeatable);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
