--- a/tests/process/upload_unready.sh
+++ b/tests/process/upload_unready.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# A node that knows no configuration yet: an upload is told to come back, not that it is too long.
+# A node without a configuration refuses an upload with 503 and a time to retry, and not as too long.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 1
 until_true curl -s -o /dev/null "http://$NET.1:8081/readyz"
