--- a/src/proxy/engine.h
+++ b/src/proxy/engine.h
@@ -74,10 +74,10 @@
 /** Sample of the keys of requests since the last report to the leader. */
 typedef struct cw_key_samples {
     uint32_t keys[64];
-    uint32_t regions[64]; /**< regions that each of these requests may go to (region_mask.h) */
-    bool     any_bound;   /**< at least one of these requests is restricted to some regions */
-    uint32_t count;       /**< entries in keys and regions */
-    uint32_t seen;        /**< requests that the sample stands for */
+    uint32_t regions[64];           /**< regions that each of these requests may go to (region_mask.h) */
+    bool     any_region_restricted; /**< at least one of these requests is restricted to some regions */
+    uint32_t count;                 /**< entries in keys and regions */
+    uint32_t seen;                  /**< requests that the sample stands for */
 } cw_key_samples_t;
 
 /** Connects the engine to the nodes that count slots (slot_broker.h). Replies are passed to cw_engine_slot_reply, never
@@ -109,9 +109,9 @@
 typedef struct cw_signal_port {
     void *context;
     /** The server has stated its rate limit to this node, or has stopped stating one. */
-    void (*limit_stated)(void *context, const cw_server_t *server, cw_limit_change_t change);
+    void (*on_limit_stated)(void *context, const cw_server_t *server, cw_limit_change_t change);
     /** The server has announced to this node that it leaves, and no other node had reported that before. */
-    void (*leave_stated)(void *context, const cw_server_t *server);
+    void (*on_leave_stated)(void *context, const cw_server_t *server);
 } cw_signal_port_t;
 
 /** Routes, queues, sends and answers the requests of one node. */
@@ -131,9 +131,9 @@
 void cw_engine_note_signals(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
                             const char *request);
 /** Another node reports the rate limit that a server stated at that time; per_s below 0: its limit had ended. */
-void cw_engine_take_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at);
+void cw_engine_apply_reported_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at);
 /** Another node reports that the server incarnation with this hash has announced that it leaves. */
-void cw_engine_take_leave(cw_engine_t *engine, uint32_t server);
+void cw_engine_apply_reported_leave(cw_engine_t *engine, uint32_t server);
 /** Requests that crash servers are detected and refused from now on. */
 void cw_engine_set_crash_suspects(cw_engine_t *engine, const cw_crash_port_t *port);
 /** The tenants' limits are enforced from now on. The share is borrowed. It calls cw_engine_quota_decided, never within
@@ -158,7 +158,7 @@
 /** Slots, servers or tables have changed: the waiting requests are examined again in the next turn of the loop. */
 void cw_engine_wake(cw_engine_t *engine);
 /** The clock has advanced by more than the loop's timers know (loop_clock.h): restarts the timers of all requests. */
-void cw_engine_rearm(cw_engine_t *engine);
+void cw_engine_restart_timers(cw_engine_t *engine);
 /** A server has left the pool: closes its connections. */
 void cw_engine_forget_server(cw_engine_t *engine, cw_server_t *server);
 
@@ -170,7 +170,7 @@
 /** A request of a caller has arrived. */
 void cw_engine_request(cw_engine_t *engine, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound);
 /** The caller has disconnected before its request was answered. */
-void cw_engine_gone(cw_engine_t *engine, cw_http_exchange_t *exchange);
+void cw_engine_caller_disconnected(cw_engine_t *engine, cw_http_exchange_t *exchange);
 
 size_t cw_engine_requests(const cw_engine_t *engine); /**< requests that are not answered yet */
 size_t cw_engine_queued(const cw_engine_t *engine);   /**< requests that wait in the queues of all services */
@@ -193,12 +193,12 @@
 /** Sets the number of requests that wait for a service at other nodes. */
 void cw_engine_set_queued_elsewhere(cw_engine_t *engine, const char *service, uint32_t queued);
 /** Mean time of a service's requests at a server, in microseconds. */
-cw_time_us_t cw_engine_usual_time(cw_engine_t *engine, const char *service);
+cw_time_us_t cw_engine_mean_time(cw_engine_t *engine, const char *service);
 /** Cost of sending a request of the service across a region's border, in mean times of its requests; 0: there is one
  * region. */
 double cw_engine_crossing_share(cw_engine_t *engine, const char *service);
-/** The same as cw_engine_usual_time, by the hash of the service's name. */
-cw_time_us_t cw_engine_usual_time_of(const cw_engine_t *engine, uint32_t service);
+/** The same as cw_engine_mean_time, by the hash of the service's name. */
+cw_time_us_t cw_engine_mean_time_by_hash(const cw_engine_t *engine, uint32_t service);
 /** Tells whether requests under way have changed since the last call, which is a reason to report soon; clears the
  * flag. */
 bool cw_engine_take_changed(cw_engine_t *engine);
--- a/src/proxy/engine_callers.c
+++ b/src/proxy/engine_callers.c
@@ -127,7 +127,7 @@
 
 bool cw_request_is_caller_valid(const cw_request_t *request)
 {
-    return cw_caller_standing(&request->caller, request->engine->configuration) == CW_CALLER_STAYS;
+    return cw_caller_recheck(&request->caller, request->engine->configuration) == CW_CALLER_UNCHANGED;
 }
 
 /* The request was admitted when callers had no keys; under the later configuration its credentials may be a key. */
@@ -135,11 +135,11 @@
 {
     cw_caller_t caller;
 
-    if (request->caller.hides_credentials || !later->needs_keys) {
+    if (request->caller.strips_credentials || !later->needs_keys) {
         return;
     }
     caller = cw_caller_identify(later, request->route, request->fields, request->engine->settings.credential_scheme);
-    request->caller.hides_credentials = caller.hides_credentials;
+    request->caller.strips_credentials = caller.strips_credentials;
 }
 
 bool cw_request_recheck_caller(cw_request_t *request)
@@ -151,8 +151,8 @@
     }
     request->caller_checked_version = later->version;
     hide_new_credentials(request, later);
-    switch (cw_caller_standing(&request->caller, later)) {
-    case CW_CALLER_STAYS:
+    switch (cw_caller_recheck(&request->caller, later)) {
+    case CW_CALLER_UNCHANGED:
         return true;
     case CW_CALLER_REVOKED:
         cw_request_refuse_revoked(request);
@@ -197,5 +197,5 @@
     if (tenant != NULL && cw_http_name_is_alike(name, tenant)) {
         return true;
     }
-    return request->caller.hides_credentials && cw_http_name_is_alike(name, "authorization");
+    return request->caller.strips_credentials && cw_http_name_is_alike(name, "authorization");
 }
--- a/src/proxy/engine_internal.h
+++ b/src/proxy/engine_internal.h
@@ -290,7 +290,7 @@
 cw_server_t *cw_request_choose(const cw_request_t *request, const cw_zone_filter_t *zones, cw_time_us_t now,
                                bool *full);
 
-/* ---- engine_placing.c ---- */
+/* ---- engine_placement.c ---- */
 /** Sends the requests in a service's queue that can be sent. */
 void cw_service_dispatch(cw_engine_t *engine, cw_service_state_t *service);
 /** Sends a queued request, asks for a slot for it, keeps it in the queue, or refuses it. */
--- a/src/proxy/engine_placing.c
+++ b/src/proxy/engine_placement.c
@@ -1,5 +1,5 @@
 /**
- * @file engine_placing.c
+ * @file engine_placement.c
  * @brief Sends waiting requests from a service's queue, and decides what happens to a request for which no server has
  * a free slot.
  */
--- a/src/router/fleet_size.h
+++ b/src/router/fleet_size.h
@@ -28,12 +28,12 @@
 
 enum {
     /** Largest supported fleet: a limit divided by this number is never exceeded. */
-    CW_FLEET_MOST_NODES = 10000,
+    CW_FLEET_NODES_MAX = 10000,
     /** From this number on, nodes learn of one another's requests too late, and together ask too much of a single one
      * of them. */
     CW_FLEET_MANY_NODES = 16,
     /** Within this time after its start a process has received from all other nodes, even at their slowest reports. */
-    CW_FLEET_UNKNOWN_MS = 3000,
+    CW_FLEET_DISCOVERY_MS = 3000,
     /** The equal shares of the missing nodes are within the usual overshoot of a limit, which is a tenth. */
     CW_FLEET_REACHED_PERCENT = 90,
     /** Shortest time in which a stated number halves. A leader that is cut off has been replaced within this time.
--- a/src/router/key_tables.h
+++ b/src/router/key_tables.h
@@ -21,7 +21,7 @@
 typedef struct cw_table_entry {
     uint32_t low;        /**< first key */
     uint32_t last;       /**< last key */
-    uint32_t server;     /**< hash of the owner's id (cw_short_name) */
+    uint32_t server;     /**< hash of the owner's id (cw_name_hash) */
     uint64_t fence;      /**< fencing number of the owner */
     bool     routable;   /**< the owner holds the keys now */
     uint64_t changed_in; /**< number of the tables in which it changed last; 0 at nodes that do not lead */
@@ -58,6 +58,6 @@
 /** Hash of the contents without changed_in, the same whatever the order of the tables. */
 uint64_t cw_key_tables_hash(const cw_key_tables_t *tables);
 /** Hash by which nodes refer to a server, a service or a node in datagrams. */
-uint32_t cw_short_name(const char *text);
+uint32_t cw_name_hash(const char *text);
 
 #endif
--- a/src/router/leader_tenure.h
+++ b/src/router/leader_tenure.h
@@ -40,7 +40,7 @@
 /** Notes that this node released the lock of this term. */
 void cw_leader_tenure_release(cw_leader_tenure_t *tenure, uint64_t term, cw_time_us_t now);
 /** Term of the lock whose release is to be announced in reports now; 0: none. */
-uint64_t cw_leader_tenure_announced(const cw_leader_tenure_t *tenure, cw_time_us_t now);
+uint64_t cw_leader_tenure_announced_term(const cw_leader_tenure_t *tenure, cw_time_us_t now);
 /** Whether another node with this capability is a rival of a node with the capability `own`. */
 bool cw_leader_is_rival(uint32_t own, uint32_t capability);
 /** Notes whether a rival is in reach now. Called with each tick. */
--- a/src/router/reading_turn.c
+++ b/src/router/list_read_delay.c
@@ -1,8 +1,8 @@
 /**
- * @file reading_turn.c
+ * @file list_read_delay.c
  * @brief Length of the window from the bytes to be read, and a node's delay in it from the hash of its name.
  */
-#include "router/reading_turn.h"
+#include "router/list_read_delay.h"
 
 cw_time_us_t cw_list_read_window(size_t nodes, size_t servers)
 {
--- a/src/router/reading_turn.h
+++ b/src/router/list_read_delay.h
@@ -1,5 +1,5 @@
 /**
- * @file reading_turn.h
+ * @file list_read_delay.h
  * @brief When a node that is not a reader of its zone reads the whole list of servers from the store itself.
  *
  * Nodes whose list has not arrived, or is not renewed, all decide to read it at the same time, and each of them reads
@@ -11,8 +11,8 @@
  *
  * No I/O, no clock.
  */
-#ifndef CEDARWINCH_ROUTER_READING_TURN_H
-#define CEDARWINCH_ROUTER_READING_TURN_H
+#ifndef CEDARWINCH_ROUTER_LIST_READ_DELAY_H
+#define CEDARWINCH_ROUTER_LIST_READ_DELAY_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -3,7 +3,7 @@
  * @brief A router node: handles callers' requests, keeps the list of servers and the configuration up to date, and
  * follows or leads.
  *
- * Its main parts: router.c (start, ticks), router_own.c (readiness, status, metrics), router_reload.c (settings),
+ * Its main parts: router.c (start, ticks), router_admin.c (readiness, status, metrics), router_reload.c (settings),
  * router_stop.c (planned stop), router_configuration.c (the configuration in force), router_peers.c (reports between
  * nodes), router_view.c (the leader's list of servers and tables of keys, and their age), router_lead.c (leadership,
  * assignments, plans).
--- a/src/router/router_detours.c
+++ b/src/router/router_detours.c
@@ -15,7 +15,7 @@
 
 enum {
     SUSPECT_MS = 500, /* the longest interval between reports among few nodes is 300 ms (router_peers.c) */
-    DISCOVERY_MS = CW_FLEET_UNKNOWN_MS /* after it a process has received from all nodes whose datagrams reach it */
+    DISCOVERY_MS = CW_FLEET_DISCOVERY_MS /* after it a process has received from all nodes whose datagrams reach it */
 };
 
 void cw_router_detours_init(cw_router_t *router)
@@ -68,7 +68,7 @@
 
 /* False earlier than a silent node counts as lost: while other nodes give out limits and slots in its place, the silent
  * node may still be giving them out as well. */
-bool cw_router_is_in_touch(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+bool cw_router_is_reachable(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     bool is_direct = is_received_lately(router, peer, now) && !misses_this_node(router, peer, now);
 
@@ -230,7 +230,7 @@
         return; /* of a later version; like every datagram that cannot be decoded, it is ignored */
     }
     if (may_go_by_detour(datagram)) {
-        cw_router_datagram(router, origin, datagram);
+        cw_router_on_datagram(router, origin, datagram);
     }
     cwp__datagram__free_unpacked(datagram, NULL);
 }
@@ -268,7 +268,7 @@
     }
 }
 
-void cw_router_take_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
+void cw_router_handle_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
 {
     if (detour->destination == own_address(router)) {
         take_addressed_here(router, sender, detour);
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -26,23 +26,23 @@
 #include "router/leader_tenure.h"
 #include "router/list_history.h"
 #include "router/pass_on_queue.h"
-#include "router/replaced_numbers.h"
+#include "router/replaced_versions.h"
 #include "router/router.h"
 #include "router/signal_notices.h"
-#include "router/store_reach.h"
+#include "router/store_availability.h"
 #include "router/store_reader.h"
 #include "router/table_pages.h"
 #include "router/table_publication.h"
-#include "router/view_parts.h"
+#include "router/view_updates.h"
 #include "tenancy/credential_evidence.h"
 
 enum {
     CW_TICK_MS = 20,
     CW_PEER_SILENCE_MS = 1000, /**< shortest silence after which a peer counts as lost; longer in large fleets, whose
                                     nodes report rarely */
-    CW_MANY_DATAGRAMS_A_SECOND = 60, /**< limit of a node's report datagrams in a large fleet, where handling reports is
-                                          most of the work of all nodes */
-    CW_LEADERS_DATAGRAMS_A_SECOND = 1000, /**< limit of the leader's reports, and likewise of its table updates */
+    CW_LARGE_FLEET_DATAGRAMS_PER_SECOND = 60, /**< limit of a node's report datagrams in a large fleet, where handling
+                                          reports is most of the work of all nodes */
+    CW_LEADER_DATAGRAMS_PER_SECOND = 1000,    /**< limit of the leader's reports, and likewise of its table updates */
     CW_KEYED_SERVICES_MAX = CW_TABLE_SERVICES_MAX,
     CW_TABLES_VALID_PERCENT = 80 /**< of a grant's hold: how long tables are used without a fresh leader heartbeat */
 };
@@ -112,28 +112,28 @@
                                              the settings do not move it */
     cw_time_us_t    checked_file_at;    /**< last check whether the settings file has changed */
     cw_fleet_size_t fleet_size;
-    uint32_t        nodes_most;       /**< most nodes alive at once within the retry budget's window */
-    cw_time_us_t    nodes_most_at;    /**< when that number was seen */
+    uint32_t        peak_nodes;       /**< most nodes alive at once within the retry budget's window */
+    cw_time_us_t    peak_nodes_at;    /**< when that number was seen */
     int64_t         file_fingerprint; /**< of the settings file when it was read last; see
                                            cw_router_file_fingerprint */
 
     /* reports */
-    uint32_t           sequence;           /**< of this node's last report */
-    cw_time_us_t       silence;            /**< a node that has not been heard from for so long counts as lost */
-    cw_time_us_t       reported_zone_at;   /**< last report to the nodes of this zone */
-    cw_time_us_t       reported_all_at;    /**< last report to nodes of all zones */
-    cw_time_us_t       reported_full_at;   /**< last report that held names and paces */
-    cw_time_us_t       reported_leader_at; /**< last report to the leader */
-    cw_time_us_t       sent_keys_at;       /**< last time that key samples were sent to the leader */
-    cw_time_us_t       named_until;   /**< reports hold this node's name until then: a node was heard first or again */
-    bool               zone_due;      /**< something has changed that the nodes of this zone are to learn */
-    bool               all_due;       /**< something has changed that all nodes are to learn */
+    uint32_t     sequence;            /**< of this node's last report */
+    cw_time_us_t silence;             /**< a node that has not been heard from for so long counts as lost */
+    cw_time_us_t reported_zone_at;    /**< last report to the nodes of this zone */
+    cw_time_us_t reported_all_at;     /**< last report to nodes of all zones */
+    cw_time_us_t reported_full_at;    /**< last report that held names and paces */
+    cw_time_us_t reported_leader_at;  /**< last report to the leader */
+    cw_time_us_t key_samples_sent_at; /**< last time that key samples were sent to the leader */
+    cw_time_us_t send_names_until;    /**< reports hold this node's name until then: a node was heard first or again */
+    bool         zone_report_due;     /**< something has changed that the nodes of this zone are to learn */
+    bool         all_report_due;      /**< something has changed that all nodes are to learn */
     cw_queue_lengths_t queue_lengths; /**< of other nodes */
 
     /* reading the store on behalf of other nodes */
     bool         is_reader;
-    cw_time_us_t ranked_at;      /**< last decision whether this node is a reader */
-    cw_time_us_t notice_sent_at; /**< last notice to the zone */
+    cw_time_us_t readers_ranked_at; /**< last decision whether this node is a reader */
+    cw_time_us_t notice_sent_at;    /**< last notice to the zone */
 
     /* the configuration */
     cw_configuration_exchange_t *exchange;
@@ -144,43 +144,43 @@
     cw_router_list_exchange_t *list_exchange;
 
     /* the view: the list of servers and the tables of keys that this node routes by */
-    cw_server_view_t   server_view;         /**< the list of servers in force */
-    cw_zone_service_t *zones;               /**< zones out of service according to that list */
-    cw_cold_rate_t    *cold_rate;           /**< which nodes send to cold servers */
-    cw_time_us_t       sharers_gathered_at; /**< last update of those nodes */
-    bool               reading_servers;     /**< a read of the list by this node is in progress */
-    bool               reading_copy;        /**< that read is from a copy, which may be seconds old */
-    cw_time_us_t       servers_read_at;     /**< when the last read of the list was sent */
+    cw_server_view_t   server_view;                /**< the list of servers in force */
+    cw_zone_service_t *zones;                      /**< zones out of service according to that list */
+    cw_cold_rate_t    *cold_rate;                  /**< which nodes send to cold servers */
+    cw_time_us_t       cold_rate_nodes_updated_at; /**< last update of those nodes */
+    bool               reading_servers;            /**< a read of the list by this node is in progress */
+    bool               reading_copy;               /**< that read is from a copy, which may be seconds old */
+    cw_time_us_t       servers_read_at;            /**< when the last read of the list was sent */
     cw_time_us_t       servers_lag;         /**< the last read may lack changes made within this time before it */
     uint64_t           view_term;           /**< term of the leader that numbered this node's view */
-    uint64_t           view_servers;        /**< number of this node's list in that term; 0: none */
-    uint64_t           view_tables;         /**< number of this node's tables in that term; 0: none */
-    cw_time_us_t       tables_at;           /**< last time that the tables were known to be true; 0: never */
+    uint64_t           view_list_version;   /**< number of this node's list in that term; 0: none */
+    uint64_t           view_tables_version; /**< number of this node's tables in that term; 0: none */
+    cw_time_us_t       tables_valid_at;     /**< last time that the tables were known to be true; 0: never */
     cw_time_us_t       leader_heartbeat_at;
     uint64_t           leader_term;
     bool               leader_silent;                 /**< the leader's heartbeat is overdue, which has been logged */
     bool               tables_expired;                /**< the tables are too old to route by, which has been logged */
     char               leader_node[CW_NODE_NAME_MAX]; /**< name; empty: not known */
-    cw_view_parts_t   *view_parts; /**< updates from the leader and from relays of which pages are still missing */
+    cw_view_updates_t *view_updates; /**< updates from the leader and from relays of which pages are still missing */
     cw_key_tables_t    tables;
     uint64_t           tables_hash;
-    cw_time_us_t       tables_read_at; /**< when the records of assignments were last read from the store */
-    uint32_t           table_reads;    /**< such reads in progress */
-    cw_store_reach_t   store_reach;
+    cw_time_us_t       tables_read_at;      /**< when the records of assignments were last read from the store */
+    uint32_t           table_reads_pending; /**< such reads in progress */
+    cw_store_availability_t store_availability;
 
     /* leading */
-    cw_leadership_t         leadership;
-    cw_leader_tenure_t      tenure;
-    uint64_t                lead_servers; /**< number of the list that this leader sends to the others */
-    uint64_t                lead_tables;  /**< number of its tables; 0: it has not published any in this term */
-    cw_table_publication_t  table_publication;
-    cw_replaced_numbers_t   replaced_servers;
-    cw_replaced_numbers_t   replaced_tables;
-    cw_list_history_t       list_history;
-    cw_send_allowance_t     push_allowance; /**< bytes that may be sent to bring other nodes up to date */
-    cw_relay_delays_t       relay_delays;
-    cw_pass_on_queue_t     *pass_on;     /**< updates that this node, as a relay, forwards to its zone */
-    cw_order_trust_t       *order_trust; /**< servers that this leader's orders have not reached lately */
+    cw_leadership_t        leadership;
+    cw_leader_tenure_t     tenure;
+    uint64_t               leader_list_version;   /**< number of the list that this leader sends to the others */
+    uint64_t               leader_tables_version; /**< number of its tables; 0: it has not published any in this term */
+    cw_table_publication_t table_publication;
+    cw_replaced_versions_t replaced_servers;
+    cw_replaced_versions_t replaced_tables;
+    cw_list_history_t      list_history;
+    cw_send_allowance_t    push_allowance; /**< bytes that may be sent to bring other nodes up to date */
+    cw_relay_delays_t      relay_delays;
+    cw_pass_on_queue_t    *pass_on;     /**< updates that this node, as a relay, forwards to its zone */
+    cw_order_trust_t      *order_trust; /**< servers that this leader's orders have not reached lately */
     cw_service_assignment_t keyed[CW_KEYED_SERVICES_MAX]; /**< services divided by key that this node leads */
     size_t                  keyed_count;
 } cw_router_t;
@@ -192,9 +192,9 @@
 /** Listens for callers. Returns 0 or a libuv error. */
 int cw_router_callers_start(cw_router_t *router);
 
-/* ---- router_own.c ---- */
+/* ---- router_admin.c ---- */
 /** Listens for queries about this node: readiness, status, metrics. Returns 0 or a libuv error. */
-int cw_router_own_start(cw_router_t *router);
+int cw_router_admin_start(cw_router_t *router);
 
 /* ---- router_reload.c ---- */
 /** A number that changes with the file's modification time, size and inode; 0: the file does not exist. */
@@ -216,9 +216,9 @@
 /** Sends the reports that are due, and detects lost peers. */
 void cw_router_peers_tick(cw_router_t *router, cw_time_us_t now);
 /** How long the last report of a node that sends no further ones is used. */
-cw_time_us_t cw_router_report_life(const cw_router_t *router);
+cw_time_us_t cw_router_report_lifetime(const cw_router_t *router);
 /** Logs that a peer was lost or is back. silent: for how long it had not been heard from. */
-void cw_router_note_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent);
+void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent);
 
 /* ---- router_report.c ---- */
 /** Optional parts of a report; each is left out where no receiver needs it. */
@@ -239,20 +239,20 @@
 /** Determines the relays of each zone and, on a relay, sends the summaries that are due. */
 void cw_router_relay_tick(cw_router_t *router, cw_time_us_t now);
 /** Handles a summary of another zone. */
-void cw_router_take_zone_summary(cw_router_t *router, const Cwp__Datagram *datagram, cw_time_us_t now);
+void cw_router_handle_zone_summary(cw_router_t *router, const Cwp__Datagram *datagram, cw_time_us_t now);
 /** Whether relays keep this node and the nodes of the peer's zone informed of one another. */
 bool cw_router_is_covered(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Whether the peer's requests are counted in sums of its zone that this node receives. */
-bool cw_router_is_summed(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
+bool cw_router_is_summarized(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Whether the peer is one of the relays of its zone. */
 bool cw_router_is_relay(const cw_router_t *router, const cw_peer_t *peer);
 /** Whether this node is a relay of its zone. */
-bool cw_router_is_own_relay(const cw_router_t *router);
+bool cw_router_acts_as_relay(const cw_router_t *router);
 /** Whether this node is the first relay of its zone. */
-bool cw_router_is_first_relay(const cw_router_t *router);
+bool cw_router_acts_as_first_relay(const cw_router_t *router);
 /** Whether this node was stalled a moment ago: a datagram that is read now may have waited in the socket meanwhile, so
  * its age is not known. */
-bool cw_router_is_of_backlog(const cw_router_t *router, cw_time_us_t now);
+bool cw_router_reads_backlog(const cw_router_t *router, cw_time_us_t now);
 /** Requests the whole list, or the tables, if this node's copy has the number of the leader's but has differed from it
  * (by hash) for long. */
 void cw_router_check_view(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now);
@@ -269,8 +269,8 @@
 /** If this node is a relay, forwards the leader's heartbeat, which has just arrived with a report, to its zone. */
 void cw_router_pass_on_heartbeat(cw_router_t *router, const cw_peer_t *leader, const Cwp__NodeReport *report);
 /** Handles a leader's heartbeat that a relay has forwarded. */
-void cw_router_take_passed_heartbeat(cw_router_t *router, const cw_peer_t *sender, const Cwp__PassedHeartbeat *passed,
-                                     cw_time_us_t now);
+void cw_router_handle_passed_heartbeat(cw_router_t *router, const cw_peer_t *sender, const Cwp__PassedHeartbeat *passed,
+                                       cw_time_us_t now);
 
 /* ---- router_list_exchange.c ---- */
 /** Creates the exchange of whole lists. */
@@ -282,15 +282,15 @@
 /** Notes the number of the newest list, which the leader's heartbeat names. */
 void cw_router_list_exchange_heartbeat(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now);
 /** Notes which list the peer has according to its report. */
-void cw_router_list_exchange_note(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
+void cw_router_list_exchange_note_holder(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Notes that a page of a whole list has arrived. next_missing: the first page still missing; page->pages if none is.
  */
-void cw_router_list_exchange_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
-                                  uint32_t next_missing);
+void cw_router_list_exchange_page_received(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
+                                           uint32_t next_missing);
 /** Handles a reply that holds no pages, but names another node that has the list. */
 void cw_router_list_exchange_redirected(cw_router_t *router, const Cwp__ServersPage *page);
 /** Handles a peer's request for pages of the whole list. */
-void cw_router_take_list_request(cw_router_t *router, const cw_peer_t *peer, const Cwp__ListRequest *request);
+void cw_router_handle_list_request(cw_router_t *router, const cw_peer_t *peer, const Cwp__ListRequest *request);
 /** Whether the peer, if it lacks the whole list, gets it from another node of its zone, which has it or is a relay. */
 bool cw_router_gets_list_in_zone(const cw_router_t *router, const cw_peer_t *peer);
 
@@ -314,14 +314,14 @@
 void cw_router_send_tables(cw_router_t *router, const cw_peer_t *peer, const cw_push_scope_t *scope,
                            cw_packed_pages_t *packed);
 /** Whether the peer gets the leader's changes from a relay of its zone instead of from the leader. */
-bool cw_router_is_fed_by_relay(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
+bool cw_router_is_updated_by_relay(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Sets up the send allowance for updates to other nodes. */
 void cw_router_push_init(cw_router_t *router);
 /** Notes that an update was sent just now; returns when to send it again. */
 cw_time_us_t cw_router_next_push(cw_push_state_t *push, cw_time_us_t now);
 /** Begins a term of this leader: nothing is sent until the others have had time to find, by hashes, that what they
  * have is the same. */
-void cw_router_push_begin(cw_router_t *router, cw_time_us_t now);
+void cw_router_push_begin_term(cw_router_t *router, cw_time_us_t now);
 /** A list with a new number is in force: it is sent at once to the peers that had the one before. */
 void cw_router_servers_changed(cw_router_t *router, cw_time_us_t now);
 /** The same for the tables. */
@@ -343,10 +343,10 @@
 void cw_router_note_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now);
 /** Callback of the store adapter: an answer of the store shows that no configuration above this version had been
  * acknowledged at that time. */
-void cw_router_on_newest(void *context, uint64_t version, cw_time_us_t at);
+void cw_router_on_configuration_evidence(void *context, uint64_t version, cw_time_us_t at);
 /** Brings a configuration into force if its version is higher than that of the one in force, and returns whether it
  * did. The reference passes to the callee in either case. */
-bool cw_router_use_configuration(cw_router_t *router, cw_configuration_t *configuration);
+bool cw_router_apply_configuration(cw_router_t *router, cw_configuration_t *configuration);
 /** Applies what depends on the age of the configuration in force. Called with each tick. */
 void cw_router_configuration_tick(cw_router_t *router, cw_time_us_t now);
 
@@ -359,28 +359,28 @@
 /** Decides whether this node reads the store for its zone and, if it does, sends the notices that are due. */
 void cw_router_share_tick(cw_router_t *router, cw_time_us_t now);
 /** Notes that a configuration came into force here; a reader or leader announces it to all nodes if it is first-hand.
- * is_first_hand: it was read from the store, not received from another node. */
-void cw_router_share_configuration(cw_router_t *router, bool is_first_hand, cw_time_us_t now);
+ * is_from_store: it was read from the store, not received from another node. */
+void cw_router_share_configuration(cw_router_t *router, bool is_from_store, cw_time_us_t now);
 /** Handles a reader's notice of what it has read from the store. */
-void cw_router_take_notice(cw_router_t *router, cw_peer_t *peer, const Cwp__StoreNotice *notice, cw_time_us_t now);
+void cw_router_handle_notice(cw_router_t *router, cw_peer_t *peer, const Cwp__StoreNotice *notice, cw_time_us_t now);
 
 /* ---- router_receive.c ---- */
 /** Callback of the peer link: passes a received datagram to the function that handles its kind. */
-void cw_router_datagram(void *context, cw_peer_t *peer, const Cwp__Datagram *datagram);
+void cw_router_on_datagram(void *context, cw_peer_t *peer, const Cwp__Datagram *datagram);
 /** Replaces the numbers of waiting requests that this sender reported before. */
-void cw_router_take_queues(cw_router_t *router, uint64_t sender, bool is_near, Cwp__QueueLength *const *queues,
-                           size_t count, cw_time_us_t now);
+void cw_router_handle_queues(cw_router_t *router, uint64_t sender, bool is_near, Cwp__QueueLength *const *queues,
+                             size_t count, cw_time_us_t now);
 
 /* ---- router_view.c ---- */
 /** Offers a list of servers; its reference passes to the callee. False: a later one is in force. */
-bool cw_router_take_servers(cw_router_t *router, const cw_server_reading_t *reading);
+bool cw_router_apply_servers(cw_router_t *router, const cw_server_reading_t *reading);
 /** Logs that a list was not used, since one of a later revision is in force. source: how it was received. */
-void cw_router_note_older_servers(const cw_router_t *router, uint64_t revision, const char *source);
+void cw_router_log_older_servers(const cw_router_t *router, uint64_t revision, const char *source);
 /** Applies the current tables, together with the servers known now, to the routing of requests. */
-void cw_router_use_tables(cw_router_t *router);
+void cw_router_apply_tables(cw_router_t *router);
 /** Handles the leader's heartbeat. */
-void cw_router_take_leader_heartbeat(cw_router_t *router, const cw_peer_t *peer, const Cwp__LeaderHeartbeat *heartbeat,
-                                     cw_time_us_t now);
+void cw_router_handle_leader_heartbeat(cw_router_t *router, const cw_peer_t *peer,
+                                       const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now);
 /** Reads the list and the records of assignments from the store where no leader sends them. */
 void cw_router_view_tick(cw_router_t *router, cw_time_us_t now);
 /** Callback of the store adapter: the list of servers was read, or could not be. */
@@ -396,9 +396,9 @@
 void cw_router_zones_init(cw_router_t *router);
 /** Applies the servers and the zones out of service of a list that has just come into force. before_true_at: last time
  * that the previous list was known to be true; 0: not known. */
-void cw_router_use_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now);
+void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now);
 /** Applies the configured warm-up of each service's servers. */
-void cw_router_use_warm_ups(cw_router_t *router);
+void cw_router_apply_warm_ups(cw_router_t *router);
 /** Updates the nodes that share the sending to cold servers. */
 void cw_router_zones_tick(cw_router_t *router, cw_time_us_t now);
 
@@ -409,15 +409,15 @@
 void cw_router_slots_tick(cw_router_t *router, cw_time_us_t now);
 /** Nodes that are alive and whose zone is known, including this one unless it is stopping; updated ten times a second.
  * Borrowed until the next update. */
-const cw_broker_candidate_t *cw_router_candidates(const cw_router_t *router, size_t *count);
+const cw_broker_candidate_t *cw_router_broker_candidates(const cw_router_t *router, size_t *count);
 /** Whether there are so many nodes that they do not report each request to one another. */
 bool cw_router_nodes_are_many(const cw_router_t *router);
 /** Handles a node's request for a slot that this node counts. */
-void cw_router_take_slot_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotAsk *message);
+void cw_router_handle_slot_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotAsk *message);
 /** Handles the reply to a request of this node for a slot. */
-void cw_router_take_slot_reply(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReply *message);
+void cw_router_handle_slot_reply(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReply *message);
 /** Handles the return of a slot that this node counts. */
-void cw_router_take_slot_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReturn *message);
+void cw_router_handle_slot_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReturn *message);
 
 /* ---- router_broadcast.c ---- */
 /** Stages of a broadcast. */
@@ -441,8 +441,8 @@
 /** Notes that an entry is no longer in the list of servers. */
 void cw_router_crashes_note_gone(cw_router_t *router, const cw_server_entry_t *entry);
 /** Handles crashes that another node reports, and forwards the report if this node is a relay that has to. */
-void cw_router_take_crash_report(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
-                                 cw_time_us_t now);
+void cw_router_handle_crash_report(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
+                                   cw_time_us_t now);
 
 /* ---- router_signals.c ---- */
 /** Creates the queue of notices of servers' rate limits. */
@@ -450,12 +450,12 @@
 /** Broadcasts the notices of servers' rate limits that are due. */
 void cw_router_signals_tick(cw_router_t *router, cw_time_us_t now);
 /** Fills in the rate limit of the server with this hash; false: it has none now. */
-bool cw_router_limits_pack(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message);
+bool cw_router_pack_limit(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message);
 /** Handles a server's rate limit that another node states. */
-void cw_router_limits_take(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now);
+void cw_router_take_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now);
 /** Handles a broadcast notice of servers' rate limits, and forwards it if this node is a relay that has to. */
-void cw_router_take_signal_notice(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
-                                  cw_time_us_t now);
+void cw_router_handle_signal_notice(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
+                                    cw_time_us_t now);
 
 /* ---- router_store_calls.c ---- */
 /** Every few seconds, logs the number of calls to the store since the last such line, if there were any. */
@@ -465,7 +465,7 @@
 /** Appends the metrics of datagrams sent to other nodes, as Prometheus text. */
 void cw_router_traffic_metrics(const cw_router_t *router, cw_bytes_t *text);
 /** Logs the same as one line. */
-void cw_router_note_traffic(const cw_router_t *router);
+void cw_router_log_traffic(const cw_router_t *router);
 
 /* ---- router_detours.c ---- */
 /** Creates the table of detours. */
@@ -473,11 +473,11 @@
 /** Looks for routes, by way of other nodes, to nodes that may be cut off from this one alone. */
 void cw_router_detours_tick(cw_router_t *router, cw_time_us_t now);
 /** Handles a datagram that another node has forwarded, or that this node is to forward. */
-void cw_router_take_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour);
+void cw_router_handle_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour);
 /** Whether this node, or another one on its behalf, has received from the peer lately. */
 bool cw_router_is_alive(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Whether datagrams pass in both directions between this node and the peer, directly or by way of another node. */
-bool cw_router_is_in_touch(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
+bool cw_router_is_reachable(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Sends a datagram directly, or by way of another node where one is known to reach a peer that direct datagrams do
  * not. False: the datagram is too long. */
 bool cw_router_send_to(cw_router_t *router, const cw_peer_t *peer, const Cwp__Datagram *datagram);
@@ -493,27 +493,27 @@
 /** Fraction of a shared limit that this node may give out: the fraction of all nodes that it reaches. */
 double cw_router_quota_share(const cw_router_t *router);
 /** Handles a node's report of the requests that it admitted. */
-void cw_router_take_quota_report(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReport *report);
+void cw_router_handle_quota_report(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReport *report);
 /** Handles a counting node's reply to a report, or its notice that a tenant is metered. */
-void cw_router_take_quota_status(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaStatus *status);
+void cw_router_handle_quota_status(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaStatus *status);
 /** Handles a node's request for tokens of a tenant. */
-void cw_router_take_quota_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaAsk *ask);
+void cw_router_handle_quota_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaAsk *ask);
 /** Handles a counting node's grant of tokens. */
-void cw_router_take_quota_grant(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaGrant *grant);
+void cw_router_handle_quota_grant(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaGrant *grant);
 /** Handles the return of unused tokens. */
-void cw_router_take_quota_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReturn *returned);
+void cw_router_handle_quota_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReturn *returned);
 
-/* ---- router_take.c ---- */
+/* ---- router_view_pages.c ---- */
 /** Moves this node's view to the term if it is a later one than the view's; nothing numbered in it is known yet. */
 void cw_router_begin_term(cw_router_t *router, uint64_t term);
 /** Handles a page of the list of servers. */
-void cw_router_take_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page);
+void cw_router_handle_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page);
 /** Handles a page of the tables of keys. */
-void cw_router_take_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page);
+void cw_router_handle_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page);
 /** Handles a peer's acknowledgement of the list and tables that it has. */
-void cw_router_take_ack(cw_router_t *router, cw_peer_t *peer, const Cwp__ViewAck *ack);
+void cw_router_handle_ack(cw_router_t *router, cw_peer_t *peer, const Cwp__ViewAck *ack);
 /** Adopts the leader's numbers for the list and the tables where this node's copies have the same hash. */
-void cw_router_adopt(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat);
+void cw_router_adopt_versions(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat);
 
 /* ---- router_plan.c ---- */
 /** Plans the ownership of keys of one service, if a plan is due. Called on the leader with each tick. */
@@ -537,8 +537,8 @@
     const char     *zone; /**< of the node that saw them */
 } cw_router_samples_t;
 /** Adds a sample to the load of a service, if this node leads it. */
-void cw_router_take_samples(cw_router_t *router, uint32_t service_hash, const cw_router_samples_t *samples,
-                            cw_time_us_t now);
+void cw_router_add_samples(cw_router_t *router, uint32_t service_hash, const cw_router_samples_t *samples,
+                           cw_time_us_t now);
 
 /* ---- router_lead.c ---- */
 /** Creates the state of leadership. The settings of the lock come from the node's settings. */
@@ -548,7 +548,7 @@
 /** This node's capacity to lead, in thousandths of a core: its share of the CPU or, if lower, what its link allows. */
 uint32_t cw_router_capability(const cw_router_t *router);
 /** Whether this node leads and its lock has not run out. */
-bool cw_router_is_able(const cw_router_t *router, cw_time_us_t now);
+bool cw_router_has_authority(const cw_router_t *router, cw_time_us_t now);
 /** Notes whether the store answered a call of this node, and logs when the store is lost or back. */
 void cw_router_store_result(cw_router_t *router, bool answered, cw_time_us_t now);
 /** Callback of the store adapter: the same for the calls of its standing readers. */
--- a/src/router/router_list_exchange.c
+++ b/src/router/router_list_exchange.c
@@ -4,7 +4,7 @@
  *
  * A node sends its own list while that is the leader's by number and hash. It continues a transfer that has started
  * when a newer list has come into force here. Whether a received list replaces the one in force is decided as for lists
- * that the leader sends (router_take.c): a lower revision of the store never replaces a higher one.
+ * that the leader sends (router_view_pages.c): a lower revision of the store never replaces a higher one.
  */
 #include <stdlib.h>
 
@@ -20,32 +20,32 @@
 
 /** The list that is being sent to other nodes. */
 typedef struct snapshot {
-    cw_list_number_t  of;
+    cw_list_version_t of;
     cw_server_list_t *list; /**< NULL: none */
     uint64_t          revision;
 } snapshot_t;
 
 struct cw_router_list_exchange {
     cw_list_exchange_t *exchange;
-    cw_list_number_t    named; /**< the list that the leader's last heartbeat named */
+    cw_list_version_t   named; /**< the list that the leader's last heartbeat named */
     uint64_t            named_hash;
     snapshot_t          snapshot;
 };
 
-static bool is_same(cw_list_number_t one, cw_list_number_t other)
+static bool is_same(cw_list_version_t one, cw_list_version_t other)
 {
     return one.term == other.term && one.number == other.number;
 }
 
-static cw_list_number_t number_in_force(const cw_router_t *router)
+static cw_list_version_t number_in_force(const cw_router_t *router)
 {
-    return (cw_list_number_t){.term = router->view_term, .number = router->view_servers};
+    return (cw_list_version_t){.term = router->view_term, .number = router->view_list_version};
 }
 
 /* ---- pages ---- */
 
 /* True if this node has that list with the leader's content. */
-static bool has_list(const cw_router_t *router, cw_list_number_t of)
+static bool has_list(const cw_router_t *router, cw_list_version_t of)
 {
     const cw_router_list_exchange_t *state = router->list_exchange;
 
@@ -55,7 +55,7 @@
     return router->leadership.leading || (is_same(of, state->named) && state->named_hash == router->server_view.hash);
 }
 
-static void take_snapshot(cw_router_t *router, cw_list_number_t of)
+static void take_snapshot(cw_router_t *router, cw_list_version_t of)
 {
     snapshot_t *snapshot = &router->list_exchange->snapshot;
 
@@ -86,7 +86,7 @@
     page->revision = snapshot->revision;
     page->zones_out = snapshot->list->zones_out.names;
     page->n_zones_out = snapshot->list->zones_out.count;
-    page->pages = cw_servers_pages_of(snapshot->list, 0);
+    page->pages = cw_servers_page_count(snapshot->list, 0);
 }
 
 static size_t send_page(cw_router_t *router, const cw_peer_t *peer, const snapshot_t *snapshot, uint32_t number)
@@ -120,7 +120,7 @@
     if (peer == NULL || snapshot == NULL) {
         return 0;
     }
-    pages = cw_servers_pages_of(snapshot->list, 0);
+    pages = cw_servers_page_count(snapshot->list, 0);
     for (number = window->first; number < pages && number - window->first < window->count; number++) {
         bytes += send_page(router, peer, snapshot, number);
     }
@@ -164,7 +164,7 @@
     log_request(peer, window);
 }
 
-static void send_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t other_holder)
+static void send_redirect(void *context, uint32_t address, cw_list_version_t of, uint32_t other_holder)
 {
     cw_router_t     *router = context;
     const cw_peer_t *peer = cw_peer_link_find(router->link, address);
@@ -221,7 +221,7 @@
 void cw_router_list_exchange_heartbeat(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
     cw_router_list_exchange_t *state = router->list_exchange;
-    cw_list_number_t           newest = {.term = heartbeat->term, .number = heartbeat->servers};
+    cw_list_version_t          newest = {.term = heartbeat->term, .number = heartbeat->servers};
 
     state->named = newest;
     state->named_hash = heartbeat->servers_hash;
@@ -230,9 +230,9 @@
     }
 }
 
-void cw_router_list_exchange_note(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+void cw_router_list_exchange_note_holder(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    cw_list_number_t has = {.term = peer->term, .number = peer->servers};
+    cw_list_version_t has = {.term = peer->term, .number = peer->servers};
 
     if (peer->distance == CW_DISTANCE_ZONE) {
         cw_list_exchange_note_holder(router->list_exchange->exchange, peer->address, has, now);
@@ -253,10 +253,10 @@
     }
 }
 
-void cw_router_list_exchange_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
-                                  uint32_t next_missing)
+void cw_router_list_exchange_page_received(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
+                                           uint32_t next_missing)
 {
-    cw_list_number_t of = {.term = page->term, .number = page->number};
+    cw_list_version_t of = {.term = page->term, .number = page->number};
 
     if (next_missing >= page->pages && peer->distance == CW_DISTANCE_ZONE && is_same(of, number_in_force(router))) {
         log_list_received(peer, page);
@@ -267,12 +267,12 @@
 
 void cw_router_list_exchange_redirected(cw_router_t *router, const Cwp__ServersPage *page)
 {
-    cw_list_number_t of = {.term = page->term, .number = page->number};
+    cw_list_version_t of = {.term = page->term, .number = page->number};
 
     cw_list_exchange_redirected(router->list_exchange->exchange, of, page->ask_instead, cw_router_now(router));
 }
 
-void cw_router_take_list_request(cw_router_t *router, const cw_peer_t *peer, const Cwp__ListRequest *request)
+void cw_router_handle_list_request(cw_router_t *router, const cw_peer_t *peer, const Cwp__ListRequest *request)
 {
     cw_list_window_t window = {.of = {.term = request->term, .number = request->number},
                                .first = request->first_page,
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -58,7 +58,7 @@
  * nodes directly. The start or stop of a node is reported by the relays of its zone. */
 static bool has_news_for_all(const cw_router_t *router, cw_time_us_t now)
 {
-    return router->leadership.leading || cw_leader_tenure_announced(&router->tenure, now) != 0;
+    return router->leadership.leading || cw_leader_tenure_announced_term(&router->tenure, now) != 0;
 }
 
 /** Numbers of the nodes that this one reports to, by reason. */
@@ -96,7 +96,7 @@
     cw_router_t        *router = context;
     cw_router_samples_t taken = {samples->keys, samples->regions, samples->count, samples->seen, router->settings.zone};
 
-    cw_router_take_samples(router, cw_short_name(service), &taken, cw_router_now(router));
+    cw_router_add_samples(router, cw_name_hash(service), &taken, cw_router_now(router));
 }
 
 /* Parts that are included only at intervals. Names and service times are most of a report's bytes and change
@@ -155,7 +155,7 @@
 {
     cw_peer_t *peer;
 
-    router->sent_keys_at = now;
+    router->key_samples_sent_at = now;
     if (router->leadership.leading) {
         cw_engine_take_samples(router->engine, take_own_sample, router);
         return;
@@ -191,7 +191,7 @@
 static int64_t interval_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers, int64_t datagrams_a_second)
 {
     bool    is_new = cw_router_is_new(router, cw_router_now(router));
-    int64_t budget = router->leadership.leading ? CW_LEADERS_DATAGRAMS_A_SECOND
+    int64_t budget = router->leadership.leading ? CW_LEADER_DATAGRAMS_PER_SECOND
                      : is_new                   ? DATAGRAMS_A_SECOND /* other nodes have to learn of this one soon */
                                                 : datagrams_a_second;
     int64_t affordable_ms = (int64_t)peers * 1000 / budget;
@@ -201,7 +201,7 @@
 
 static int64_t budget_to_all(uint32_t peers)
 {
-    return peers > FEW_NODES ? CW_MANY_DATAGRAMS_A_SECOND : DATAGRAMS_A_SECOND;
+    return peers > FEW_NODES ? CW_LARGE_FLEET_DATAGRAMS_PER_SECOND : DATAGRAMS_A_SECOND;
 }
 
 static int64_t interval_to_all_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers)
@@ -238,17 +238,17 @@
     cw_time_us_t idle = CW_MS(interval_to_all_ms(router, IDLE_INTERVAL_MS, all));
 
     set_silence(router, idle, 0);
-    if ((router->all_due && since_all >= CW_MS(interval_to_all_ms(router, ALL_INTERVAL_MS, all))) ||
+    if ((router->all_report_due && since_all >= CW_MS(interval_to_all_ms(router, ALL_INTERVAL_MS, all))) ||
         since_all >= idle) {
         send_to_all(router, CW_REPORT_LOADS | parts_due_at_intervals(router, all, now), now);
         router->reported_all_at = now;
         router->reported_zone_at = now;
-        router->all_due = false;
-        router->zone_due = false;
-    } else if (router->zone_due && since_zone >= CW_MS(interval_in_zone_ms(router, in_zone, all))) {
+        router->all_report_due = false;
+        router->zone_report_due = false;
+    } else if (router->zone_report_due && since_zone >= CW_MS(interval_in_zone_ms(router, in_zone, all))) {
         send_to_zone(router, CW_REPORT_LOADS, now);
         router->reported_zone_at = now;
-        router->zone_due = false;
+        router->zone_report_due = false;
     }
 }
 
@@ -269,13 +269,13 @@
     bool         has_news = has_news_for_all(router, now);
     uint32_t     news_targets = router->leadership.leading ? targets->relays : targets->covered;
     uint32_t     count = targets->uncovered + (has_news ? news_targets : 0);
-    bool         is_due = router->all_due && since >= CW_MS(interval_to_all_ms(router, ALL_INTERVAL_MS, count));
+    bool         is_due = router->all_report_due && since >= CW_MS(interval_to_all_ms(router, ALL_INTERVAL_MS, count));
 
     if (!is_due && since < CW_MS(interval_to_all_ms(router, IDLE_INTERVAL_MS, count))) {
         return;
     }
     router->reported_all_at = now;
-    router->all_due = false;
+    router->all_report_due = false;
     send_outside_zone(router, false, now);
     if (has_news) {
         send_outside_zone(router, true, now);
@@ -290,12 +290,12 @@
     cw_time_us_t     idle = CW_MS(interval_ms(router, IDLE_INTERVAL_MS, targets.in_zone, budget_to_all(all)));
 
     update_silence(router, &targets);
-    router->all_due = router->all_due || (router->zone_due && targets.uncovered > 0);
-    if ((router->zone_due && since_zone >= CW_MS(interval_in_zone_ms(router, targets.in_zone, all))) ||
+    router->all_report_due = router->all_report_due || (router->zone_report_due && targets.uncovered > 0);
+    if ((router->zone_report_due && since_zone >= CW_MS(interval_in_zone_ms(router, targets.in_zone, all))) ||
         since_zone >= idle) {
         send_to_zone(router, CW_REPORT_LOADS | parts_due_at_intervals(router, targets.in_zone, now), now);
         router->reported_zone_at = now;
-        router->zone_due = false;
+        router->zone_report_due = false;
     }
     report_outside_zone(router, &targets, now);
     if (now - router->reported_leader_at >= CW_MS(LEADER_INTERVAL_MS) && !router->leadership.leading) {
@@ -308,8 +308,8 @@
     bool is_among_many = cw_router_nodes_are_many(router);
 
     if (cw_engine_take_changed(router->engine)) {
-        router->zone_due = true;
-        router->all_due = router->all_due || !is_among_many;
+        router->zone_report_due = true;
+        router->all_report_due = router->all_report_due || !is_among_many;
     }
     if (is_among_many) {
         report_among_many(router, now);
@@ -320,14 +320,14 @@
 
 /* ---- ticks ---- */
 
-cw_time_us_t cw_router_report_life(const cw_router_t *router)
+cw_time_us_t cw_router_report_lifetime(const cw_router_t *router)
 {
     cw_time_us_t life = router->silence / SILENCE_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
 
     return life > CW_MS(CW_POOL_REPORT_LIFE_MS) ? life : CW_MS(CW_POOL_REPORT_LIFE_MS);
 }
 
-void cw_router_note_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent)
+void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent)
 {
     cw_event_t event;
 
@@ -355,7 +355,7 @@
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         if (peer->last_received_at != 0 && !peer->is_lost && now - peer->last_received_at > router->silence) {
             peer->is_lost = true;
-            cw_router_note_peer(peer, CW_EVENT_PEER_LOST, now - peer->last_received_at);
+            cw_router_log_peer(peer, CW_EVENT_PEER_LOST, now - peer->last_received_at);
         }
     }
 }
@@ -363,10 +363,10 @@
 void cw_router_peers_tick(cw_router_t *router, cw_time_us_t now)
 {
     report(router, now);
-    if (now - router->sent_keys_at >= keys_interval(router, now) && cw_engine_has_samples(router->engine)) {
+    if (now - router->key_samples_sent_at >= keys_interval(router, now) && cw_engine_has_samples(router->engine)) {
         send_keys(router, now);
     }
     mark_lost_peers(router, now);
-    cw_server_pool_expire(router->pool, cw_router_report_life(router), now);
+    cw_server_pool_expire(router->pool, cw_router_report_lifetime(router), now);
     cw_peer_link_expire(router->link, router->silence + CW_SECONDS(FORGET_PEER_S), now);
 }
--- a/src/router/router_plan.c
+++ b/src/router/router_plan.c
@@ -75,7 +75,7 @@
 /* Lists the servers of the service in the order of their ids, as in the list. */
 static void list_servers(cw_router_t *router, const char *service, planned_servers_t *servers, cw_time_us_t now)
 {
-    double         usual_time_s = (double)cw_engine_usual_time(router->engine, service) / 1e6;
+    double         usual_time_s = (double)cw_engine_mean_time(router->engine, service) / 1e6;
     region_cache_t cache = {.count = 0};
     size_t         index;
 
--- a/src/router/router_quota.h
+++ b/src/router/router_quota.h
@@ -73,7 +73,7 @@
 
 /* ---- router_quota_choice.c ---- */
 /** Updates which nodes may count, and the number of nodes that share the limits. */
-void cw_router_quota_look_around(cw_router_quota_t *quota, cw_time_us_t now);
+void cw_router_quota_update_nodes(cw_router_quota_t *quota, cw_time_us_t now);
 /** Whether this process started so recently that it does not know the other nodes yet. */
 bool cw_router_quota_is_new(const cw_router_quota_t *quota);
 /** Whether this node does not count any tenant now. */
--- a/src/router/router_take.c
+++ b/src/router/router_view_pages.c
@@ -1,5 +1,5 @@
 /**
- * @file router_take.c
+ * @file router_view_pages.c
  * @brief Handles the leader's pages of the list and of the tables, and its hashes of what this node may already have.
  *
  * A page belongs to a term, a number and a base. All pages with the same ones together are the whole list (base 0), or
@@ -22,8 +22,8 @@
 {
     if (term > router->view_term) {
         router->view_term = term;
-        router->view_servers = 0;
-        router->view_tables = 0;
+        router->view_list_version = 0;
+        router->view_tables_version = 0;
     }
 }
 
@@ -34,8 +34,8 @@
 
     ack.incarnation = router->incarnation;
     ack.term = router->view_term;
-    ack.servers = router->view_servers;
-    ack.tables = router->view_tables;
+    ack.servers = router->view_list_version;
+    ack.tables = router->view_tables_version;
     datagram.content_case = CWP__DATAGRAM__CONTENT_ACK;
     datagram.ack = &ack;
     return cw_peer_link_pack(router->link, &datagram);
@@ -58,7 +58,7 @@
 static void announce_whole_list(cw_router_t *router)
 {
     size_t           count = count_zone_peers(router);
-    size_t           receivers = cw_router_is_own_relay(router) || count < ANNOUNCE_NODES ? count : ANNOUNCE_NODES;
+    size_t           receivers = cw_router_acts_as_relay(router) || count < ANNOUNCE_NODES ? count : ANNOUNCE_NODES;
     size_t           position = 0;
     size_t           length;
     size_t           first;
@@ -68,7 +68,7 @@
         return;
     }
     length = pack_ack(router);
-    first = cw_short_name(router->settings.node) % count;
+    first = cw_name_hash(router->settings.node) % count;
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         if (peer->distance != CW_DISTANCE_ZONE || peer->is_lost) {
             continue;
@@ -97,7 +97,7 @@
     }
 }
 
-void cw_router_take_ack(cw_router_t *router, cw_peer_t *peer, const Cwp__ViewAck *ack)
+void cw_router_handle_ack(cw_router_t *router, cw_peer_t *peer, const Cwp__ViewAck *ack)
 {
     if (peer->incarnation != ack->incarnation || ack->term < router->view_term) {
         return;
@@ -109,7 +109,7 @@
     }
     peer->servers = ack->servers > peer->servers ? ack->servers : peer->servers;
     peer->tables = ack->tables > peer->tables ? ack->tables : peer->tables;
-    cw_router_list_exchange_note(router, peer, cw_router_now(router));
+    cw_router_list_exchange_note_holder(router, peer, cw_router_now(router));
 }
 
 /* ---- the list of servers ---- */
@@ -119,11 +119,11 @@
                               uint32_t next_missing)
 {
     if (page->since == 0) {
-        cw_router_list_exchange_page(router, peer, page, next_missing);
+        cw_router_list_exchange_page_received(router, peer, page, next_missing);
     }
 }
 
-void cw_router_take_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page)
+void cw_router_handle_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page)
 {
     cw_page_position_t  position = {page->term, page->number, page->since, page->page, page->pages};
     cw_server_reading_t reading = {.revision = page->revision, .is_told = true};
@@ -133,15 +133,15 @@
         cw_router_list_exchange_redirected(router, page);
         return;
     }
-    if (!is_usable(router, &position, router->view_servers)) {
+    if (!is_usable(router, &position, router->view_list_version)) {
         return;
     }
     if (page->revision < router->server_view.revision) { /* this node has read a later list itself */
-        cw_router_note_older_servers(router, page->revision, "told");
+        cw_router_log_older_servers(router, page->revision, "told");
         report_whole_page(router, peer, page, page->pages);
         return;
     }
-    update = cw_view_parts_take_list(router->view_parts, page, cw_router_now(router));
+    update = cw_view_updates_take_list(router->view_updates, page, cw_router_now(router));
     if (update == NULL) {
         return;
     }
@@ -151,8 +151,8 @@
     }
     reading.list = cw_list_update_finish(update, router->server_view.list);
     cw_router_begin_term(router, page->term);
-    router->view_servers = page->number;
-    (void)cw_router_take_servers(router, &reading);
+    router->view_list_version = page->number;
+    (void)cw_router_apply_servers(router, &reading);
     report_whole_page(router, peer, page, page->pages);
     acknowledge(router, peer);
     if (page->since == 0) {
@@ -190,18 +190,18 @@
  * accepted only if this node has no tables yet. */
 static bool is_table_page_accepted(const cw_router_t *router, const cw_peer_t *sender, const Cwp__TablePage *page)
 {
-    return page->since != 0 || router->tables_at == 0 || strcmp(sender->node, router->leader_node) == 0;
+    return page->since != 0 || router->tables_valid_at == 0 || strcmp(sender->node, router->leader_node) == 0;
 }
 
-void cw_router_take_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page)
+void cw_router_handle_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page)
 {
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
     cw_table_update_t *update;
 
-    if (!is_usable(router, &position, router->view_tables) || !is_table_page_accepted(router, peer, page)) {
+    if (!is_usable(router, &position, router->view_tables_version) || !is_table_page_accepted(router, peer, page)) {
         return;
     }
-    update = cw_view_parts_take_tables(router->view_parts, page, cw_router_now(router));
+    update = cw_view_updates_take_tables(router->view_updates, page, cw_router_now(router));
     if (update == NULL || !cw_view_assembly_is_whole(&update->assembly)) {
         return;
     }
@@ -213,19 +213,19 @@
     cw_key_tables_apply_changes(&router->tables, &update->tables);
     cw_table_update_clear(update);
     cw_router_begin_term(router, page->term);
-    router->view_tables = page->number;
-    cw_router_use_tables(router);
+    router->view_tables_version = page->number;
+    cw_router_apply_tables(router);
     acknowledge(router, peer);
 }
 
 /* ---- content that this node already has ---- */
 
-void cw_router_adopt(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat)
+void cw_router_adopt_versions(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat)
 {
     bool is_newer_term = heartbeat->term > router->view_term;
-    bool servers = heartbeat->servers_hash != 0 && (is_newer_term || heartbeat->servers > router->view_servers) &&
+    bool servers = heartbeat->servers_hash != 0 && (is_newer_term || heartbeat->servers > router->view_list_version) &&
                    heartbeat->servers_hash == router->server_view.hash;
-    bool tables = heartbeat->tables_hash != 0 && (is_newer_term || heartbeat->tables > router->view_tables) &&
+    bool tables = heartbeat->tables_hash != 0 && (is_newer_term || heartbeat->tables > router->view_tables_version) &&
                   heartbeat->tables_hash == router->tables_hash;
 
     if (heartbeat->term < router->view_term || (!servers && !tables)) {
@@ -233,10 +233,10 @@
     }
     cw_router_begin_term(router, heartbeat->term);
     if (servers) {
-        router->view_servers = heartbeat->servers;
+        router->view_list_version = heartbeat->servers;
     }
     if (tables) {
-        router->view_tables = heartbeat->tables;
+        router->view_tables_version = heartbeat->tables;
     }
     acknowledge(router, leader);
 }
--- a/src/router/view_check.h
+++ b/src/router/view_check.h
@@ -23,13 +23,14 @@
 } cw_view_check_t;
 
 /** Delays of requests for the whole content. */
-typedef struct cw_view_patience {
+typedef struct cw_view_check_delays {
     cw_time_us_t first; /**< time of difference before the first request */
     cw_time_us_t again; /**< time between two requests */
-} cw_view_patience_t;
+} cw_view_check_delays_t;
 
 /** Records a heartbeat with the number that this node has. Returns true if the caller is to request the whole content.
  */
-bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_patience_t *patience, cw_time_us_t now);
+bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *patience,
+                        cw_time_us_t now);
 
 #endif
--- a/src/router/view_parts.c
+++ b/src/router/view_updates.c
@@ -1,8 +1,8 @@
 /**
- * @file view_parts.c
+ * @file view_updates.c
  * @brief Collects the contents of pages, separately for each update that is being received.
  */
-#include "router/view_parts.h"
+#include "router/view_updates.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -10,14 +10,14 @@
 #include "base/memory.h"
 #include "router/table_pages.h"
 
-struct cw_view_parts {
+struct cw_view_updates {
     cw_list_update_t  lists[CW_VIEW_ASSEMBLIES_MAX];
     cw_table_update_t tables[CW_VIEW_ASSEMBLIES_MAX];
 };
 
-cw_view_parts_t *cw_view_parts_create(void)
+cw_view_updates_t *cw_view_updates_create(void)
 {
-    cw_view_parts_t *updates = cw_memory_zeroed(sizeof(*updates));
+    cw_view_updates_t *updates = cw_memory_zeroed(sizeof(*updates));
 
     return updates;
 }
@@ -36,7 +36,7 @@
     memset(tables, 0, sizeof(*tables));
 }
 
-void cw_view_parts_free(cw_view_parts_t *updates)
+void cw_view_updates_free(cw_view_updates_t *updates)
 {
     size_t index;
 
@@ -78,7 +78,7 @@
     }
 }
 
-static cw_list_update_t *find_list_update(cw_view_parts_t *updates, const cw_page_position_t *position)
+static cw_list_update_t *find_list_update(cw_view_updates_t *updates, const cw_page_position_t *position)
 {
     const cw_view_assembly_t *assemblies[CW_VIEW_ASSEMBLIES_MAX];
     size_t                    index;
@@ -99,7 +99,7 @@
     return &updates->lists[index];
 }
 
-cw_list_update_t *cw_view_parts_take_list(cw_view_parts_t *updates, const Cwp__ServersPage *page, cw_time_us_t now)
+cw_list_update_t *cw_view_updates_take_list(cw_view_updates_t *updates, const Cwp__ServersPage *page, cw_time_us_t now)
 {
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
     cw_list_update_t  *update = find_list_update(updates, &position);
@@ -142,7 +142,7 @@
 
 /* ---- tables ---- */
 
-static cw_table_update_t *find_table_update(cw_view_parts_t *updates, const cw_page_position_t *position)
+static cw_table_update_t *find_table_update(cw_view_updates_t *updates, const cw_page_position_t *position)
 {
     const cw_view_assembly_t *assemblies[CW_VIEW_ASSEMBLIES_MAX];
     size_t                    index;
@@ -162,7 +162,7 @@
     return &updates->tables[index];
 }
 
-cw_table_update_t *cw_view_parts_take_tables(cw_view_parts_t *updates, const Cwp__TablePage *page, cw_time_us_t now)
+cw_table_update_t *cw_view_updates_take_tables(cw_view_updates_t *updates, const Cwp__TablePage *page, cw_time_us_t now)
 {
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
     cw_table_update_t *tables = find_table_update(updates, &position);
--- a/src/router/view_parts.h
+++ b/src/router/view_updates.h
@@ -1,5 +1,5 @@
 /**
- * @file view_parts.h
+ * @file view_updates.h
  * @brief Updates of the list of servers and of the tables of keys that are being received page by page.
  *
  * Pages are collected as they arrive, in any order. The update is applied to what this node has when its last page has
@@ -7,8 +7,8 @@
  *
  * No I/O, no clock.
  */
-#ifndef CEDARWINCH_ROUTER_VIEW_PARTS_H
-#define CEDARWINCH_ROUTER_VIEW_PARTS_H
+#ifndef CEDARWINCH_ROUTER_VIEW_UPDATES_H
+#define CEDARWINCH_ROUTER_VIEW_UPDATES_H
 
 #include "model/server_list.h"
 #include "peer.pb-c.h"
@@ -30,20 +30,21 @@
 } cw_table_update_t;
 
 /** All updates that are being received. */
-typedef struct cw_view_parts cw_view_parts_t;
+typedef struct cw_view_updates cw_view_updates_t;
 
 /** Creates it without any update. */
-cw_view_parts_t *cw_view_parts_create(void);
+cw_view_updates_t *cw_view_updates_create(void);
 /** Frees it with all updates. */
-void cw_view_parts_free(cw_view_parts_t *updates);
+void cw_view_updates_free(cw_view_updates_t *updates);
 
 /** Adds a page to its update and returns that; NULL: the page was received before, or is invalid. */
-cw_list_update_t *cw_view_parts_take_list(cw_view_parts_t *updates, const Cwp__ServersPage *page, cw_time_us_t now);
+cw_list_update_t *cw_view_updates_take_list(cw_view_updates_t *updates, const Cwp__ServersPage *page, cw_time_us_t now);
 /** The list that results from a complete update, applied to the known list (NULL: none). Empties the update. */
 cw_server_list_t *cw_list_update_finish(cw_list_update_t *update, const cw_server_list_t *known);
 
 /** The same for a page of tables. */
-cw_table_update_t *cw_view_parts_take_tables(cw_view_parts_t *updates, const Cwp__TablePage *page, cw_time_us_t now);
+cw_table_update_t *cw_view_updates_take_tables(cw_view_updates_t *updates, const Cwp__TablePage *page,
+                                               cw_time_us_t now);
 /** Frees the collected tables; the update is unused afterwards. */
 void cw_table_update_clear(cw_table_update_t *tables);
 
--- a/src/tenancy/caller_identity.h
+++ b/src/tenancy/caller_identity.h
@@ -36,15 +36,15 @@
     cw_caller_verdict_t verdict;
     const cw_tenant_t  *tenant; /**< owner of the key; NULL if there is none. Lives as long as the configuration. */
     cw_key_digest_t     key;    /**< valid only if tenant is not NULL */
-    bool hides_credentials;     /**< `Authorization` is meant for this system and is not passed on to servers */
+    bool strips_credentials;    /**< `Authorization` is meant for this system and is not passed on to servers */
 } cw_caller_t;
 
 /** What a later configuration means for a caller that was admitted under an earlier one. */
-typedef enum cw_caller_standing {
-    CW_CALLER_STAYS,   /**< nothing has changed for it */
-    CW_CALLER_REVOKED, /**< its key was removed */
-    CW_CALLER_MOVED    /**< its key belongs to another tenant now: the caller must be admitted again as that tenant's */
-} cw_caller_standing_t;
+typedef enum cw_caller_recheck {
+    CW_CALLER_UNCHANGED, /**< nothing has changed for it */
+    CW_CALLER_REVOKED,   /**< its key was removed */
+    CW_CALLER_MOVED /**< its key belongs to another tenant now: the caller must be admitted again as that tenant's */
+} cw_caller_recheck_t;
 
 /** Identifies the caller of a request. scheme: scheme of the credentials, without the space after it. */
 cw_caller_t cw_caller_identify(const cw_configuration_t *configuration, const cw_route_t *route,
@@ -52,12 +52,12 @@
 /** True for every verdict that is answered with 401. */
 bool cw_caller_is_rejected(const cw_caller_t *caller);
 /** Compares an admitted caller with the configuration in force now (later). */
-cw_caller_standing_t cw_caller_standing(const cw_caller_t *caller, const cw_configuration_t *later);
+cw_caller_recheck_t cw_caller_recheck(const cw_caller_t *caller, const cw_configuration_t *later);
 /** Reason for the verdict in words, for the log. */
 const char *cw_caller_reason(cw_caller_verdict_t verdict);
 /** Tenant whose limits, priority and regions apply to the request: the tenant of the key, otherwise the owner of the
  * route; NULL: none. */
-const cw_tenant_t *cw_caller_accountable(const cw_caller_t *caller, const cw_configuration_t *configuration,
-                                         const cw_route_t *route);
+const cw_tenant_t *cw_caller_limiting_tenant(const cw_caller_t *caller, const cw_configuration_t *configuration,
+                                             const cw_route_t *route);
 
 #endif
--- a/src/tenancy/credential_evidence.h
+++ b/src/tenancy/credential_evidence.h
@@ -24,7 +24,7 @@
 } cw_credential_evidence_t;
 
 /** Change of the state since the last check: none, became stale, became fresh again. */
-typedef enum cw_evidence_change { CW_EVIDENCE_AS_BEFORE, CW_EVIDENCE_STALE, CW_EVIDENCE_FRESH } cw_evidence_change_t;
+typedef enum cw_evidence_change { CW_EVIDENCE_UNCHANGED, CW_EVIDENCE_STALE, CW_EVIDENCE_FRESH } cw_evidence_change_t;
 
 /** Returns how the state has changed since the last check. complete_at: time of the evidence; 0: there is none yet. */
 cw_evidence_change_t cw_credential_evidence_check(cw_credential_evidence_t *evidence, cw_time_us_t complete_at,
--- a/src/tenancy/quota_counter.h
+++ b/src/tenancy/quota_counter.h
@@ -42,7 +42,7 @@
 void cw_quota_counter_set_version(cw_quota_counter_t *counter, uint64_t version);
 /** True if another node's configuration has the given version, which is later than this node's, and the tenant has no
  * limit here. That node has a limit for the tenant and then admits its requests from its own part. */
-bool cw_quota_counter_is_behind(const cw_quota_counter_t *counter, uint32_t tenant, uint64_t version);
+bool cw_quota_counter_is_outdated(const cw_quota_counter_t *counter, uint32_t tenant, uint64_t version);
 /** Sets how many nodes share the limits, and how many of them this one reaches, itself included. */
 void cw_quota_counter_set_nodes(cw_quota_counter_t *counter, uint32_t nodes, uint32_t in_reach);
 /** Applies the report of a node that has chosen this one as its counting node. Another incarnation is another process
--- a/src/tenancy/quota_part.c
+++ b/src/tenancy/quota_local.c
@@ -1,5 +1,5 @@
 /**
- * @file quota_part.c
+ * @file quota_local.c
  * @brief The local bucket, which holds a node's own part of a limit, and the number of requests admitted in the last
  * window.
  */
--- a/src/tenancy/quota_share.h
+++ b/src/tenancy/quota_share.h
@@ -86,7 +86,7 @@
 
 /** Number of nodes that have refused to count a moment ago. Several of them mean that all nodes have just started: the
  * next ones in order would all begin to count too, each with a bucket of its own. */
-size_t cw_quota_share_declining(const cw_quota_share_t *share, cw_time_us_t now);
+size_t cw_quota_share_declined_count(const cw_quota_share_t *share, cw_time_us_t now);
 /** True while a counting node is skipped, either for its silence or because it refused to count. */
 bool cw_quota_share_is_silent(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now);
 /** True while a node is skipped because it said itself that it does not count. Of nodes that are skipped for their
@@ -95,7 +95,7 @@
 /** Mode of a tenant on this node; CW_QUOTA_FREE if there is no state for it. */
 cw_quota_mode_t cw_quota_share_mode(const cw_quota_share_t *share, uint32_t tenant);
 /** Time since the counting node last sent something about this tenant. */
-cw_time_us_t cw_quota_share_age(const cw_quota_share_t *share, uint32_t tenant, cw_time_us_t now);
+cw_time_us_t cw_quota_share_message_age(const cw_quota_share_t *share, uint32_t tenant, cw_time_us_t now);
 /** Number of tenants with state on this node. */
 size_t cw_quota_share_tenants(const cw_quota_share_t *share);
 /** Number of counting nodes with state on this node. */
--- a/src/tenancy/quota_share_internal.h
+++ b/src/tenancy/quota_share_internal.h
@@ -150,7 +150,7 @@
 /** Returns the tokens that were not used before they expired. */
 void cw_quota_expire_tokens(cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now);
 
-/* ---- quota_part.c ---- */
+/* ---- quota_local.c ---- */
 /** Counts one admitted request in the last window. */
 void cw_quota_recent_add(const cw_quota_share_t *share, cw_quota_recent_t *recent, cw_time_us_t now);
 /** Number of requests admitted in the last window. */
--- a/tests/engine_world.c
+++ b/tests/engine_fixture.c
@@ -2,7 +2,7 @@
  * @file engine_fixture.c
  * @brief Implements the engine test fixture: the engine, its servers and its callers.
  */
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -133,7 +133,7 @@
 {
     engine_fixture_t *fixture = context;
 
-    cw_engine_gone(fixture->engine, exchange);
+    cw_engine_caller_disconnected(fixture->engine, exchange);
 }
 
 static void on_dropped(void *context, cw_server_t *server)
--- a/tests/quota_world.c
+++ b/tests/quota_sim.c
@@ -1,8 +1,8 @@
 /**
- * @file quota_world.c
+ * @file quota_sim.c
  * @brief The simulated nodes, their messages and their load.
  */
-#include "quota_world.h"
+#include "quota_sim.h"
 
 #include <math.h>
 #include <stdlib.h>
@@ -323,7 +323,7 @@
 {
     uint32_t nodes = cw_fleet_size_nodes(&node->fleet_size, node->max_in_touch, node->sim->now);
 
-    return declines(node) && node->fleet_size.stated == 0 ? CW_FLEET_MOST_NODES : nodes;
+    return declines(node) && node->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
 
 static void probe(quota_sim_node_t *node, size_t suspect, uint32_t turn)
@@ -396,7 +396,7 @@
 static uint32_t on_counter_of(void *context, uint32_t tenant)
 {
     const quota_sim_node_t *node = context;
-    bool                    nobody_counts = cw_quota_share_declining(node->share, node->sim->now) >= MAX_DECLINING;
+    bool                    nobody_counts = cw_quota_share_declined_count(node->share, node->sim->now) >= MAX_DECLINING;
 
     return nobody_counts ? 0 : choose_counter(node, tenant);
 }
@@ -623,7 +623,7 @@
     size_t other;
 
     for (one = 0; one < sim->node_count; one++) {
-        sim->nodes[one].fleet_size.started_at -= CW_MS(CW_FLEET_UNKNOWN_MS);
+        sim->nodes[one].fleet_size.started_at -= CW_MS(CW_FLEET_DISCOVERY_MS);
         for (other = 0; other < sim->node_count; other++) {
             sim->nodes[one].reaches[other] = true;
             sim->nodes[one].reach_changed[other] = sim->now - CW_SECONDS(1);
--- a/tests/quota_world.h
+++ b/tests/quota_sim.h
@@ -1,10 +1,10 @@
 /**
- * @file quota_world.h
+ * @file quota_sim.h
  * @brief Simulates the shares and counters of many nodes in logical time, with messages that are delayed and lost,
  * links that are cut in one or both directions, and detours around them.
  */
-#ifndef CEDARWINCH_TESTS_QUOTA_WORLD_H
-#define CEDARWINCH_TESTS_QUOTA_WORLD_H
+#ifndef CEDARWINCH_TESTS_QUOTA_SIM_H
+#define CEDARWINCH_TESTS_QUOTA_SIM_H
 
 #include "peer/detours.h"
 #include "router/fleet_size.h"
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 START_TEST(an_answer_is_relayed_and_the_server_gets_deadline_and_target)
 {
--- a/tests/test_engine_leaving.c
+++ b/tests/test_engine_leaving.c
@@ -4,7 +4,7 @@
  */
 #include <unistd.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 START_TEST(a_disconnected_callers_request_is_withdrawn_from_the_server)
 {
--- a/tests/test_engine_limits.c
+++ b/tests/test_engine_limits.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "base/metrics.h"
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 enum { BROKER = 77 };
 
@@ -75,8 +75,8 @@
 
 static void limit(engine_fixture_t *fixture, const char *server, double per_s)
 {
-    cw_engine_take_limit(fixture->engine, cw_server_pool_find(fixture->pool, server), per_s,
-                         cw_engine_now(fixture->engine));
+    cw_engine_apply_reported_limit(fixture->engine, cw_server_pool_find(fixture->pool, server), per_s,
+                                   cw_engine_now(fixture->engine));
 }
 
 static void reply(engine_fixture_t *fixture, const counting_node_t *node, cw_slot_outcome_t outcome)
@@ -200,7 +200,7 @@
 
     begin(&fixture, &node);
     server = cw_server_pool_find(fixture.pool, "s0");
-    cw_engine_take_limit(fixture.engine, server, 6, cw_engine_now(fixture.engine) - CW_SECONDS(2));
+    cw_engine_apply_reported_limit(fixture.engine, server, 6, cw_engine_now(fixture.engine) - CW_SECONDS(2));
     for (answer = 0; answer < 10; answer++) {
         cw_engine_note_signals(fixture.engine, server, &signals, "r");
     }
--- a/tests/test_engine_outcomes.c
+++ b/tests/test_engine_outcomes.c
@@ -4,7 +4,7 @@
  */
 #include <unistd.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 /* s0 is busy, and s1 has the request but is silent. After that the estimate puts the request's turn beyond its
  * deadline. */
--- a/tests/test_engine_regions.c
+++ b/tests/test_engine_regions.c
@@ -3,7 +3,7 @@
  * @brief Requests that are restricted to regions, and requests that are sent to another region.
  */
 #include "base/metrics.h"
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 START_TEST(a_request_goes_only_to_servers_in_the_regions_of_its_route)
 {
--- a/tests/test_engine_slots.c
+++ b/tests/test_engine_slots.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 /** Fake broker that records the messages it was sent. */
 typedef struct fake_broker {
--- a/tests/test_engine_stop.c
+++ b/tests/test_engine_stop.c
@@ -4,7 +4,7 @@
  */
 #include <stdlib.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 START_TEST(a_request_at_a_server_is_answered_when_the_stop_ends)
 {
--- a/tests/test_leader_tenure.c
+++ b/tests/test_leader_tenure.c
@@ -63,12 +63,13 @@
     cw_leader_tenure_t tenure = {0};
     cw_time_us_t       released_at = CW_SECONDS(START_S);
 
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, 1),
+    ck_assert_uint_eq(cw_leader_tenure_announced_term(&tenure, 1),
                       0); /* the clock starts near zero, so "released at 0" must not count as recent */
     cw_leader_tenure_release(&tenure, TERM, released_at);
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, released_at), TERM);
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S) - 1), TERM);
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S)), 0);
+    ck_assert_uint_eq(cw_leader_tenure_announced_term(&tenure, released_at), TERM);
+    ck_assert_uint_eq(cw_leader_tenure_announced_term(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S) - 1),
+                      TERM);
+    ck_assert_uint_eq(cw_leader_tenure_announced_term(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S)), 0);
 }
 END_TEST
 
--- a/tests/test_list_exchange.c
+++ b/tests/test_list_exchange.c
@@ -17,18 +17,18 @@
     PAGES = 48,        /* of a list of 3,000 servers, 64 to a page */
     PAGE_BYTES = 5120, /* 80 bytes per server */
     STEP_MS = 10,
-    REPORT_MS = 800, /* interval between reports of a node in a zone of fifty (CW_MANY_DATAGRAMS_A_SECOND) */
+    REPORT_MS = 800, /* interval between reports of a node in a zone of fifty (CW_LARGE_FLEET_DATAGRAMS_PER_SECOND) */
     HEARTBEAT_MS = 300,
     DELAY_STEPS = 1,
     EVENTS_MAX = 4096
 };
 
-static const cw_list_number_t newest = {.term = 5, .number = 40};
-static const double           third_of_10_mbps = 10e6 / 8 / 3;
+static const cw_list_version_t newest = {.term = 5, .number = 40};
+static const double            third_of_10_mbps = 10e6 / 8 / 3;
 
 typedef struct zone_node {
     cw_list_exchange_t *exchange;
-    cw_list_number_t    has;
+    cw_list_version_t   has;
     bool                received[PAGES];
     bool                is_dead;
     bool                is_frozen;
@@ -111,7 +111,7 @@
     return bytes;
 }
 
-static void on_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t other_holder)
+static void on_redirect(void *context, uint32_t address, cw_list_version_t of, uint32_t other_holder)
 {
     put_event((wire_event_t){.at = now + CW_MS(STEP_MS * DELAY_STEPS),
                              .kind = EVENT_REDIRECT,
@@ -297,7 +297,7 @@
 {
     set_up_zone(2, 0);
     give_list(&nodes[0]);
-    nodes[1].has = (cw_list_number_t){.term = newest.term, .number = newest.number - 3};
+    nodes[1].has = (cw_list_version_t){.term = newest.term, .number = newest.number - 3};
     run(2000);
     ck_assert_uint_eq(nodes[0].requests_taken, 0);
 }
@@ -405,7 +405,7 @@
 
 START_TEST(a_late_page_of_an_earlier_term_changes_nothing)
 {
-    cw_list_number_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
+    cw_list_version_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
 
     set_up_two_holders();
     (void)run_into_transfer();
@@ -418,11 +418,11 @@
 
 START_TEST(a_heartbeat_of_an_earlier_term_is_ignored)
 {
-    cw_list_number_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
+    cw_list_version_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
 
     set_up_two_holders();
     (void)run_into_transfer();
-    cw_list_exchange_set_wanted(nodes[2].exchange, earlier, (cw_list_number_t){0}, now);
+    cw_list_exchange_set_wanted(nodes[2].exchange, earlier, (cw_list_version_t){0}, now);
     run(2000);
     ck_assert(has_newest(&nodes[2]));
     ck_assert_uint_eq(nodes[2].pages_received, PAGES);
@@ -431,7 +431,7 @@
 
 START_TEST(a_transfer_continues_while_a_newer_list_is_named)
 {
-    cw_list_number_t newer = {.term = newest.term, .number = newest.number + 1};
+    cw_list_version_t newer = {.term = newest.term, .number = newest.number + 1};
 
     set_up_two_holders();
     (void)run_into_transfer();
@@ -451,7 +451,7 @@
     give_list(&nodes[0]);
     run(2000);
     requests_taken = nodes[0].requests_taken;
-    nodes[1].has = (cw_list_number_t){0}; /* it rejected the list, since it had read a later one */
+    nodes[1].has = (cw_list_version_t){0}; /* it rejected the list, since it had read a later one */
     run(5000);
     ck_assert_uint_eq(nodes[0].requests_taken, requests_taken);
 }
--- a/tests/test_reading_turn.c
+++ b/tests/test_list_read_delay.c
@@ -1,5 +1,5 @@
 /**
- * @file test_reading_turn.c
+ * @file test_list_read_delay.c
  * @brief The total that nodes without a list read from the store per second is bounded, whatever their number.
  *
  * Load pattern: the lists of all nodes become stale at the same time.
@@ -8,7 +8,7 @@
 
 #include "loop_fixture.h"
 #include "router/key_tables.h"
-#include "router/reading_turn.h"
+#include "router/list_read_delay.h"
 
 enum { SECONDS_MAX = 200, LINK_BYTES_PER_SECOND = 125000000 /* link of the store: 1 Gbit/s */ };
 
@@ -28,7 +28,7 @@
         size_t second;
 
         (void)snprintf(name, sizeof(name), "front-%zu", index);
-        second = (size_t)(cw_list_read_delay(cw_short_name(name), window) / CW_SECONDS(1));
+        second = (size_t)(cw_list_read_delay(cw_name_hash(name), window) / CW_SECONDS(1));
         ck_assert_uint_lt(second, SECONDS_MAX);
         bytes[second] += (double)servers * CW_LIST_ENTRY_BYTES;
         most = bytes[second] > most ? bytes[second] : most;
@@ -53,8 +53,8 @@
 
 int main(void)
 {
-    Suite *suite = suite_create("reading turn");
-    TCase *cases = tcase_create("reading turn");
+    Suite *suite = suite_create("list read delay");
+    TCase *cases = tcase_create("list read delay");
 
     tcase_add_test(cases, bytes_read_per_second_do_not_grow_with_the_fleet);
     tcase_add_test(cases, a_small_fleet_waits_at_most_200_ms);
--- a/tests/test_view_parts.c
+++ b/tests/test_view_updates.c
@@ -1,5 +1,5 @@
 /**
- * @file test_view_parts.c
+ * @file test_view_updates.c
  * @brief Updates that are received page by page: pages of several of them may arrive interleaved, and in any order.
  *
  * Load pattern: two relays and the leader send long updates, for different lists, at the same time.
@@ -8,11 +8,12 @@
 #include <string.h>
 
 #include "loop_fixture.h"
-#include "router/view_parts.h"
+#include "router/view_updates.h"
 
 enum { PAGES = 6 };
 
-static cw_list_update_t *take(cw_view_parts_t *updates, uint64_t base, uint64_t number, uint32_t page, cw_time_us_t now)
+static cw_list_update_t *take(cw_view_updates_t *updates, uint64_t base, uint64_t number, uint32_t page,
+                              cw_time_us_t now)
 {
     char             id[32];
     char             removed[32];
@@ -37,7 +38,7 @@
     message.n_servers = 1;
     message.removed = removals;
     message.n_removed = page == 0 && base != 0 ? 1 : 0;
-    return cw_view_parts_take_list(updates, &message, now);
+    return cw_view_updates_take_list(updates, &message, now);
 }
 
 static cw_server_list_t *known_list(void)
@@ -55,10 +56,10 @@
 
 START_TEST(pages_of_several_updates_may_arrive_interleaved)
 {
-    cw_view_parts_t  *updates = cw_view_parts_create();
-    cw_server_list_t *list;
-    cw_list_update_t *last = NULL;
-    uint32_t          page;
+    cw_view_updates_t *updates = cw_view_updates_create();
+    cw_server_list_t  *list;
+    cw_list_update_t  *last = NULL;
+    uint32_t           page;
 
     for (page = 0; page < PAGES; page++) {
         ck_assert_ptr_nonnull(take(updates, 0, 9, page, page));
@@ -69,17 +70,17 @@
     list = cw_list_update_finish(last, NULL);
     ck_assert_uint_eq(list->count, PAGES);
     cw_server_list_release(list);
-    cw_view_parts_free(updates);
+    cw_view_updates_free(updates);
 }
 END_TEST
 
 START_TEST(changes_are_applied_to_the_list_known_at_the_last_page)
 {
-    cw_view_parts_t  *updates = cw_view_parts_create();
-    cw_server_list_t *known = known_list();
-    cw_server_list_t *list;
-    cw_list_update_t *last = NULL;
-    uint32_t          page;
+    cw_view_updates_t *updates = cw_view_updates_create();
+    cw_server_list_t  *known = known_list();
+    cw_server_list_t  *list;
+    cw_list_update_t  *last = NULL;
+    uint32_t           page;
 
     for (page = PAGES; page > 0; page--) {
         last = take(updates, 8, 9, page - 1, page); /* the page with the removals arrives last */
@@ -91,26 +92,26 @@
     ck_assert_uint_eq(cw_server_list_find(list, "s-3@1")->capacity, 9);
     cw_server_list_release(list);
     cw_server_list_release(known);
-    cw_view_parts_free(updates);
+    cw_view_updates_free(updates);
 }
 END_TEST
 
 START_TEST(a_repeated_or_invalid_page_is_ignored)
 {
-    cw_view_parts_t  *updates = cw_view_parts_create();
-    cw_list_update_t *list = take(updates, 0, 9, 0, 0);
+    cw_view_updates_t *updates = cw_view_updates_create();
+    cw_list_update_t  *list = take(updates, 0, 9, 0, 0);
 
     ck_assert_uint_eq(cw_view_assembly_first_missing(&list->assembly), 1);
     ck_assert_ptr_null(take(updates, 0, 9, 0, 1));
     ck_assert_ptr_null(take(updates, 0, 9, PAGES, 1)); /* no such page */
-    cw_view_parts_free(updates);
+    cw_view_updates_free(updates);
 }
 END_TEST
 
 START_TEST(a_further_update_replaces_the_one_idle_for_longest)
 {
-    cw_view_parts_t *updates = cw_view_parts_create();
-    uint64_t         base;
+    cw_view_updates_t *updates = cw_view_updates_create();
+    uint64_t           base;
 
     for (base = 1; base <= CW_VIEW_ASSEMBLIES_MAX; base++) {
         ck_assert_ptr_nonnull(take(updates, base, 9, 0, CW_MS((int64_t)base)));
@@ -119,14 +120,14 @@
     ck_assert_ptr_nonnull(take(updates, base, 9, 0, CW_MS(200)));
     ck_assert_ptr_null(take(updates, 1, 9, 0, CW_MS(300)));    /* has been kept */
     ck_assert_ptr_nonnull(take(updates, 2, 9, 0, CW_MS(300))); /* was replaced and starts over */
-    cw_view_parts_free(updates);
+    cw_view_updates_free(updates);
 }
 END_TEST
 
 int main(void)
 {
-    Suite *suite = suite_create("view_parts");
-    TCase *cases = tcase_create("view_parts");
+    Suite *suite = suite_create("view_updates");
+    TCase *cases = tcase_create("view_updates");
 
     tcase_add_test(cases, pages_of_several_updates_may_arrive_interleaved);
     tcase_add_test(cases, changes_are_applied_to_the_list_known_at_the_last_page);
