--- a/src/net/connect_probe.c
+++ b/src/net/connect_probe.c
@@ -1,6 +1,6 @@
 /**
  * @file connect_probe.c
- * @brief A connection and a timer; whichever is first decides.
+ * @brief Probe of an address: the first event of a connection attempt and a timer decides the result.
  */
 #include "net/connect_probe.h"
 
@@ -19,8 +19,8 @@
     uv_connect_t    connect;
     cw_probe_done_t done;
     void           *context;
-    bool            is_over;
-    int             handles; /* not closed yet */
+    bool            is_finished;
+    int             handles; /* libuv handles that are not closed yet */
 } probe_t;
 
 static void on_closed(uv_handle_t *handle)
@@ -32,12 +32,12 @@
     }
 }
 
-static void end(probe_t *probe, cw_probe_result_t result)
+static void finish(probe_t *probe, cw_probe_result_t result)
 {
-    if (probe->is_over) {
+    if (probe->is_finished) {
         return;
     }
-    probe->is_over = true;
+    probe->is_finished = true;
     uv_close((uv_handle_t *)&probe->tcp, on_closed);
     uv_close((uv_handle_t *)&probe->timer, on_closed);
     probe->done(probe->context, result);
@@ -49,15 +49,15 @@
                                : status == UV_ECONNREFUSED ? CW_PROBE_REFUSED
                                                            : CW_PROBE_UNKNOWN;
 
-    end(connect->data, result);
+    finish(connect->data, result);
 }
 
 static void on_timeout(uv_timer_t *timer)
 {
-    end(timer->data, CW_PROBE_UNKNOWN);
+    finish(timer->data, CW_PROBE_UNKNOWN);
 }
 
-static int read_address(const char *address, struct sockaddr_in *place)
+static int read_address(const char *address, struct sockaddr_in *socket_address)
 {
     char        host[ADDRESS_MAX];
     const char *colon = strrchr(address, ':');
@@ -66,14 +66,14 @@
         return UV_EINVAL;
     }
     snprintf(host, sizeof(host), "%.*s", (int)(colon - address), address);
-    return uv_ip4_addr(host, atoi(colon + 1), place);
+    return uv_ip4_addr(host, atoi(colon + 1), socket_address);
 }
 
 int cw_connect_probe(uv_loop_t *loop, const char *address, cw_time_us_t timeout, cw_probe_done_t done, void *context)
 {
-    struct sockaddr_in place;
+    struct sockaddr_in socket_address;
     probe_t           *probe;
-    int                error = read_address(address, &place);
+    int                error = read_address(address, &socket_address);
 
     if (error != 0) {
         return error;
@@ -88,8 +88,8 @@
     uv_tcp_init(loop, &probe->tcp);
     uv_timer_init(loop, &probe->timer);
     uv_timer_start(&probe->timer, on_timeout, (uint64_t)(timeout / 1000), 0);
-    if (uv_tcp_connect(&probe->connect, &probe->tcp, (const struct sockaddr *)&place, on_connected) != 0) {
-        uv_timer_start(&probe->timer, on_timeout, 0, 0); /* fails from the loop */
+    if (uv_tcp_connect(&probe->connect, &probe->tcp, (const struct sockaddr *)&socket_address, on_connected) != 0) {
+        uv_timer_start(&probe->timer, on_timeout, 0, 0); /* the failure is reported from the loop */
     }
     return 0;
 }
--- a/src/net/connect_probe.h
+++ b/src/net/connect_probe.h
@@ -1,6 +1,6 @@
 /**
  * @file connect_probe.h
- * @brief Does a process listen at an address? One connection is opened and closed, and nothing is sent.
+ * @brief Checks whether a process listens at an address by opening and closing one connection. No data is sent.
  */
 #ifndef CEDARWINCH_NET_CONNECT_PROBE_H
 #define CEDARWINCH_NET_CONNECT_PROBE_H
@@ -9,15 +9,18 @@
 
 #include "base/time.h"
 
+/** Outcome of a probe. */
 typedef enum cw_probe_result {
     CW_PROBE_CONNECTED,
-    CW_PROBE_REFUSED, /**< the machine answers, and nothing listens at the port */
-    CW_PROBE_UNKNOWN  /**< no answer in time, or another failure */
+    CW_PROBE_REFUSED, /**< the machine answers, but no process listens at the port */
+    CW_PROBE_UNKNOWN  /**< no answer within the timeout, or another failure */
 } cw_probe_result_t;
 
+/** Called once when a probe has ended. */
 typedef void (*cw_probe_done_t)(void *context, cw_probe_result_t result);
 
-/** The callback comes once, never from within this function. Returns 0, or a libuv error: then it does not come. */
+/** Starts a probe of "IPv4:PORT". Returns 0, and the callback is called once, after this function has returned; or a
+ * libuv error, and the callback is not called. */
 int cw_connect_probe(uv_loop_t *loop, const char *address, cw_time_us_t timeout, cw_probe_done_t done, void *context);
 
 #endif
--- a/src/net/http_header.c
+++ b/src/net/http_header.c
@@ -11,7 +11,7 @@
 
 #include "base/memory.h"
 
-enum { FIRST_CAPACITY = 8 };
+enum { INITIAL_CAPACITY = 8 };
 
 static char *append(char *text, const char *bytes, size_t length)
 {
@@ -26,7 +26,7 @@
 static cw_http_field_t *begin_field(cw_http_fields_t *fields)
 {
     if (fields->count == fields->capacity) {
-        fields->capacity = fields->capacity == 0 ? FIRST_CAPACITY : 2 * fields->capacity;
+        fields->capacity = fields->capacity == 0 ? INITIAL_CAPACITY : 2 * fields->capacity;
         fields->items = cw_memory_resize(fields->items, fields->capacity * sizeof(*fields->items));
     }
     memset(&fields->items[fields->count], 0, sizeof(fields->items[0]));
@@ -55,12 +55,12 @@
     field->value = append(field->value, bytes, length);
 }
 
-static char folded(char sign)
+static char fold(char sign)
 {
     return sign == '_' || sign == ' ' || sign == '\t' ? '-' : (char)tolower((unsigned char)sign);
 }
 
-static size_t length_without_blanks(const char *name)
+static size_t trimmed_length(const char *name)
 {
     size_t length = strlen(name);
 
@@ -72,14 +72,14 @@
 
 bool cw_http_name_is_alike(const char *left, const char *right)
 {
-    size_t length = length_without_blanks(left);
+    size_t length = trimmed_length(left);
     size_t index;
 
-    if (length != length_without_blanks(right)) {
+    if (length != trimmed_length(right)) {
         return false;
     }
     for (index = 0; index < length; index++) {
-        if (folded(left[index]) != folded(right[index])) {
+        if (fold(left[index]) != fold(right[index])) {
             return false;
         }
     }
@@ -98,7 +98,7 @@
     return NULL;
 }
 
-/* Is the token in a comma separated list? */
+/* True if the token is in a comma-separated list. */
 static bool list_has(const char *list, const char *token)
 {
     size_t length = strlen(token);
--- a/src/net/http_header.h
+++ b/src/net/http_header.h
@@ -1,6 +1,6 @@
 /**
  * @file http_header.h
- * @brief Header fields of one HTTP message, kept in the order of arrival.
+ * @brief Header fields of one HTTP message, in the order of arrival.
  */
 #ifndef CEDARWINCH_NET_HTTP_HEADER_H
 #define CEDARWINCH_NET_HTTP_HEADER_H
@@ -8,35 +8,41 @@
 #include <stdbool.h>
 #include <stddef.h>
 
+/** One header field. */
 typedef struct cw_http_field {
     char *name;
     char *value;
 } cw_http_field_t;
 
-/** Owned fields. All zero is an empty list. */
+/** List that owns its fields. All zeros is an empty list. */
 typedef struct cw_http_fields {
     cw_http_field_t *items;
     size_t           count;
     size_t           capacity;
 } cw_http_fields_t;
 
-/** Appends bytes to the last name or value; begins a new field when a name follows a value. */
+/** State of a parser callback that builds a list of fields. Bytes are appended to the last name or value; a name after
+ * a value begins a new field. */
 typedef struct cw_http_field_builder {
-    bool in_value;
+    bool in_value; /**< the last bytes belonged to a value */
 } cw_http_field_builder_t;
 
+/** Appends bytes of a field's name. */
 void cw_http_field_builder_name(cw_http_field_builder_t *builder, cw_http_fields_t *fields, const char *bytes,
                                 size_t length);
+/** Appends bytes of a field's value. */
 void cw_http_field_builder_value(cw_http_field_builder_t *builder, cw_http_fields_t *fields, const char *bytes,
                                  size_t length);
 
-/** Do two names mean the same to a lenient receiver? Without regard to case, "_" and blanks as "-", blanks at the end
- * ignored: what a caller must not set is to be recognised in any of these spellings. */
+/** True if a lenient receiver may treat two field names as the same: compared without regard to case, with "_" and
+ * blanks as "-", and without blanks at the end. A field that callers must not set is recognised in all these spellings.
+ */
 bool cw_http_name_is_alike(const char *left, const char *right);
-/** Value of the first field of this name, without regard to case; NULL: none. */
+/** Value of the first field with this name, compared without regard to case; NULL: there is none. */
 const char *cw_http_fields_find(const cw_http_fields_t *fields, const char *name);
-/** True for fields that speak of one connection only (RFC 9110, 7.6.1), also those that "Connection" names. */
+/** True for fields that apply to one connection only (RFC 9110, 7.6.1), including those listed in "Connection". */
 bool cw_http_field_is_hop_by_hop(const cw_http_fields_t *fields, const char *name);
+/** Frees all fields. */
 void cw_http_fields_clear(cw_http_fields_t *fields);
 
 #endif
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -1,6 +1,6 @@
 /**
  * @file http_listener.c
- * @brief HTTP/1.1 server: the listening socket, its connections, their end.
+ * @brief HTTP/1.1 server: listening socket, creation and end of connections.
  */
 #include <netinet/tcp.h>
 #include <stdlib.h>
@@ -14,8 +14,8 @@
 
 enum {
     BACKLOG = 512,
-    FRESH_MS = 300, /* a connection that has rested for less may have a request on its way */
-    USER_TIMEOUT_MS = 10 * 1000
+    MIN_IDLE_MS = 300,          /* a connection that has been idle for a shorter time may have a request in transit */
+    USER_TIMEOUT_MS = 10 * 1000 /* a connection ends if sent data is not acknowledged for this time */
 };
 
 cw_time_us_t cw_listener_now(const cw_http_listener_t *listener)
@@ -41,12 +41,12 @@
         cw_listener_exchange_free(exchange);
     }
     cw_bytes_clear(&connection->pending);
-    free(connection->turn_holder);
+    free(connection->blocking_request);
     free(connection);
 }
 
-/* Its requests that are with the handler go with it. */
-static void tell_gone(cw_http_connection_t *connection)
+/* Ends all requests of a connection that are with the handler, and releases the memory of its bodies. */
+static void cancel_requests(cw_http_connection_t *connection)
 {
     cw_http_listener_t  *listener = connection->listener;
     cw_pipeline_entry_t *entry;
@@ -55,7 +55,7 @@
     {
         cw_http_exchange_t *exchange = (cw_http_exchange_t *)entry;
 
-        if (entry->state == CW_PIPELINE_HANDED_OVER) {
+        if (entry->state == CW_PIPELINE_DISPATCHED) {
             cw_pipeline_answered(&connection->pipeline, entry, 0);
             listener->handler.gone(listener->handler.context, exchange);
         }
@@ -70,7 +70,7 @@
     }
     connection->state = CW_CONNECTION_CLOSED;
     cw_listener_stop_waiting(connection);
-    tell_gone(connection);
+    cancel_requests(connection);
     if (connection->incoming != NULL) {
         cw_listener_exchange_free(connection->incoming);
         connection->incoming = NULL;
@@ -107,7 +107,7 @@
     if (uv_fileno((uv_handle_t *)&connection->tcp, &fd) == 0) {
         (void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof(user_timeout_ms));
     }
-    cw_listener_begin_rest(connection);
+    cw_listener_begin_idle(connection);
     connection->is_reading = true;
     uv_read_start((uv_stream_t *)&connection->tcp, cw_listener_on_allocate, cw_listener_on_read);
 }
@@ -116,7 +116,7 @@
                             const cw_http_limits_t *limits, const cw_http_listener_handler_t *handler)
 {
     cw_http_listener_t *created = calloc(1, sizeof(*created));
-    struct sockaddr_in  place;
+    struct sockaddr_in  socket_address;
     int                 error;
 
     if (created == NULL) {
@@ -125,13 +125,13 @@
     created->loop = loop;
     created->limits = *limits;
     created->options.pipeline.depth = 1;
-    created->bodies.most = SIZE_MAX;
+    created->bodies.limit_bytes = SIZE_MAX;
     created->handler = *handler;
     created->tcp.data = created;
-    error = uv_ip4_addr(address, port, &place);
+    error = uv_ip4_addr(address, port, &socket_address);
     uv_tcp_init(loop, &created->tcp);
     if (error == 0) {
-        error = uv_tcp_bind(&created->tcp, (const struct sockaddr *)&place, 0);
+        error = uv_tcp_bind(&created->tcp, (const struct sockaddr *)&socket_address, 0);
     }
     if (error == 0) {
         error = uv_listen((uv_stream_t *)&created->tcp, BACKLOG, on_connection);
@@ -142,13 +142,13 @@
 
 uint16_t cw_http_listener_port(const cw_http_listener_t *listener)
 {
-    struct sockaddr_in place;
-    int                length = sizeof(place);
+    struct sockaddr_in socket_address;
+    int                length = sizeof(socket_address);
 
-    if (uv_tcp_getsockname(&listener->tcp, (struct sockaddr *)&place, &length) != 0) {
+    if (uv_tcp_getsockname(&listener->tcp, (struct sockaddr *)&socket_address, &length) != 0) {
         return 0;
     }
-    return ntohs(place.sin_port);
+    return ntohs(socket_address.sin_port);
 }
 
 void cw_http_listener_set_limits(cw_http_listener_t *listener, const cw_http_limits_t *limits)
@@ -162,7 +162,7 @@
     if (listener->options.pipeline.depth == 0) {
         listener->options.pipeline.depth = 1;
     }
-    listener->bodies.most = options->body_bytes_most == 0 ? SIZE_MAX : options->body_bytes_most;
+    listener->bodies.limit_bytes = options->body_bytes_most == 0 ? SIZE_MAX : options->body_bytes_most;
 }
 
 void cw_http_listener_set_rejects(cw_http_listener_t *listener, cw_http_rejects_t rejects)
@@ -170,17 +170,17 @@
     listener->rejects = rejects;
 }
 
-/* Only an answer whose head is not written yet can still say that it closes the connection. Without one the next
- * request is taken, and its answer says so. */
-static bool may_end(const cw_http_connection_t *connection)
+/* True if an answer can still announce the end of the connection, because its head is not written yet. Otherwise the
+ * next request is accepted, and its answer announces the end. */
+static bool can_announce_close(const cw_http_connection_t *connection)
 {
-    const cw_pipeline_entry_t *newest = cw_pipeline_newest_begun(&connection->pipeline);
+    const cw_pipeline_entry_t *newest = cw_pipeline_newest_dispatched(&connection->pipeline);
 
     return connection->state == CW_CONNECTION_OPEN && newest != NULL &&
-           !((const cw_http_exchange_t *)newest)->is_head_done;
+           !((const cw_http_exchange_t *)newest)->answer_head_done;
 }
 
-static void note_dropped(uint64_t count)
+static void log_dropped(uint64_t count)
 {
     cw_event_t event;
 
@@ -199,12 +199,12 @@
     listener->ending = true;
     DL_FOREACH(listener->connections, connection)
     {
-        if (may_end(connection)) {
+        if (can_announce_close(connection)) {
             cw_listener_end_pipeline(connection);
-            cw_listener_resume_later(connection); /* what lies in its buffers is thrown away */
+            cw_listener_resume_later(connection); /* discards the bytes in its buffers */
         }
     }
-    note_dropped(cw_metric_value(CW_METRIC_REQUESTS_DROPPED) - before);
+    log_dropped(cw_metric_value(CW_METRIC_REQUESTS_DROPPED) - before);
 }
 
 void cw_http_listener_close(cw_http_listener_t *listener)
@@ -218,8 +218,8 @@
     }
     DL_FOREACH_SAFE(listener->connections, connection, next)
     {
-        if (cw_listener_is_resting(connection) &&
-            cw_listener_now(listener) - connection->rest_begun_us >= CW_MS(FRESH_MS)) {
+        if (cw_listener_is_idle(connection) &&
+            cw_listener_now(listener) - connection->idle_since_us >= CW_MS(MIN_IDLE_MS)) {
             cw_listener_close_connection(connection);
         }
     }
@@ -232,7 +232,7 @@
 
     DL_FOREACH(listener->connections, connection)
     {
-        if (connection->state != CW_CONNECTION_CLOSED && !cw_listener_is_resting(connection)) {
+        if (connection->state != CW_CONNECTION_CLOSED && !cw_listener_is_idle(connection)) {
             busy++;
         }
     }
@@ -253,7 +253,7 @@
 
 size_t cw_http_listener_body_bytes(const cw_http_listener_t *listener)
 {
-    return listener->bodies.held;
+    return listener->bodies.reserved_bytes;
 }
 
 size_t cw_http_listener_connections(const cw_http_listener_t *listener)
--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -1,21 +1,20 @@
 /**
  * @file http_listener.h
- * @brief HTTP/1.1 server on libuv and http_parser: whole requests in, whole answers out, several of a connection at
- * once.
- *
- * Unlike a server library's own connections, these are read while requests are being answered, so that a caller's
- * hang-up is seen at once, and they are never closed under a request that was handed over.
+ * @brief HTTP/1.1 server on libuv and http_parser. It passes complete requests to a handler and writes complete
+ * answers; several requests of a connection are processed at once. Unlike the connections of common server libraries,
+ * these are read while requests are being processed, so that a caller's disconnect is detected immediately. They are
+ * never closed while a request is with the handler.
  *
  * Rules:
- *  - Requests that come in on one connection before the first is answered are handed over side by side; the handler
- *    answers in any order, the caller gets the answers in the order of its requests (net/http_pipeline.h).
- *  - Beyond the depth or the bytes of the options the connection is not read. A request's time counts from the moment
- * at which its head was read, so one that lies unread in the socket meanwhile has not begun.
- *  - Bodies are read whole before the handler gets the request, within one bound for all connections
- *    (net/body_budget.h), and kept until the answer, so that the handler may send them more than once.
- *  - A request that the handler rejects by its head is handed over without its body, which is thrown away: what is
- * behind it has not been read.
- *  - When the caller leaves, all its requests are gone.
+ *  - Requests that arrive on one connection before the first is answered are passed to the handler concurrently. The
+ *    handler answers in any order; the caller gets the answers in the order of its requests (net/http_pipeline.h).
+ *  - A connection is not read while its pipeline is at the depth or the bytes of the options. The time of a request
+ *    counts from when its head was read; a request that waits unread in the socket has not begun.
+ *  - Bodies are read completely before the handler gets the request, within one memory limit for all connections
+ *    (net/body_budget.h). They are kept until the answer, so that the handler may send them more than once.
+ *  - A request that the handler rejects by its head is passed on without its body. The body and all later input of the
+ *    connection are discarded, so later requests have not been read.
+ *  - When the caller disconnects, all its requests end.
  */
 #ifndef CEDARWINCH_NET_HTTP_LISTENER_H
 #define CEDARWINCH_NET_HTTP_LISTENER_H
@@ -30,82 +29,95 @@
 #include "net/http_pipeline.h"
 
 typedef struct cw_http_listener cw_http_listener_t;
-/** One request on its connection. Ends with its answer or when the caller leaves. */
+/** One request on its connection. It ends with its answer or when the caller disconnects. */
 typedef struct cw_http_exchange cw_http_exchange_t;
 
-/** What callers may send, and for how long they may take or rest. */
+/** Limits of callers' requests and times. */
 typedef struct cw_http_limits {
-    size_t       header_bytes;   /**< longer: 431 */
-    size_t       body_bytes;     /**< longer: 413 */
-    cw_time_us_t header_timeout; /**< from a request's first byte to its head's last: 408 */
-    cw_time_us_t idle_timeout;   /**< a resting connection is closed; so long may a body or an answer stand still */
+    size_t header_bytes; /**< maximum size of a head; longer: 431 */
+    size_t body_bytes;   /**< maximum size of a body; longer: 413 */
+    cw_time_us_t
+        header_timeout;        /**< time from the first byte of a request to the last byte of its head; exceeded: 408 */
+    cw_time_us_t idle_timeout; /**< an idle connection is closed after this time; also the maximum time without progress
+                                  of a body or an answer */
 } cw_http_limits_t;
 
-/** How many requests of a connection are served at once, and what their bodies may take. All zero: one at a time, and
- * bodies bounded by the limits alone. */
+/** Concurrency of a connection's requests and memory of bodies. All zeros: one request at a time, and bodies limited by
+ * cw_http_limits_t alone. */
 typedef struct cw_http_listener_options {
     cw_pipeline_limits_t pipeline;
-    size_t               body_bytes_most; /**< of all bodies that are held at once; 0: no bound */
-    cw_time_us_t         body_wait;       /**< a body that finds no memory for so long is refused with 503 */
-    const char          *request_id_name; /**< header that names a request in the log; NULL: none does */
+    size_t               body_bytes_most; /**< maximum size of all bodies in memory; 0: unlimited */
+    cw_time_us_t         body_wait;       /**< a body that waits for memory for this time is refused with 503 */
+    const char
+        *request_id_name; /**< header by whose value a request is named in the log; NULL: requests are not named */
 } cw_http_listener_options_t;
 
+/** A request as the handler gets it. Valid until its answer. */
 typedef struct cw_http_inbound {
     const char             *method;
-    const char             *target; /**< path and query as sent */
+    const char             *target; /**< path and query as received */
     const cw_http_fields_t *fields;
     const char             *body;
     size_t                  body_length;
-    cw_time_us_t            arrived_us;   /**< when the request's head was whole */
-    bool                    without_body; /**< its body was not read, since the handler rejects it */
+    cw_time_us_t            arrived_us; /**< time at which the last byte of the head was read */
+    bool without_body; /**< the body was not read, because the handler rejects the request by its head */
 } cw_http_inbound_t;
 
+/** Callbacks of a listener. */
 typedef struct cw_http_listener_handler {
     void *context;
-    /** A whole request has been read. The exchange may be answered from within. */
+    /** A complete request has been read. The handler may answer the exchange within this call. */
     void (*request)(void *context, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound);
-    /** The caller left before the answer, or its connection has ended; the exchange is gone when this returns. */
+    /** The caller disconnected before the answer, or its connection has ended. The exchange is invalid once this
+     * returns. */
     void (*gone)(void *context, cw_http_exchange_t *exchange);
 } cw_http_listener_handler_t;
 
-/** The head of a request with a body has been read: does the handler reject it whatever its body is? Then it is handed
- * over in its turn without one, and its answer closes the connection. context: the handler's. */
+/** Called when the head of a request with a body has been read. Returns true if the handler rejects the request
+ * whatever its body is. The request is then passed on in its turn without a body, and its answer closes the connection.
+ * context: the handler's. */
 typedef bool (*cw_http_rejects_t)(void *context, const cw_http_inbound_t *head);
 
+/** An answer. Copied by cw_http_exchange_answer. */
 typedef struct cw_http_outbound {
     int                     status;
-    const cw_http_fields_t *fields; /**< hop-by-hop fields in it are left out; NULL: none */
+    const cw_http_fields_t *fields; /**< header fields, of which hop-by-hop fields are left out; NULL: none */
     const char             *body;
     size_t                  body_length;
-    double                  retry_after_s; /**< below 0: not said */
-    const char             *request_id_name;
-    const char             *request_id; /**< NULL: none */
+    double                  retry_after_s;   /**< value of Retry-After, in seconds; below 0: not sent */
+    const char             *request_id_name; /**< name of the header with the request's id */
+    const char             *request_id;      /**< NULL: not sent */
 } cw_http_outbound_t;
 
 /** Listens on an IPv4 address and port. Returns 0 or a libuv error. */
 int cw_http_listener_create(cw_http_listener_t **listener, uv_loop_t *loop, const char *address, uint16_t port,
                             const cw_http_limits_t *limits, const cw_http_listener_handler_t *handler);
-/** The port that is listened on. */
+/** The port on which it listens. */
 uint16_t cw_http_listener_port(const cw_http_listener_t *listener);
-/** For connections and requests that begin from now on. */
+/** Sets the options of connections and requests that begin from now on. */
 void cw_http_listener_set_options(cw_http_listener_t *listener, const cw_http_listener_options_t *options);
-/** Limits of requests that begin from now on. A resting connection keeps the longer of its idle times. */
+/** Sets the limits of requests that begin from now on. A connection that is idle now keeps the longer idle timeout. */
 void cw_http_listener_set_limits(cw_http_listener_t *listener, const cw_http_limits_t *limits);
-/** For requests whose heads are read from now on. NULL: none is rejected by its head. */
+/** Sets the callback for requests whose heads are read from now on. NULL: no request is rejected by its head. */
 void cw_http_listener_set_rejects(cw_http_listener_t *listener, cw_http_rejects_t rejects);
-/** From now on connections end: with the answer to the last request that was handed over, or to the next one. */
+/** From now on every connection ends: with the answer to the last request that was passed on, or to the next request.
+ */
 void cw_http_listener_end_connections(cw_http_listener_t *listener);
-/** Stops accepting and closes connections that have rested for a moment; to be called again until none is left. */
+/** Stops accepting connections and closes those that have been idle for a moment (MIN_IDLE_MS). To be called again
+ * until no connection is left. */
 void cw_http_listener_close(cw_http_listener_t *listener);
-/** Connections with a request that was begun or an answer that is being written. */
+/** Number of connections with a request that has begun or an answer that is being written. */
 size_t cw_http_listener_busy(const cw_http_listener_t *listener);
+/** Number of open connections. */
 size_t cw_http_listener_connections(const cw_http_listener_t *listener);
-/** Bytes reserved for bodies. */
+/** Number of bytes reserved for bodies. */
 size_t cw_http_listener_body_bytes(const cw_http_listener_t *listener);
 
+/** Answers a request; written in its turn. Ignored if the exchange is answered already or its connection has ended. */
 void cw_http_exchange_answer(cw_http_exchange_t *exchange, const cw_http_outbound_t *outbound);
-/** The connection closes in this request's turn, without an answer; what is behind it is gone. */
-void  cw_http_exchange_abort(cw_http_exchange_t *exchange);
+/** Closes the connection in this request's turn, without an answer. Later requests of the connection end. */
+void cw_http_exchange_abort(cw_http_exchange_t *exchange);
+/** Data of the handler that belongs to an exchange. */
 void  cw_http_exchange_set_data(cw_http_exchange_t *exchange, void *data);
 void *cw_http_exchange_data(const cw_http_exchange_t *exchange);
 
--- a/src/net/http_listener_answer.c
+++ b/src/net/http_listener_answer.c
@@ -1,9 +1,8 @@
 /**
  * @file http_listener_answer.c
- * @brief Answers: their form, their turn, their writing.
- *
- * An answer is kept as its head without the last lines and its body: whether it closes the connection is known when its
- * turn comes. It is written from there, so that no byte is copied a second time.
+ * @brief Answers of the HTTP server: format, order, writing.
+ * An answer is kept as its body and its head without the last lines, since whether it closes the connection is decided
+ * only when its turn comes. It is written from these two buffers, so that no byte is copied a second time.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,12 +12,12 @@
 #include "net/http_listener_internal.h"
 
 enum {
-    WAIT_NOTED_MS = 50, /* waits for an earlier answer below this are counted, not logged */
+    WAIT_LOGGED_MS = 50, /* shorter waits for an earlier answer are counted, but not logged */
     NO_CONTENT = 204,
     NOT_MODIFIED = 304
 };
 
-/* ---- form ---- */
+/* ---- format ---- */
 
 static bool has_body(const cw_http_exchange_t *exchange, int status)
 {
@@ -66,7 +65,7 @@
 
 static void finish_head(cw_http_exchange_t *exchange, bool closes)
 {
-    exchange->is_head_done = true;
+    exchange->answer_head_done = true;
     exchange->closes = closes;
     if (closes) {
         cw_bytes_append_text(&exchange->answer_head, "Connection: close\r\n");
@@ -76,7 +75,7 @@
     cw_bytes_append(&exchange->answer_head, "\r\n", 2);
 }
 
-/* ---- turn ---- */
+/* ---- order ---- */
 
 const char *cw_listener_request_name(const cw_http_exchange_t *exchange)
 {
@@ -85,36 +84,36 @@
     return name == NULL ? NULL : cw_http_fields_find(&exchange->fields, name);
 }
 
-/* The oldest request is answered while others are behind it: it is the one for which they waited. */
-static void note_turn_holder(const cw_http_exchange_t *exchange)
+/* Called when the oldest request is answered and others follow: saves its name as the one for which they waited. */
+static void save_blocking_request(const cw_http_exchange_t *exchange)
 {
     cw_http_connection_t *connection = exchange->connection;
     const char           *name = cw_listener_request_name(exchange);
 
-    free(connection->turn_holder);
-    connection->turn_holder = name == NULL ? NULL : strdup(name);
+    free(connection->blocking_request);
+    connection->blocking_request = name == NULL ? NULL : strdup(name);
 }
 
-/* An answer's turn has come, after it waited for earlier ones. */
-static void note_wait(const cw_http_exchange_t *exchange)
+/* Counts and logs an answer whose turn has come after it waited for earlier ones. */
+static void record_wait(const cw_http_exchange_t *exchange)
 {
     cw_time_us_t waited = cw_listener_now(exchange->connection->listener) - exchange->answered_us;
     cw_event_t   event;
 
     cw_metric_add(CW_METRIC_ANSWERS_WAITED, 1);
     cw_histogram_add(CW_HISTOGRAM_TURN, "all", waited);
-    if (waited < CW_MS(WAIT_NOTED_MS) || !cw_event_begin(&event, CW_EVENT_ANSWER_WAITED)) {
+    if (waited < CW_MS(WAIT_LOGGED_MS) || !cw_event_begin(&event, CW_EVENT_ANSWER_WAITED)) {
         return;
     }
     cw_event_text(&event, CW_FIELD_REQUEST, cw_listener_request_name(exchange));
     cw_event_ms(&event, CW_FIELD_WAITED_MS, waited);
-    cw_event_text(&event, CW_FIELD_WAITED_FOR, exchange->connection->turn_holder);
+    cw_event_text(&event, CW_FIELD_WAITED_FOR, exchange->connection->blocking_request);
     cw_event_end(&event);
 }
 
 /* ---- writing ---- */
 
-static void on_shut(uv_shutdown_t *request, int status)
+static void on_shutdown(uv_shutdown_t *request, int status)
 {
     (void)request;
     (void)status;
@@ -124,9 +123,9 @@
 {
     connection->state = CW_CONNECTION_LINGERING;
     connection->linger_until = cw_listener_now(connection->listener) + CW_MS(CW_LINGER_MS);
-    connection->linger_most = cw_listener_now(connection->listener) + CW_SECONDS(CW_LINGER_MOST_S);
+    connection->linger_deadline = cw_listener_now(connection->listener) + CW_SECONDS(CW_LINGER_MAX_S);
     cw_listener_end_pipeline(connection);
-    if (uv_shutdown(&connection->shutdown, (uv_stream_t *)&connection->tcp, on_shut) != 0) {
+    if (uv_shutdown(&connection->shutdown, (uv_stream_t *)&connection->tcp, on_shutdown) != 0) {
         cw_listener_close_connection(connection);
     }
 }
@@ -140,8 +139,8 @@
     cw_listener_exchange_free(exchange);
     if (closes) {
         linger(connection);
-    } else if (cw_listener_is_resting(connection)) {
-        cw_listener_begin_rest(connection);
+    } else if (cw_listener_is_idle(connection)) {
+        cw_listener_begin_idle(connection);
     }
 }
 
@@ -161,7 +160,7 @@
     cw_listener_write(connection);
 }
 
-static void skip(uv_buf_t *buffer, size_t *sent)
+static void skip_sent(uv_buf_t *buffer, size_t *sent)
 {
     size_t part = *sent < buffer->len ? *sent : buffer->len;
 
@@ -170,7 +169,7 @@
     *sent -= part;
 }
 
-/* True: the whole answer is with the kernel. */
+/* Returns true if the kernel accepted the complete answer at once; otherwise libuv writes the rest. */
 static bool write_answer(cw_http_connection_t *connection, cw_http_exchange_t *exchange)
 {
     uv_buf_t buffers[] = {uv_buf_init(exchange->answer_head.data, (unsigned)exchange->answer_head.length),
@@ -183,8 +182,8 @@
     if (sent == whole) {
         return true;
     }
-    skip(&buffers[0], &sent);
-    skip(&buffers[1], &sent);
+    skip_sent(&buffers[0], &sent);
+    skip_sent(&buffers[1], &sent);
     connection->write.data = connection;
     if (uv_write(&connection->write, (uv_stream_t *)&connection->tcp, buffers, count, on_written) != 0) {
         cw_listener_close_connection(connection);
@@ -208,8 +207,8 @@
             cw_listener_close_connection(connection);
             return;
         }
-        if (exchange->has_waited) {
-            note_wait(exchange);
+        if (exchange->is_early) {
+            record_wait(exchange);
         }
         finish_head(exchange, cw_pipeline_closes(&connection->pipeline, entry));
         if (write_answer(connection, exchange)) {
@@ -219,7 +218,7 @@
     if (!connection->is_advancing && cw_listener_has_more(connection)) {
         connection->resume_due = true;
     }
-    cw_listener_arm(connection);
+    cw_listener_arm_timer(connection);
 }
 
 void cw_listener_send_continue(cw_http_connection_t *connection)
@@ -227,7 +226,7 @@
     static char interim[] = "HTTP/1.1 100 Continue\r\n\r\n";
     uv_buf_t    buffer = uv_buf_init(interim, sizeof(interim) - 1);
 
-    if (connection->incoming == NULL || !connection->incoming->wants_continue || connection->room_wanted > 0 ||
+    if (connection->incoming == NULL || !connection->incoming->wants_continue || connection->memory_wanted > 0 ||
         connection->pipeline.count > 0) {
         return;
     }
@@ -235,9 +234,9 @@
     (void)uv_try_write((uv_stream_t *)&connection->tcp, &buffer, 1);
 }
 
-/* ---- the answer of the handler, or the listener's own ---- */
+/* ---- answers of the handler and of the listener ---- */
 
-static void settle(cw_http_exchange_t *exchange, const cw_http_outbound_t *outbound)
+static void store_answer(cw_http_exchange_t *exchange, const cw_http_outbound_t *outbound)
 {
     cw_http_connection_t *connection = exchange->connection;
 
@@ -248,11 +247,11 @@
     exchange->answered_us = cw_listener_now(connection->listener);
     cw_pipeline_answered(&connection->pipeline, &exchange->entry,
                          exchange->answer_head.length + exchange->answer_body.length);
-    exchange->has_waited = connection->pipeline.entries != &exchange->entry;
-    if (!exchange->has_waited && exchange->entry.next != NULL) {
-        note_turn_holder(exchange);
+    exchange->is_early = connection->pipeline.entries != &exchange->entry;
+    if (!exchange->is_early && exchange->entry.next != NULL) {
+        save_blocking_request(exchange);
     }
-    if (!exchange->in_handler) { /* kept for repeats until now */
+    if (!exchange->in_handler) { /* the body was kept for repeated sending until now */
         cw_listener_release(exchange, exchange->reserved);
         cw_bytes_clear(&exchange->body);
     }
@@ -261,12 +260,12 @@
 
 void cw_http_exchange_answer(cw_http_exchange_t *exchange, const cw_http_outbound_t *outbound)
 {
-    if (exchange->entry.state == CW_PIPELINE_HANDED_OVER && exchange->connection->state == CW_CONNECTION_OPEN) {
-        settle(exchange, outbound);
+    if (exchange->entry.state == CW_PIPELINE_DISPATCHED && exchange->connection->state == CW_CONNECTION_OPEN) {
+        store_answer(exchange, outbound);
     }
 }
 
-static void note_refusal(const cw_http_exchange_t *exchange, int status, const char *reason)
+static void log_refusal(const cw_http_exchange_t *exchange, int status, const char *reason)
 {
     cw_event_t event;
 
@@ -283,10 +282,10 @@
     cw_http_outbound_t  outbound = {.status = status, .retry_after_s = retry_after_s};
     cw_http_exchange_t *exchange = connection->incoming;
 
-    note_refusal(exchange, status, reason);
+    log_refusal(exchange, status, reason);
     cw_listener_stop_waiting(connection);
     connection->incoming = NULL;
     exchange->entry.last = true;
     cw_pipeline_append(&connection->pipeline, &exchange->entry);
-    settle(exchange, &outbound);
+    store_answer(exchange, &outbound);
 }
--- a/src/net/http_listener_body.c
+++ b/src/net/http_listener_body.c
@@ -1,10 +1,9 @@
 /**
  * @file http_listener_body.c
- * @brief Memory for bodies, over all connections: who waits for it, in the order of coming.
- *
- * A body of known length has all its memory before its first byte is read, one in chunks piece by piece. A connection
- * that waits is not read, which holds its caller up. A body that finds no memory in time is refused with 503: its
- * request was not handed to anybody.
+ * @brief Memory for bodies over all connections, and the queue of connections that wait for it.
+ * The memory of a body of known length is reserved before its first byte is read, that of a chunked body piece by
+ * piece. A waiting connection is not read, which slows its caller down by TCP flow control. A body that gets no memory
+ * within the wait time is refused with 503: its request was not passed to the handler.
  */
 #include <utlist.h>
 
@@ -13,14 +12,15 @@
 
 enum { STATUS_UNAVAILABLE = 503 };
 
-/* Without waits of its own a listener says so much to callers that find no memory. */
-static const cw_time_us_t come_back_min = CW_MS(100);
+/* Lowest value of Retry-After for callers whose bodies get no memory; applies if the listener's wait time is shorter.
+ */
+static const cw_time_us_t retry_after_min = CW_MS(100);
 
-static void wait_for_room(cw_http_connection_t *connection, size_t bytes)
+static void wait_for_memory(cw_http_connection_t *connection, size_t bytes)
 {
-    connection->room_wanted = bytes;
-    connection->room_since = cw_listener_now(connection->listener);
-    DL_APPEND2(connection->listener->room_waiting, connection, room_prev, room_next);
+    connection->memory_wanted = bytes;
+    connection->memory_wait_since = cw_listener_now(connection->listener);
+    DL_APPEND2(connection->listener->memory_waiters, connection, waiter_prev, waiter_next);
     cw_metric_add(CW_METRIC_BODIES_WAITED, 1);
 }
 
@@ -31,19 +31,19 @@
     if (bytes == 0) {
         return true;
     }
-    if (listener->room_waiting != NULL || !cw_body_budget_reserve(&listener->bodies, bytes)) {
-        wait_for_room(connection, bytes);
+    if (listener->memory_waiters != NULL || !cw_body_budget_reserve(&listener->bodies, bytes)) {
+        wait_for_memory(connection, bytes);
         return false;
     }
     connection->incoming->reserved += bytes;
     return true;
 }
 
-/* The first that waits may find room now. */
+/* Resumes the first waiting connection, which may get its memory now. */
 static void wake_first(cw_http_listener_t *listener)
 {
-    if (listener->room_waiting != NULL) {
-        cw_listener_resume_later(listener->room_waiting);
+    if (listener->memory_waiters != NULL) {
+        cw_listener_resume_later(listener->memory_waiters);
     }
 }
 
@@ -51,13 +51,13 @@
 {
     cw_http_listener_t *listener = connection->listener;
     cw_time_us_t        now = cw_listener_now(listener);
-    size_t              wanted = connection->room_wanted;
+    size_t              wanted = connection->memory_wanted;
 
-    if (listener->room_waiting != connection || !cw_body_budget_reserve(&listener->bodies, wanted)) {
+    if (listener->memory_waiters != connection || !cw_body_budget_reserve(&listener->bodies, wanted)) {
         return false;
     }
     connection->incoming->reserved += wanted;
-    connection->incoming->room_waited += now - connection->room_since;
+    connection->incoming->memory_waited += now - connection->memory_wait_since;
     connection->body_read_us = now;
     cw_listener_stop_waiting(connection);
     return true;
@@ -79,11 +79,11 @@
 {
     cw_http_listener_t *listener = connection->listener;
 
-    if (connection->room_wanted == 0) {
+    if (connection->memory_wanted == 0) {
         return;
     }
-    connection->room_wanted = 0;
-    DL_DELETE2(listener->room_waiting, connection, room_prev, room_next);
+    connection->memory_wanted = 0;
+    DL_DELETE2(listener->memory_waiters, connection, waiter_prev, waiter_next);
     wake_first(listener);
 }
 
@@ -92,6 +92,6 @@
     cw_time_us_t wait = connection->listener->options.body_wait;
 
     cw_metric_add(CW_METRIC_REFUSED_BODIES, 1);
-    cw_listener_refuse(connection, STATUS_UNAVAILABLE, (double)(wait > come_back_min ? wait : come_back_min) / 1e6,
+    cw_listener_refuse(connection, STATUS_UNAVAILABLE, (double)(wait > retry_after_min ? wait : retry_after_min) / 1e6,
                        "no memory for its body in time");
 }
--- a/src/net/http_listener_exchange.c
+++ b/src/net/http_listener_exchange.c
@@ -1,6 +1,6 @@
 /**
  * @file http_listener_exchange.c
- * @brief One request: its memory, its way to the handler, its end without an answer.
+ * @brief One request: allocation, call of the handler, end without an answer.
  */
 #include <stdlib.h>
 
@@ -19,7 +19,7 @@
 void cw_listener_exchange_free(cw_http_exchange_t *exchange)
 {
     if (exchange->in_handler) {
-        exchange->is_done = true;
+        exchange->free_after_handler = true;
         return;
     }
     cw_listener_release(exchange, exchange->reserved);
@@ -42,34 +42,34 @@
                                .without_body = exchange->without_body};
 }
 
-static void hand_over(cw_http_connection_t *connection, cw_http_exchange_t *exchange)
+static void dispatch(cw_http_connection_t *connection, cw_http_exchange_t *exchange)
 {
     cw_http_listener_t *listener = connection->listener;
     cw_http_inbound_t   inbound = cw_listener_inbound(exchange);
 
-    exchange->entry.state = CW_PIPELINE_HANDED_OVER;
+    exchange->entry.state = CW_PIPELINE_DISPATCHED;
     exchange->in_handler = true;
     listener->handler.request(listener->handler.context, exchange, &inbound);
     exchange->in_handler = false;
-    if (exchange->is_done) {
+    if (exchange->free_after_handler) {
         cw_listener_exchange_free(exchange);
     }
 }
 
-void cw_listener_hand_over(cw_http_connection_t *connection)
+void cw_listener_dispatch(cw_http_connection_t *connection)
 {
     cw_pipeline_entry_t *entry;
 
     while (connection->state == CW_CONNECTION_OPEN &&
-           (entry = cw_pipeline_next_to_hand_over(&connection->pipeline)) != NULL) {
+           (entry = cw_pipeline_next_to_dispatch(&connection->pipeline)) != NULL) {
         if (entry != connection->pipeline.entries) {
             cw_metric_add(CW_METRIC_PIPELINED, 1);
         }
-        if (connection->listener->ending) { /* its answer closes the connection */
-            entry->state = CW_PIPELINE_HANDED_OVER;
+        if (connection->listener->ending) { /* the answer closes the connection */
+            entry->state = CW_PIPELINE_DISPATCHED;
             cw_listener_end_pipeline(connection);
         }
-        hand_over(connection, (cw_http_exchange_t *)entry);
+        dispatch(connection, (cw_http_exchange_t *)entry);
     }
 }
 
@@ -89,15 +89,15 @@
     }
 }
 
-/* The requests behind one that will have no answer: those that are with the handler go. */
-static void drop_behind(cw_http_connection_t *connection, const cw_http_exchange_t *exchange)
+/* Drops all requests after one that will have no answer, and ends those that are with the handler. */
+static void drop_later_requests(cw_http_connection_t *connection, const cw_http_exchange_t *exchange)
 {
     cw_http_listener_t *listener = connection->listener;
 
     cw_listener_end_pipeline(connection);
     while (exchange->entry.next != NULL) {
         cw_http_exchange_t *newest = (cw_http_exchange_t *)connection->pipeline.entries->prev;
-        bool                with_handler = newest->entry.state == CW_PIPELINE_HANDED_OVER;
+        bool                with_handler = newest->entry.state == CW_PIPELINE_DISPATCHED;
 
         cw_pipeline_remove(&connection->pipeline, &newest->entry);
         if (with_handler) {
@@ -112,12 +112,12 @@
 {
     cw_http_connection_t *connection = exchange->connection;
 
-    if (exchange->entry.state != CW_PIPELINE_HANDED_OVER || connection->state != CW_CONNECTION_OPEN) {
+    if (exchange->entry.state != CW_PIPELINE_DISPATCHED || connection->state != CW_CONNECTION_OPEN) {
         return;
     }
     exchange->aborted = true;
     cw_pipeline_answered(&connection->pipeline, &exchange->entry, 0);
-    drop_behind(connection, exchange);
+    drop_later_requests(connection, exchange);
     cw_listener_write(connection);
 }
 
--- a/src/net/http_listener_request.c
+++ b/src/net/http_listener_request.c
@@ -1,6 +1,6 @@
 /**
  * @file http_listener_request.c
- * @brief Reading of requests: limits, bodies, and when a connection is not read.
+ * @brief Reading of requests: parsing, limits, bodies, and when a connection is not read.
  */
 #include <string.h>
 #include <strings.h>
@@ -10,7 +10,7 @@
 
 enum { STATUS_TOO_LONG = 413, STATUS_HEADER_TOO_LONG = 431, STATUS_BAD_REQUEST = 400, STATUS_UNAVAILABLE = 503 };
 
-/* ---- what the parser finds ---- */
+/* ---- callbacks of the parser ---- */
 
 static cw_http_exchange_t *incoming_of(const http_parser *parser)
 {
@@ -44,7 +44,7 @@
 {
     cw_http_exchange_t *incoming = incoming_of(parser);
 
-    if (!incoming->head_done) { /* trailers are dropped */
+    if (!incoming->head_done) { /* trailer fields are dropped */
         cw_http_field_builder_name(&incoming->builder, &incoming->fields, bytes, length);
     }
     return count_head(parser, length + 2);
@@ -60,13 +60,14 @@
     return count_head(parser, length + 2);
 }
 
-/* A body of known length: its memory first. False: it can never have it here. */
-static bool announce_body(http_parser *parser)
+/* Reserves the memory of a body of known length, or makes the connection wait for it. Returns false if the body exceeds
+ * the limit for all bodies and can therefore never be accepted. */
+static bool reserve_body(http_parser *parser)
 {
     cw_http_connection_t *connection = parser->data;
     size_t                length = (size_t)parser->content_length;
 
-    if (length > connection->listener->bodies.most) {
+    if (length > connection->listener->bodies.limit_bytes) {
         connection->incoming->refusal = STATUS_UNAVAILABLE;
         return false;
     }
@@ -76,7 +77,7 @@
     return true;
 }
 
-static void note_head(http_parser *parser)
+static void record_head(http_parser *parser)
 {
     cw_http_connection_t *connection = parser->data;
     cw_http_exchange_t   *incoming = connection->incoming;
@@ -99,7 +100,7 @@
     return (parser->flags & F_CHUNKED) != 0 || (has_length && parser->content_length > 0);
 }
 
-/* By the handler, whatever its body is. */
+/* True if the handler rejects the request by its head. */
 static bool is_rejected(const http_parser *parser)
 {
     cw_http_connection_t     *connection = parser->data;
@@ -119,7 +120,7 @@
 {
     cw_http_exchange_t *incoming = incoming_of(parser);
 
-    note_head(parser);
+    record_head(parser);
     if (parser->upgrade || parser->method == HTTP_CONNECT) {
         incoming->refusal = STATUS_BAD_REQUEST;
         return -1;
@@ -133,9 +134,9 @@
             incoming->refusal = STATUS_TOO_LONG;
             return -1;
         }
-        return announce_body(parser) ? 0 : -1;
+        return reserve_body(parser) ? 0 : -1;
     }
-    if (incoming->is_chunked) { /* its pieces get their memory one by one */
+    if (incoming->is_chunked) { /* memory is reserved for each piece */
         http_parser_pause(parser, 1);
     }
     return 0;
@@ -171,7 +172,7 @@
                                                      .on_body = on_body,
                                                      .on_message_complete = on_message};
 
-/* ---- one piece of bytes ---- */
+/* ---- parsing of one piece of input ---- */
 
 static void begin_request(cw_http_connection_t *connection)
 {
@@ -181,27 +182,27 @@
     connection->parser.data = connection;
 }
 
-/* RFC 9110, 9.2.1: what these do is the same however often they run. */
+/* Safe methods of RFC 9110, 9.2.1: their effect is the same however often they are executed. */
 static bool is_safe_method(const char *method)
 {
     return strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0 || strcmp(method, "OPTIONS") == 0;
 }
 
-static void take_message(cw_http_connection_t *connection)
+static void finish_message(cw_http_connection_t *connection)
 {
     cw_http_exchange_t *exchange = connection->incoming;
 
     connection->incoming = NULL;
-    if (exchange->reserved > exchange->body.length) { /* the framing of chunks */
+    if (exchange->reserved > exchange->body.length) { /* the framing of chunks needs no memory of the body */
         cw_listener_release(exchange, exchange->reserved - exchange->body.length);
     }
     cw_bytes_append(&exchange->target, "", 1);
     exchange->entry.is_safe = is_safe_method(exchange->method);
     cw_pipeline_append(&connection->pipeline, &exchange->entry);
-    cw_listener_hand_over(connection);
+    cw_listener_dispatch(connection);
 }
 
-static void refuse_bad(cw_http_connection_t *connection)
+static void refuse_invalid(cw_http_connection_t *connection)
 {
     int refusal = connection->incoming->refusal;
 
@@ -214,7 +215,7 @@
                                     : http_errno_name(HTTP_PARSER_ERRNO(&connection->parser)));
 }
 
-/* Memory for the next piece of a body in chunks. */
+/* Reserves memory for the next piece of a chunked body. False: the connection waits for it. */
 static bool reserve_piece(cw_http_connection_t *connection, size_t length)
 {
     const cw_http_exchange_t *incoming = connection->incoming;
@@ -224,13 +225,13 @@
            cw_listener_reserve(connection, needed - incoming->reserved);
 }
 
-/* Gives how many bytes it took; 0: the connection waits for memory. */
+/* Returns the number of parsed bytes; 0: the connection waits for memory. */
 static size_t parse_piece(cw_http_connection_t *connection, const char *bytes, size_t length)
 {
     size_t parsed;
 
     if (connection->incoming == NULL) {
-        if (*bytes == '\r' || *bytes == '\n') { /* empty lines between requests: RFC 9112, 2.2 */
+        if (*bytes == '\r' || *bytes == '\n') { /* empty lines between requests are ignored: RFC 9112, 2.2 */
             return 1;
         }
         begin_request(connection);
@@ -241,31 +242,32 @@
     parsed = http_parser_execute(&connection->parser, &parser_settings, bytes, length);
     connection->body_read_us = cw_listener_now(connection->listener);
     if (connection->incoming->message_done) {
-        take_message(connection);
+        finish_message(connection);
     } else if (connection->incoming->without_body) {
         connection->incoming->entry.last = true;
         cw_metric_add(CW_METRIC_BODIES_UNREAD, 1);
-        take_message(connection);
-    } else if (HTTP_PARSER_ERRNO(&connection->parser) == HPE_PAUSED) { /* the head is done */
+        finish_message(connection);
+    } else if (HTTP_PARSER_ERRNO(&connection->parser) == HPE_PAUSED) { /* paused after the head */
         http_parser_pause(&connection->parser, 0);
     } else if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK) {
-        refuse_bad(connection);
+        refuse_invalid(connection);
     }
     return parsed;
 }
 
-/* ---- when bytes are parsed, and when they are read ---- */
+/* ---- control of parsing and reading ---- */
 
 static bool may_parse(cw_http_connection_t *connection)
 {
-    if (connection->room_wanted > 0 && !cw_listener_retry_reserve(connection)) {
+    if (connection->memory_wanted > 0 && !cw_listener_retry_reserve(connection)) {
         return false;
     }
     return connection->incoming != NULL ||
            cw_pipeline_has_room(&connection->pipeline, &connection->listener->options.pipeline);
 }
 
-/* Gives how many bytes were used; all of them, thrown away, when nothing more is read from this connection. */
+/* Returns the number of consumed bytes. If no further request is read from this connection, all bytes are discarded and
+ * count as consumed. */
 static size_t parse(cw_http_connection_t *connection, const char *bytes, size_t length)
 {
     size_t used = 0;
@@ -283,7 +285,7 @@
     return used;
 }
 
-static void set_reading(cw_http_connection_t *connection)
+static void update_reading(cw_http_connection_t *connection)
 {
     bool wanted = connection->pending.length == 0;
 
@@ -305,13 +307,13 @@
     if (connection->state != CW_CONNECTION_OPEN) {
         return connection->pending.length > 0;
     }
-    if (cw_pipeline_next_to_hand_over(&connection->pipeline) != NULL) {
+    if (cw_pipeline_next_to_dispatch(&connection->pipeline) != NULL) {
         return true;
     }
     if (connection->incoming != NULL && connection->incoming->wants_continue) {
         return connection->pipeline.count == 0;
     }
-    return connection->pending.length > 0 && connection->room_wanted == 0 &&
+    return connection->pending.length > 0 && connection->memory_wanted == 0 &&
            (connection->pipeline.ended || connection->incoming != NULL ||
             cw_pipeline_has_room(&connection->pipeline, &connection->listener->options.pipeline));
 }
@@ -335,22 +337,23 @@
         return;
     }
     connection->is_advancing = true;
-    cw_listener_hand_over(connection);
+    cw_listener_dispatch(connection);
     cw_listener_send_continue(connection);
     if (connection->pending.length > 0) {
         parse_pending(connection);
     }
     connection->is_advancing = false;
-    set_reading(connection);
+    update_reading(connection);
 }
 
-/* A reset under bytes that are on their way would take the answer from the caller. A stop does not wait for it. */
-static void linger_on(cw_http_connection_t *connection)
+/* Extends lingering when input arrives: closing the connection while the caller still sends would reset it, and the
+ * caller could lose the answer. While the node stops, lingering is not extended. */
+static void extend_lingering(cw_http_connection_t *connection)
 {
     cw_time_us_t until = cw_listener_now(connection->listener) + CW_MS(CW_LINGER_MS);
 
     if (connection->state == CW_CONNECTION_LINGERING && !connection->listener->ending) {
-        connection->linger_until = until < connection->linger_most ? until : connection->linger_most;
+        connection->linger_until = until < connection->linger_deadline ? until : connection->linger_deadline;
     }
 }
 
@@ -359,7 +362,8 @@
     cw_http_connection_t *connection = stream->data;
     size_t                used;
 
-    if (length == 0) { /* libuv: nothing is there now. To the parser, no bytes would be the end of the stream */
+    if (length ==
+        0) { /* libuv reports that there are no bytes now; the parser would take 0 bytes for the end of the stream */
         return;
     }
     if (length < 0) {
@@ -374,9 +378,9 @@
         cw_bytes_append(&connection->pending, buffer->base + used, (size_t)length - used);
         connection->pending_read_us = connection->read_us;
     }
-    set_reading(connection);
-    linger_on(connection);
-    cw_listener_arm(connection);
+    update_reading(connection);
+    extend_lingering(connection);
+    cw_listener_arm_timer(connection);
 }
 
 void cw_listener_on_allocate(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
@@ -384,6 +388,6 @@
     cw_http_connection_t *connection = handle->data;
 
     (void)suggested;
-    /* One chunk serves all: what is read is parsed or copied before the next read. */
+    /* All connections share one buffer, since bytes are parsed or copied before the next read. */
     *buffer = uv_buf_init(connection->listener->chunk, CW_LISTENER_CHUNK);
 }
--- a/src/net/http_listener_timer.c
+++ b/src/net/http_listener_timer.c
@@ -1,6 +1,6 @@
 /**
  * @file http_listener_timer.c
- * @brief What a connection waits for, and what happens when it does not come in time: one timer for each connection.
+ * @brief Timeouts of a connection. Each connection has one timer for all of them.
  */
 #include <poll.h>
 
@@ -10,50 +10,52 @@
 
 enum {
     STATUS_TIMEOUT = 408,
-    IDLE_CHECK_MIN_MS = 10,
-    /* Beside the idle timeout a body gets a second for each so many bytes: one that drips in ends (the usual rate of
-     * Apache's mod_reqtimeout). */
-    BODY_RATE_MIN = 500
+    IDLE_CHECK_MIN_MS = 10, /* shortest time until the next check if one is overdue */
+    /* Minimum rate of a body, in bytes per second. In addition to the idle timeout a body gets one second for each so
+     * many bytes, so that a sender that sends single bytes slowly is ended (default of Apache's mod_reqtimeout). */
+    BODY_BYTES_PER_SECOND_MIN = 500
 };
 
 static const cw_time_us_t never = INT64_MAX;
 
-/* ---- what is due when ---- */
+/* ---- due times ---- */
 
-bool cw_listener_is_resting(const cw_http_connection_t *connection)
+bool cw_listener_is_idle(const cw_http_connection_t *connection)
 {
     return connection->state == CW_CONNECTION_OPEN && connection->incoming == NULL && connection->pipeline.count == 0 &&
            connection->pending.length == 0;
 }
 
-/* A peer may go by the limit that held when it was answered, or by the present one. */
-static cw_time_us_t rest_end_us(const cw_http_connection_t *connection)
+/* The peer may rely on the timeout in force when it was answered, or on the present one: the longer one applies. */
+static cw_time_us_t idle_end_us(const cw_http_connection_t *connection)
 {
     cw_time_us_t present = connection->listener->limits.idle_timeout;
 
-    return connection->rest_begun_us + (present > connection->rest_told ? present : connection->rest_told);
+    return connection->idle_since_us +
+           (present > connection->idle_timeout_at_begin ? present : connection->idle_timeout_at_begin);
 }
 
-static cw_time_us_t sooner(cw_time_us_t one, cw_time_us_t other)
+static cw_time_us_t earlier(cw_time_us_t one, cw_time_us_t other)
 {
     return one < other ? one : other;
 }
 
-/* A body may stand still for the idle timeout, and must come at a lowest rate on the whole. */
+/* A body may be without progress for the idle timeout, and must arrive at a minimum average rate. */
 static cw_time_us_t incoming_due_us(const cw_http_connection_t *connection)
 {
     const cw_http_exchange_t *incoming = connection->incoming;
     const cw_http_limits_t   *limits = &connection->listener->limits;
-    cw_time_us_t              granted;
+    cw_time_us_t              allowed_us;
 
-    if (connection->room_wanted > 0) {
-        return connection->room_since + connection->listener->options.body_wait;
+    if (connection->memory_wanted > 0) {
+        return connection->memory_wait_since + connection->listener->options.body_wait;
     }
     if (!incoming->head_done) {
         return incoming->begun_us + limits->header_timeout;
     }
-    granted = limits->idle_timeout + CW_SECONDS(incoming->body.length / BODY_RATE_MIN) + incoming->room_waited;
-    return sooner(connection->body_read_us + limits->idle_timeout, incoming->arrived_us + granted);
+    allowed_us =
+        limits->idle_timeout + CW_SECONDS(incoming->body.length / BODY_BYTES_PER_SECOND_MIN) + incoming->memory_waited;
+    return earlier(connection->body_read_us + limits->idle_timeout, incoming->arrived_us + allowed_us);
 }
 
 static cw_time_us_t next_due_us(const cw_http_connection_t *connection)
@@ -63,27 +65,27 @@
     if (connection->state == CW_CONNECTION_LINGERING) {
         return connection->linger_until;
     }
-    if (cw_listener_is_resting(connection)) {
-        return rest_end_us(connection);
+    if (cw_listener_is_idle(connection)) {
+        return idle_end_us(connection);
     }
     if (connection->incoming != NULL) {
         due = incoming_due_us(connection);
     }
     if (connection->is_writing) {
-        due = sooner(due, connection->write_check_us);
+        due = earlier(due, connection->write_check_us);
     }
     if (!connection->is_reading) {
-        due = sooner(due, connection->hang_up_check_us);
+        due = earlier(due, connection->hang_up_check_us);
     }
     return due;
 }
 
-/* ---- what is overdue ---- */
+/* ---- expired timeouts ---- */
 
-/* While nothing is read, the end of the caller's stream is still told by the socket's state. */
+/* While the connection is not read, the state of the socket still shows the end of the caller's stream. */
 static bool has_hung_up(cw_http_connection_t *connection, cw_time_us_t now)
 {
-    struct pollfd place = {.events = POLLRDHUP};
+    struct pollfd polled = {.events = POLLRDHUP};
     uv_os_fd_t    fd;
 
     if (connection->is_reading || now < connection->hang_up_check_us) {
@@ -93,11 +95,11 @@
     if (uv_fileno((const uv_handle_t *)&connection->tcp, &fd) != 0) {
         return true;
     }
-    place.fd = fd;
-    return poll(&place, 1, 0) > 0 && (place.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    polled.fd = fd;
+    return poll(&polled, 1, 0) > 0 && (polled.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-static void note_cut(const cw_http_connection_t *connection, size_t left)
+static void record_cut_answer(const cw_http_connection_t *connection, size_t left)
 {
     const cw_http_exchange_t *exchange = (const cw_http_exchange_t *)connection->pipeline.entries;
     cw_event_t                event;
@@ -111,7 +113,7 @@
     }
 }
 
-/* A caller that does not read its answer does not hold it for longer than a connection may rest. */
+/* True if the caller has read nothing of its answer for the idle timeout. */
 static bool has_stalled(cw_http_connection_t *connection, cw_time_us_t now)
 {
     size_t left = uv_stream_get_write_queue_size((const uv_stream_t *)&connection->tcp);
@@ -120,7 +122,7 @@
         return false;
     }
     if (left == connection->write_left) {
-        note_cut(connection, left);
+        record_cut_answer(connection, left);
         return true;
     }
     connection->write_left = left;
@@ -133,7 +135,7 @@
     if (connection->incoming == NULL || now < incoming_due_us(connection)) {
         return;
     }
-    if (connection->room_wanted > 0) {
+    if (connection->memory_wanted > 0) {
         cw_listener_refuse_body(connection);
     } else {
         cw_listener_refuse(connection, STATUS_TIMEOUT, -1,
@@ -148,7 +150,7 @@
     cw_time_us_t          now = cw_listener_now(connection->listener);
 
     if ((connection->state == CW_CONNECTION_LINGERING && now >= connection->linger_until) ||
-        (cw_listener_is_resting(connection) && now >= rest_end_us(connection)) || has_stalled(connection, now) ||
+        (cw_listener_is_idle(connection) && now >= idle_end_us(connection)) || has_stalled(connection, now) ||
         has_hung_up(connection, now)) {
         cw_listener_close_connection(connection);
         return;
@@ -158,10 +160,10 @@
     if (connection->state == CW_CONNECTION_OPEN) {
         check_incoming(connection, now);
     }
-    cw_listener_arm(connection);
+    cw_listener_arm_timer(connection);
 }
 
-void cw_listener_arm(cw_http_connection_t *connection)
+void cw_listener_arm_timer(cw_http_connection_t *connection)
 {
     cw_time_us_t due = next_due_us(connection);
     cw_time_us_t wait_us = due - cw_listener_now(connection->listener);
@@ -182,12 +184,12 @@
 void cw_listener_resume_later(cw_http_connection_t *connection)
 {
     connection->resume_due = true;
-    cw_listener_arm(connection);
+    cw_listener_arm_timer(connection);
 }
 
-void cw_listener_begin_rest(cw_http_connection_t *connection)
+void cw_listener_begin_idle(cw_http_connection_t *connection)
 {
-    connection->rest_begun_us = cw_listener_now(connection->listener);
-    connection->rest_told = connection->listener->limits.idle_timeout;
-    cw_listener_arm(connection);
+    connection->idle_since_us = cw_listener_now(connection->listener);
+    connection->idle_timeout_at_begin = connection->listener->limits.idle_timeout;
+    cw_listener_arm_timer(connection);
 }
--- a/src/net/http_pipeline.c
+++ b/src/net/http_pipeline.c
@@ -1,6 +1,6 @@
 /**
  * @file http_pipeline.c
- * @brief Order of the requests of one connection.
+ * @brief Pipeline of the requests of one connection.
  */
 #include "net/http_pipeline.h"
 
@@ -19,7 +19,7 @@
     pipeline->ended = pipeline->ended || entry->last;
 }
 
-cw_pipeline_entry_t *cw_pipeline_next_to_hand_over(const cw_pipeline_t *pipeline)
+cw_pipeline_entry_t *cw_pipeline_next_to_dispatch(const cw_pipeline_t *pipeline)
 {
     cw_pipeline_entry_t *entry;
     bool                 all_answered = true;
@@ -29,7 +29,7 @@
         if (entry->state == CW_PIPELINE_WAITING) {
             return entry->is_safe || all_answered ? entry : NULL;
         }
-        if (entry->state == CW_PIPELINE_HANDED_OVER) {
+        if (entry->state == CW_PIPELINE_DISPATCHED) {
             if (!entry->is_safe) {
                 return NULL;
             }
@@ -58,7 +58,7 @@
     return pipeline->ended && entry->next == NULL;
 }
 
-cw_pipeline_entry_t *cw_pipeline_newest_begun(const cw_pipeline_t *pipeline)
+cw_pipeline_entry_t *cw_pipeline_newest_dispatched(const cw_pipeline_t *pipeline)
 {
     cw_pipeline_entry_t *newest = NULL;
     cw_pipeline_entry_t *entry;
--- a/src/net/http_upstream.c
+++ b/src/net/http_upstream.c
@@ -1,10 +1,9 @@
 /**
  * @file http_upstream.c
  * @brief Calls, connections and pools of idle connections.
- *
- * A call owns its connection from start to end. `sent` is set just before the first write, so a call that ends without
- * it has proved that nothing left. Idle connections are read, so that a peer's close (or a stray byte, which poisons
- * the connection) is seen before the next use.
+ * A call owns its connection from start to end. `sent` is set just before the first write, so if a call ends without
+ * it, no byte has been sent. Idle connections are read, so that a close by the peer, or an unexpected byte, after which
+ * the connection must not be reused, is detected before the next use.
  */
 #include "net/http_upstream_internal.h"
 
@@ -19,7 +18,7 @@
 #include "base/loop_clock.h"
 #include "base/memory.h"
 
-enum { ADDRESS_MAX = 64, KEEP_ALIVE_SHARE_NUM = 3, KEEP_ALIVE_SHARE_DEN = 5 };
+enum { ADDRESS_MAX = 64, KEEP_ALIVE_SHARE_NUMERATOR = 3, KEEP_ALIVE_SHARE_DENOMINATOR = 5 };
 
 static cw_time_us_t now_us(const cw_upstream_t *upstream)
 {
@@ -65,7 +64,7 @@
     free_if_unused(target);
 }
 
-static void leave_pool(cw_upstream_connection_t *connection)
+static void remove_from_pool(cw_upstream_connection_t *connection)
 {
     if (connection->is_idle) {
         DL_DELETE(connection->target->idle, connection);
@@ -80,7 +79,7 @@
         return;
     }
     connection->closing = true;
-    leave_pool(connection);
+    remove_from_pool(connection);
     uv_close((uv_handle_t *)&connection->timer, on_closed);
     if (!reset || uv_tcp_close_reset(&connection->tcp, on_closed) != 0) {
         uv_close((uv_handle_t *)&connection->tcp, on_closed);
@@ -91,7 +90,7 @@
 
 static void on_timer(uv_timer_t *timer);
 
-static void arm(cw_upstream_connection_t *connection, cw_time_us_t due_us)
+static void arm_timer(cw_upstream_connection_t *connection, cw_time_us_t due_us)
 {
     cw_time_us_t wait_us = due_us - now_us(connection->target->upstream);
 
@@ -102,23 +101,23 @@
 {
     const char  *keep_alive = cw_http_fields_find(fields, "keep-alive");
     const char  *timeout = keep_alive == NULL ? NULL : strcasestr(keep_alive, "timeout=");
-    cw_time_us_t told;
+    cw_time_us_t stated;
 
     if (timeout == NULL) {
         return upstream->options.idle_max;
     }
-    /* Well before the peer closes: a request must not cross the close. */
-    told = CW_SECONDS(atoi(timeout + strlen("timeout="))) * KEEP_ALIVE_SHARE_NUM / KEEP_ALIVE_SHARE_DEN;
-    return told < upstream->options.idle_max ? told : upstream->options.idle_max;
+    /* The connection is closed well before the peer closes it, so that no request is sent while the peer closes. */
+    stated = CW_SECONDS(atoi(timeout + strlen("timeout="))) * KEEP_ALIVE_SHARE_NUMERATOR / KEEP_ALIVE_SHARE_DENOMINATOR;
+    return stated < upstream->options.idle_max ? stated : upstream->options.idle_max;
 }
 
-static void keep(cw_upstream_connection_t *connection, cw_time_us_t idle)
+static void keep_idle(cw_upstream_connection_t *connection, cw_time_us_t idle)
 {
     connection->used = true;
     connection->is_idle = true;
     DL_PREPEND(connection->target->idle, connection);
     connection->target->idle_count++;
-    arm(connection, now_us(connection->target->upstream) + idle);
+    arm_timer(connection, now_us(connection->target->upstream) + idle);
 }
 
 void cw_upstream_end_call(cw_upstream_call_t *call, cw_upstream_result_t result, const char *fault, bool reset)
@@ -139,9 +138,9 @@
         answer.body_length = call->body.length;
         answer.closing = http_should_keep_alive(&call->parser) == 0;
     }
-    if (result == CW_UPSTREAM_ANSWERED && call->complete && !call->poisoned && !answer.closing &&
+    if (result == CW_UPSTREAM_ANSWERED && call->complete && !call->not_reusable && !answer.closing &&
         !connection->writing && !target->released && idle_time(target->upstream, &call->fields) > 0) {
-        keep(connection, idle_time(target->upstream, &call->fields));
+        keep_idle(connection, idle_time(target->upstream, &call->fields));
     } else {
         cw_upstream_close_connection(connection,
                                      result == CW_UPSTREAM_TIMED_OUT && target->upstream->options.reset_on_abandon);
@@ -188,7 +187,7 @@
 
     if (call->progress_us > 0 && call->due_us > 0 && due > call->due_us) {
         call->due_us = due;
-        arm(call->connection, due);
+        arm_timer(call->connection, due);
     }
 }
 
@@ -207,7 +206,7 @@
     }
 }
 
-static void skip(uv_buf_t *buffer, size_t *sent)
+static void skip_sent(uv_buf_t *buffer, size_t *sent)
 {
     size_t part = *sent < buffer->len ? *sent : buffer->len;
 
@@ -216,7 +215,7 @@
     *sent -= part;
 }
 
-/* Runs from the loop: failures may call back. */
+/* A failure to write is reported from the loop, so that cw_upstream_call never calls back. */
 static void send_request(cw_upstream_connection_t *connection)
 {
     cw_upstream_call_t *call = connection->call;
@@ -232,13 +231,13 @@
     if (sent == call->length + call->tail_length) {
         return;
     }
-    skip(&buffers[0], &sent);
-    skip(&buffers[1], &sent);
+    skip_sent(&buffers[0], &sent);
+    skip_sent(&buffers[1], &sent);
     connection->writing = true;
     connection->write.data = connection;
     if (uv_write(&connection->write, (uv_stream_t *)&connection->tcp, buffers, count, on_written) != 0) {
         connection->writing = false;
-        arm(connection, now_us(connection->target->upstream)); /* fails from the loop */
+        arm_timer(connection, now_us(connection->target->upstream)); /* the failure is reported from the loop */
     }
 }
 
@@ -262,7 +261,7 @@
     }
     uv_read_start((uv_stream_t *)&connection->tcp, cw_upstream_on_allocate, cw_upstream_on_read);
     if (connection->call->due_us > 0) {
-        arm(connection, connection->call->due_us);
+        arm_timer(connection, connection->call->due_us);
     } else {
         uv_timer_stop(&connection->timer);
     }
@@ -285,18 +284,18 @@
     return connection;
 }
 
-static void on_begin(uv_timer_t *timer)
+static void begin_on_idle(uv_timer_t *timer)
 {
     cw_upstream_connection_t *connection = timer->data;
 
     if (connection->call->due_us > 0) {
-        arm(connection, connection->call->due_us);
+        arm_timer(connection, connection->call->due_us);
     }
     send_request(connection);
 }
 
-/* Has the peer closed, or sent bytes that nobody asked for, since the loop last looked? */
-static bool is_spent(const cw_upstream_connection_t *connection)
+/* True if the peer has closed the connection or sent unexpected bytes since the loop last polled it. */
+static bool is_unusable(const cw_upstream_connection_t *connection)
 {
     int  fd;
     char byte;
@@ -312,8 +311,8 @@
     cw_upstream_connection_t *connection;
 
     while ((connection = target->idle) != NULL) {
-        leave_pool(connection);
-        if (!is_spent(connection)) {
+        remove_from_pool(connection);
+        if (!is_unusable(connection)) {
             return connection;
         }
         cw_upstream_close_connection(connection, false);
@@ -329,10 +328,10 @@
     if (connection->call->due_us > 0 && connection->call->due_us < due) {
         due = connection->call->due_us;
     }
-    arm(connection, due);
-    if (uv_tcp_connect(&connection->connect, &connection->tcp, (const struct sockaddr *)&connection->target->place,
-                       on_connected) != 0) {
-        arm(connection, now); /* fails from the loop */
+    arm_timer(connection, due);
+    if (uv_tcp_connect(&connection->connect, &connection->tcp,
+                       (const struct sockaddr *)&connection->target->socket_address, on_connected) != 0) {
+        arm_timer(connection, now); /* the failure is reported from the loop */
     }
 }
 
@@ -366,7 +365,7 @@
         if (uv_is_active((uv_handle_t *)&connection->timer)) {
             uv_timer_stop(&connection->timer);
         }
-        on_begin(&connection->timer);
+        begin_on_idle(&connection->timer);
         return call;
     }
     connection = open_connection(target);
@@ -383,18 +382,18 @@
     cw_upstream_target_t *target;
     char                  host[ADDRESS_MAX];
     const char           *colon = strrchr(address, ':');
-    struct sockaddr_in    place;
+    struct sockaddr_in    socket_address;
 
     if (colon == NULL || (size_t)(colon - address) >= sizeof(host)) {
         return NULL;
     }
     snprintf(host, sizeof(host), "%.*s", (int)(colon - address), address);
-    if (uv_ip4_addr(host, atoi(colon + 1), &place) != 0) {
+    if (uv_ip4_addr(host, atoi(colon + 1), &socket_address) != 0) {
         return NULL;
     }
     target = cw_memory_zeroed(sizeof(*target));
     target->upstream = upstream;
-    target->place = place;
+    target->socket_address = socket_address;
     DL_APPEND(upstream->targets, target);
     return target;
 }
--- a/src/net/http_upstream_answer.c
+++ b/src/net/http_upstream_answer.c
@@ -1,6 +1,6 @@
 /**
  * @file http_upstream_answer.c
- * @brief Reading of answers: framing, answers to other requests, the end of a connection.
+ * @brief Reading of answers: framing, answers to other requests, end of the connection.
  */
 #include <string.h>
 #include <sys/socket.h>
@@ -76,7 +76,7 @@
                                                      .on_body = on_body,
                                                      .on_message_complete = on_message};
 
-/* Does the answer name another request than this call's? */
+/* True if the answer names another request than the one of this call. */
 static bool is_foreign(const cw_upstream_call_t *call)
 {
     const char *echoed = call->match_name == NULL ? NULL : cw_http_fields_find(&call->fields, call->match_name);
@@ -84,10 +84,10 @@
     return echoed != NULL && strcmp(echoed, call->match_value) != 0;
 }
 
-/* Throws an answer away that belongs to another request; this call's own may follow. */
-static void skip_answer(cw_upstream_call_t *call)
+/* Discards an answer to another request; the answer to this call may follow. */
+static void discard_answer(cw_upstream_call_t *call)
 {
-    call->poisoned = true;
+    call->not_reusable = true;
     call->complete = false;
     call->head_done = false;
     call->builder.in_value = false;
@@ -97,7 +97,7 @@
     call->parser.data = call;
 }
 
-static void take_bytes(cw_upstream_call_t *call, const char *bytes, size_t length)
+static void handle_bytes(cw_upstream_call_t *call, const char *bytes, size_t length)
 {
     size_t parsed;
 
@@ -106,12 +106,12 @@
     while (call->complete && is_foreign(call)) {
         bytes += parsed;
         length -= parsed;
-        skip_answer(call);
+        discard_answer(call);
         parsed = http_parser_execute(&call->parser, &parser_settings, bytes, length);
     }
     if (call->complete) {
-        if (parsed < length) { /* the answer stands, its connection does not */
-            call->poisoned = true;
+        if (parsed < length) { /* the answer is valid, but the connection must not be reused */
+            call->not_reusable = true;
         }
         cw_upstream_end_call(call, CW_UPSTREAM_ANSWERED, NULL, false);
         return;
@@ -121,7 +121,8 @@
     }
 }
 
-/* The kernel may tell the end of the stream before it tells that the peer reset it. */
+/* True if the socket has an error: the kernel may report the end of the stream before it reports a reset by the peer.
+ */
 static bool has_socket_error(const cw_upstream_connection_t *connection)
 {
     int       fd;
@@ -132,14 +133,14 @@
            getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &length) == 0 && error != 0;
 }
 
-static void take_end(cw_upstream_call_t *call, ssize_t error)
+static void handle_end(cw_upstream_call_t *call, ssize_t error)
 {
     bool reset = error != UV_EOF || has_socket_error(call->connection);
 
     if (!reset && call->head_done) {
         (void)http_parser_execute(&call->parser, &parser_settings, NULL, 0);
         if (call->complete && !is_foreign(call)) {
-            call->poisoned = true; /* the connection is at its end */
+            call->not_reusable = true; /* the peer has closed the connection */
             cw_upstream_end_call(call, CW_UPSTREAM_ANSWERED, NULL, false);
             return;
         }
@@ -154,13 +155,13 @@
     if (connection->closing || length == 0) {
         return;
     }
-    if (connection->call == NULL) { /* closed by the peer, or bytes that belong to no request */
+    if (connection->call == NULL) { /* idle: the peer closed it, or sent bytes that belong to no request */
         cw_upstream_close_connection(connection, false);
     } else if (length < 0) {
-        take_end(connection->call, length);
+        handle_end(connection->call, length);
     } else {
         cw_upstream_note_progress(connection->call);
-        take_bytes(connection->call, buffer->base, (size_t)length);
+        handle_bytes(connection->call, buffer->base, (size_t)length);
     }
 }
 
--- a/src/net/http_upstream_internal.h
+++ b/src/net/http_upstream_internal.h
@@ -1,6 +1,6 @@
 /**
  * @file http_upstream_internal.h
- * @brief Types shared by the client's parts.
+ * @brief Types and functions shared by the source files of the HTTP client.
  */
 #ifndef CEDARWINCH_NET_HTTP_UPSTREAM_INTERNAL_H
 #define CEDARWINCH_NET_HTTP_UPSTREAM_INTERNAL_H
@@ -11,10 +11,11 @@
 #include "base/byte_buffer.h"
 #include "net/http_upstream.h"
 
-enum { CW_UPSTREAM_CHUNK = 16 * 1024 };
+enum { CW_UPSTREAM_CHUNK = 16 * 1024 /* bytes of one read */ };
 
+/** One connection to a target. */
 typedef struct cw_upstream_connection {
-    uv_tcp_t                       tcp; /* first: libuv's callbacks get this pointer */
+    uv_tcp_t                       tcp; /* first member: libuv's callbacks get this pointer */
     uv_timer_t                     timer;
     uv_connect_t                   connect;
     uv_write_t                     write;
@@ -26,7 +27,7 @@
     bool                           writing;
     bool                           is_idle;
     int                            handles;
-    struct cw_upstream_connection *prev; /* utlist's names */
+    struct cw_upstream_connection *prev; /* names required by utlist */
     struct cw_upstream_connection *next;
 } cw_upstream_connection_t;
 
@@ -36,7 +37,7 @@
     void                     *context;
     char                     *bytes;
     size_t                    length;
-    const char               *tail; /* the request's body, where it is not among the bytes; the caller's */
+    const char               *tail; /* the request's body if it is not part of `bytes`; owned by the caller */
     size_t                    tail_length;
     size_t                    answer_max;
     cw_time_us_t              due_us; /* 0: none */
@@ -47,24 +48,25 @@
     bool                      any_byte;
     bool                      too_long;
     bool                      complete;
-    bool                      poisoned; /* bytes came that belong to no request: not to be used again */
-    char                     *match_name;
-    char                     *match_value;
-    http_parser               parser;
-    cw_http_fields_t          fields;
-    cw_http_field_builder_t   builder;
-    bool                      head_done;
-    cw_bytes_t                body;
+    bool
+        not_reusable; /* the connection must not be reused: it ends, or bytes arrived that belong to no request of it */
+    char                   *match_name;
+    char                   *match_value;
+    http_parser             parser;
+    cw_http_fields_t        fields;
+    cw_http_field_builder_t builder;
+    bool                    head_done;
+    cw_bytes_t              body;
 };
 
 struct cw_upstream_target {
     cw_upstream_t            *upstream;
-    struct sockaddr_in        place;
+    struct sockaddr_in        socket_address;
     cw_upstream_connection_t *idle; /* most recently used first */
     size_t                    idle_count;
-    size_t                    connections; /* not yet freed */
+    size_t                    connections; /* connections that are not freed yet */
     bool                      released;
-    cw_upstream_target_t     *prev; /* utlist's names */
+    cw_upstream_target_t     *prev; /* names required by utlist */
     cw_upstream_target_t     *next;
 };
 
@@ -77,10 +79,11 @@
     char                  chunk[CW_UPSTREAM_CHUNK];
 };
 
-/** Ends a call: its connection is kept or closed, its callback is called. */
+/** Ends a call: keeps or closes its connection, then calls its callback. */
 void cw_upstream_end_call(cw_upstream_call_t *call, cw_upstream_result_t result, const char *fault, bool reset);
-/** Bytes of the call's answer have come: more of them are waited for. */
+/** Called when bytes of the answer have arrived; extends the call's timeout by its `progress`. */
 void cw_upstream_note_progress(cw_upstream_call_t *call);
+/** Closes a connection; reset: with a TCP reset. */
 void cw_upstream_close_connection(cw_upstream_connection_t *connection, bool reset);
 
 /* ---- http_upstream_answer.c: libuv's callbacks for reading ---- */
--- a/src/peer/configuration_assembly.c
+++ b/src/peer/configuration_assembly.c
@@ -1,6 +1,6 @@
 /**
  * @file configuration_assembly.c
- * @brief Configurations as pages: putting them together.
+ * @brief Assembling a configuration from received pages.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -31,7 +31,7 @@
     memset(assembly, 0, sizeof(*assembly));
 }
 
-static void take_route(cw_configuration_t *partial, const Cwp__ConfiguredRoute *sent)
+static void unpack_route(cw_configuration_t *partial, const Cwp__ConfiguredRoute *sent)
 {
     cw_route_t *route = cw_configuration_add_route(partial);
     size_t      index;
@@ -53,7 +53,7 @@
     }
 }
 
-static void take_service(cw_configuration_t *partial, const Cwp__ConfiguredService *sent)
+static void unpack_service(cw_configuration_t *partial, const Cwp__ConfiguredService *sent)
 {
     cw_service_t *service = cw_configuration_add_service(partial);
 
@@ -65,8 +65,8 @@
     service->cold_per_s = sent->cold_per_s;
 }
 
-/* A tenant of which other keys have come; NULL: none has. */
-static cw_tenant_t *tenant_of(cw_configuration_t *partial, const char *name)
+/* The tenant with this name if an earlier entry with other keys of it was received; otherwise NULL. */
+static cw_tenant_t *find_tenant(cw_configuration_t *partial, const char *name)
 {
     size_t index;
 
@@ -95,9 +95,9 @@
     return tenant;
 }
 
-static void take_tenant(cw_configuration_t *partial, const Cwp__ConfiguredTenant *sent)
+static void unpack_tenant(cw_configuration_t *partial, const Cwp__ConfiguredTenant *sent)
 {
-    cw_tenant_t *tenant = sent->in_parts ? tenant_of(partial, sent->name) : NULL;
+    cw_tenant_t *tenant = sent->in_parts ? find_tenant(partial, sent->name) : NULL;
     size_t       index;
 
     if (tenant == NULL) {
@@ -113,12 +113,12 @@
     }
 }
 
-static void take_first_page(cw_configuration_assembly_t *assembly, const Cwp__ConfigurationPage *page)
+static void unpack_first_page(cw_configuration_assembly_t *assembly, const Cwp__ConfigurationPage *page)
 {
     size_t index;
 
     for (index = 0; index < page->n_services; index++) {
-        take_service(assembly->partial, page->services[index]);
+        unpack_service(assembly->partial, page->services[index]);
     }
     if (page->limits != NULL) {
         assembly->partial->limits = (cw_http_limits_t){.header_bytes = (size_t)page->limits->header_bytes,
@@ -128,7 +128,7 @@
     }
 }
 
-static void take_removed(cw_configuration_assembly_t *assembly, const Cwp__ConfigurationPage *page)
+static void unpack_removed(cw_configuration_assembly_t *assembly, const Cwp__ConfigurationPage *page)
 {
     size_t          count = assembly->removed_count + page->n_removed;
     Cwp__RouteKey **removed = reallocarray(assembly->removed, count + 1, sizeof(void *));
@@ -156,7 +156,7 @@
     return cw_route_compare(left, right);
 }
 
-static void mark(const cw_configuration_t *in_force, const cw_route_t *route, bool *replaced)
+static void mark_replaced(const cw_configuration_t *in_force, const cw_route_t *route, bool *replaced)
 {
     const cw_route_t *found =
         bsearch(route, in_force->routes, in_force->route_count, sizeof(cw_route_t), compare_routes);
@@ -173,7 +173,7 @@
     return flags;
 }
 
-/* Lays what was received over the configuration that it is based on. */
+/* Adds the routes of the base that were neither replaced nor removed. */
 static void add_unchanged_routes(cw_configuration_assembly_t *assembly, const cw_configuration_t *in_force)
 {
     size_t sent_count = assembly->partial->route_count;
@@ -181,12 +181,12 @@
     size_t index;
 
     for (index = 0; index < sent_count; index++) {
-        mark(in_force, &assembly->partial->routes[index], replaced);
+        mark_replaced(in_force, &assembly->partial->routes[index], replaced);
     }
     for (index = 0; index < assembly->removed_count; index++) {
-        cw_route_t gone = {.host = assembly->removed[index]->host, .prefix = assembly->removed[index]->prefix};
+        cw_route_t removed_route = {.host = assembly->removed[index]->host, .prefix = assembly->removed[index]->prefix};
 
-        mark(in_force, &gone, replaced);
+        mark_replaced(in_force, &removed_route, replaced);
     }
     for (index = 0; index < in_force->route_count; index++) {
         if (!replaced[index]) {
@@ -201,6 +201,7 @@
     return strcmp(((const cw_tenant_t *)left)->name, ((const cw_tenant_t *)right)->name);
 }
 
+/* Adds the tenants of the base that were neither replaced nor removed. */
 static void add_unchanged_tenants(cw_configuration_assembly_t *assembly, const cw_configuration_t *in_force)
 {
     size_t sent_count = assembly->partial->tenant_count;
@@ -225,23 +226,23 @@
     free(replaced);
 }
 
-/* Routes and tenants, and what is gone. */
-static void take_contents(cw_configuration_assembly_t *assembly, const Cwp__ConfigurationPage *page)
+/* Unpacks the routes and tenants of a page, the removed ones, and services and limits of page 0. */
+static void unpack_contents(cw_configuration_assembly_t *assembly, const Cwp__ConfigurationPage *page)
 {
     size_t index;
 
     for (index = 0; index < page->n_routes; index++) {
-        take_route(assembly->partial, page->routes[index]);
+        unpack_route(assembly->partial, page->routes[index]);
     }
-    take_removed(assembly, page);
+    unpack_removed(assembly, page);
     for (index = 0; index < page->n_tenants; index++) {
-        take_tenant(assembly->partial, page->tenants[index]);
+        unpack_tenant(assembly->partial, page->tenants[index]);
     }
     for (index = 0; index < page->n_removed_tenants; index++) {
         cw_name_set_add(&assembly->removed_tenants, page->removed_tenants[index]);
     }
     if (page->page == 0) {
-        take_first_page(assembly, page);
+        unpack_first_page(assembly, page);
     }
 }
 
@@ -269,7 +270,7 @@
     }
     assembly->has[page->page] = true;
     assembly->received++;
-    take_contents(assembly, page);
+    unpack_contents(assembly, page);
     if (assembly->received < assembly->pages) {
         return NULL;
     }
@@ -281,7 +282,7 @@
     assembly->partial = NULL;
     cw_configuration_assembly_clear(assembly);
     cw_configuration_seal(whole);
-    if (!cw_configuration_check(whole, problem, sizeof(problem))) { /* no node has such a one in force */
+    if (!cw_configuration_check(whole, problem, sizeof(problem))) { /* no node has an invalid configuration in force */
         cw_configuration_release(whole);
         return NULL;
     }
--- a/src/peer/configuration_pages.c
+++ b/src/peer/configuration_pages.c
@@ -1,24 +1,27 @@
 /**
  * @file configuration_pages.c
- * @brief Configurations as pages: making them.
+ * @brief Making pages of a configuration.
  */
 #include "peer/configuration_pages.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-enum { KEYS_A_SLICE = 3 /* of a tenant: some 100 bytes of digests, so that it is an item like a route */ };
+enum {
+    KEYS_PER_SLICE =
+        3 /* keys of a tenant in one item: about 100 bytes of digests, so that the item is about as large as a route */
+};
 
-/* ---- what changed ---- */
+/* ---- finding changes ---- */
 
-/** Some keys of a tenant: one item of a page. */
+/** A tenant with some of its keys: one item of a page. */
 typedef struct tenant_slice {
     const cw_tenant_t *tenant;
     size_t             first;
     size_t             count;
 } tenant_slice_t;
 
-/** What is to be sent, and what of the base is gone. Borrowed pointers. */
+/** Items to be sent: added or changed ones, and removed ones of the base. The pointers refer to the configurations. */
 typedef struct changes {
     const cw_route_t  **sent;
     size_t              sent_count;
@@ -40,7 +43,7 @@
     return items;
 }
 
-/* Walks both in their common order. */
+/* Compares the routes of both configurations, which are sorted by the same order. */
 static void find_route_changes(const cw_configuration_t *base, const cw_configuration_t *configuration,
                                changes_t *changes)
 {
@@ -74,7 +77,7 @@
 
     do {
         size_t left = tenant->key_count - first;
-        size_t count = left > KEYS_A_SLICE ? KEYS_A_SLICE : left;
+        size_t count = left > KEYS_PER_SLICE ? KEYS_PER_SLICE : left;
 
         changes->slices[changes->slice_count++] = (tenant_slice_t){tenant, first, count};
         first += count;
@@ -87,12 +90,12 @@
     size_t index;
 
     for (index = 0; index < configuration->tenant_count; index++) {
-        count += configuration->tenants[index].key_count / KEYS_A_SLICE + 1;
+        count += configuration->tenants[index].key_count / KEYS_PER_SLICE + 1;
     }
     return count;
 }
 
-/* The same for tenants, which are sorted by name. */
+/* Compares the tenants of both configurations, which are sorted by name. */
 static void find_tenant_changes(const cw_configuration_t *base, const cw_configuration_t *configuration,
                                 changes_t *changes)
 {
@@ -130,7 +133,7 @@
 
 /* ---- making pages ---- */
 
-/** A page while it is made: the messages that it points to. */
+/** A page that is being made, with the messages that it points to. */
 typedef struct page_buffer {
     Cwp__ConfigurationPage   page;
     Cwp__ConfiguredRoute     routes[CW_CONFIGURATION_PAGE_ITEMS];
@@ -140,7 +143,7 @@
     Cwp__ConfiguredService **service_pointers;
     Cwp__ConfiguredTenant    tenants[CW_CONFIGURATION_PAGE_ITEMS];
     Cwp__ConfiguredTenant   *tenant_pointers[CW_CONFIGURATION_PAGE_ITEMS];
-    ProtobufCBinaryData      digests[CW_CONFIGURATION_PAGE_ITEMS * KEYS_A_SLICE];
+    ProtobufCBinaryData      digests[CW_CONFIGURATION_PAGE_ITEMS * KEYS_PER_SLICE];
     char                    *removed_tenants[CW_CONFIGURATION_PAGE_ITEMS];
     Cwp__RouteKey            removed[CW_CONFIGURATION_PAGE_ITEMS];
     Cwp__RouteKey           *removed_pointers[CW_CONFIGURATION_PAGE_ITEMS];
@@ -202,7 +205,7 @@
     size_t                 position = buffer->page.n_tenants;
     const cw_tenant_t     *tenant = slice->tenant;
     Cwp__ConfiguredTenant *sent = &buffer->tenants[position];
-    ProtobufCBinaryData   *digests = &buffer->digests[position * KEYS_A_SLICE];
+    ProtobufCBinaryData   *digests = &buffer->digests[position * KEYS_PER_SLICE];
     size_t                 key;
 
     cwp__configured_tenant__init(sent);
@@ -270,7 +273,8 @@
     buffer->page.removed_tenants = buffer->removed_tenants;
 }
 
-/* One item of those that follow one another: removed routes, sent ones, removed tenants, slices of sent ones. */
+/* Adds the item with this number, counted over removed routes, sent routes, removed tenants and slices of sent tenants.
+ */
 static void add_item(page_buffer_t *buffer, const changes_t *changes, size_t item)
 {
     if (item < changes->removed_count) {
@@ -307,9 +311,9 @@
 }
 
 bool cw_configuration_pages_make(const cw_configuration_t *base, const cw_configuration_t *configuration,
-                                 cw_page_window_t window, cw_configuration_page_out_t out, void *context)
+                                 cw_page_window_t window, cw_configuration_page_sink_t out, void *context)
 {
-    static page_buffer_t buffer; /* large, and used by one call at a time */
+    static page_buffer_t buffer; /* static because it is large; only one call uses it at a time */
     changes_t            changes = {0};
     uint32_t             pages;
     uint32_t             page = 0;
--- a/src/peer/datagram_batch.c
+++ b/src/peer/datagram_batch.c
@@ -1,6 +1,6 @@
 /**
  * @file datagram_batch.c
- * @brief Packed datagrams, one after the other.
+ * @brief Batch of packed datagrams.
  */
 #include "peer/datagram_batch.h"
 
@@ -8,7 +8,7 @@
 
 #include "base/memory.h"
 
-enum { LENGTHS_FIRST = 64 };
+enum { INITIAL_CAPACITY = 64 };
 
 void cw_datagram_batch_empty(cw_datagram_batch_t *batch)
 {
@@ -16,18 +16,18 @@
     batch->count = 0;
 }
 
-static void make_place(cw_datagram_batch_t *batch)
+static void reserve_entry(cw_datagram_batch_t *batch)
 {
     if (batch->count < batch->capacity) {
         return;
     }
-    batch->capacity = batch->capacity == 0 ? LENGTHS_FIRST : 2 * batch->capacity;
+    batch->capacity = batch->capacity == 0 ? INITIAL_CAPACITY : 2 * batch->capacity;
     batch->lengths = cw_memory_resize(batch->lengths, batch->capacity * sizeof(*batch->lengths));
 }
 
 void cw_datagram_batch_add(cw_datagram_batch_t *batch, uint32_t kind, const uint8_t *packed, size_t length)
 {
-    make_place(batch);
+    reserve_entry(batch);
     batch->kind = kind;
     batch->lengths[batch->count++] = length;
     cw_bytes_append(&batch->bytes, packed, length);
--- a/src/peer/detours.c
+++ b/src/peer/detours.c
@@ -1,6 +1,6 @@
 /**
  * @file detours.c
- * @brief Ways by third nodes, and the pauses between probes.
+ * @brief Detours through third nodes, and the intervals between probes.
  */
 #include "peer/detours.h"
 
@@ -10,20 +10,21 @@
 #include "base/memory.h"
 
 enum {
-    PROBE_PAUSE_MS = 200, /* three probes between the first doubt and the moment a silent node counts as lost */
-    EAGER_PROBES = 10,    /* by then a node that anyone reaches has replied; */
-    RARE_PAUSE_MS = 1000, /* later ones find out that it is back */
-    PROBES_A_SECOND = 20, /* of all suspects: two or three datagrams of 60 bytes each, within control's 3 KB a second */
-    BURST = 25,           /* so that the first probes of some suspects go at once */
-    KEPT_S = 10
+    PROBE_INTERVAL_MS = 200, /* three probes from when a node becomes a suspect until it counts as lost */
+    FREQUENT_PROBES = 10, /* probes at this interval; a node that any other node reaches has replied to one of them */
+    RARE_PROBE_INTERVAL_MS = 1000, /* interval of later probes, which detect that the node is back */
+    PROBES_PER_SECOND =
+        20, /* of all suspects: each is two or three datagrams of 60 bytes, within the 3 KB/s of control traffic */
+    PROBE_BURST = 25, /* probes that may be sent at once, so that the first probes of some suspects are not delayed */
+    RETENTION_S = 10  /* time after the last probe or datagram after which a node is removed */
 };
 
 typedef struct detour {
     uint32_t       address;
-    uint32_t       via;         /* 0: nothing has come yet */
-    cw_time_us_t   received_at; /* by way of it */
+    uint32_t       via;         /* 0: nothing has been received yet */
+    cw_time_us_t   received_at; /* last datagram received through it */
     cw_time_us_t   probed_at;
-    uint32_t       probes; /* without a reply */
+    uint32_t       probes; /* probes since the last datagram received through a detour */
     uint32_t       turn;
     UT_hash_handle hh;
 } detour_t;
@@ -38,13 +39,14 @@
 {
     cw_detours_t *detours = cw_memory_zeroed(sizeof(*detours));
 
-    detours->allowance = BURST;
+    detours->allowance = PROBE_BURST;
     return detours;
 }
 
-static void drop(cw_detours_t *detours, detour_t *detour)
+static void remove_detour(cw_detours_t *detours, detour_t *detour)
 {
-    HASH_DEL(detours->items, detour); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
+    HASH_DEL(detours->items,
+             detour); /* NOLINT(clang-analyzer-unix.Malloc): the analyzer does not follow uthash's macros */
     free(detour);
 }
 
@@ -55,7 +57,7 @@
 
     HASH_ITER(hh, detours->items, detour, next)
     {
-        drop(detours, detour);
+        remove_detour(detours, detour);
     }
     free(detours);
 }
@@ -68,7 +70,7 @@
     return detour;
 }
 
-static detour_t *use(cw_detours_t *detours, uint32_t address)
+static detour_t *find_or_add(cw_detours_t *detours, uint32_t address)
 {
     detour_t *detour = find(detours, address);
 
@@ -82,39 +84,39 @@
 
 void cw_detours_received(cw_detours_t *detours, uint32_t address, uint32_t via, cw_time_us_t now)
 {
-    detour_t *detour = use(detours, address);
+    detour_t *detour = find_or_add(detours, address);
 
     detour->via = via;
     detour->received_at = now;
     detour->probes = 0;
 }
 
-static bool is_known(const detour_t *detour, cw_time_us_t now)
+static bool is_valid(const detour_t *detour, cw_time_us_t now)
 {
-    return detour->via != 0 && now - detour->received_at < CW_MS(CW_DETOUR_LIFE_MS);
+    return detour->via != 0 && now - detour->received_at < CW_MS(CW_DETOUR_VALID_MS);
 }
 
 uint32_t cw_detours_via(const cw_detours_t *detours, uint32_t address, cw_time_us_t now)
 {
     const detour_t *detour = find(detours, address);
 
-    return detour != NULL && is_known(detour, now) ? detour->via : 0;
+    return detour != NULL && is_valid(detour, now) ? detour->via : 0;
 }
 
 static void refill(cw_detours_t *detours, cw_time_us_t now)
 {
-    detours->allowance += PROBES_A_SECOND * (double)(now - detours->refilled_at) / 1e6;
-    detours->allowance = detours->allowance > BURST ? BURST : detours->allowance;
+    detours->allowance += PROBES_PER_SECOND * (double)(now - detours->refilled_at) / 1e6;
+    detours->allowance = detours->allowance > PROBE_BURST ? PROBE_BURST : detours->allowance;
     detours->refilled_at = now;
 }
 
 bool cw_detours_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn)
 {
-    detour_t    *detour = use(detours, address);
-    cw_time_us_t pause = CW_MS(detour->probes < EAGER_PROBES ? PROBE_PAUSE_MS : RARE_PAUSE_MS);
+    detour_t    *detour = find_or_add(detours, address);
+    cw_time_us_t interval_us = CW_MS(detour->probes < FREQUENT_PROBES ? PROBE_INTERVAL_MS : RARE_PROBE_INTERVAL_MS);
 
     refill(detours, now);
-    if (detours->allowance < 1 || (detour->probed_at != 0 && now - detour->probed_at < pause)) {
+    if (detours->allowance < 1 || (detour->probed_at != 0 && now - detour->probed_at < interval_us)) {
         return false;
     }
     detours->allowance -= 1;
@@ -131,8 +133,9 @@
 
     HASH_ITER(hh, detours->items, detour, next)
     {
-        if (now - detour->probed_at >= CW_SECONDS(KEPT_S) && now - detour->received_at >= CW_SECONDS(KEPT_S)) {
-            drop(detours, detour);
+        if (now - detour->probed_at >= CW_SECONDS(RETENTION_S) &&
+            now - detour->received_at >= CW_SECONDS(RETENTION_S)) {
+            remove_detour(detours, detour);
         }
     }
 }
@@ -143,7 +146,7 @@
     size_t          count = 0;
 
     for (detour = detours->items; detour != NULL; detour = detour->hh.next) {
-        count += is_known(detour, now) ? 1 : 0;
+        count += is_valid(detour, now) ? 1 : 0;
     }
     return count;
 }
--- a/src/peer/detours.h
+++ b/src/peer/detours.h
@@ -1,19 +1,19 @@
 /**
  * @file detours.h
- * @brief Other nodes that this one exchanges datagrams with by way of a third one, and when to look for such a way.
- *
- * That nothing comes from a node does not mean that it is gone: the link between the two may be cut, in one direction
- * or both. What is decided once for all nodes (who counts a tenant's requests or a server's slots) would then be
- * decided twice. So before this node takes another one for gone, it asks others to pass a probe on to it, as SWIM does
- * (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002).
+ * @brief Detours: paths to other nodes through a third node, and when to probe for them.
+ * A node from which nothing is received is not necessarily down: the link between the two nodes may be cut, in one or
+ * both directions. Decisions that must be made once for all nodes (which node counts a tenant's requests or a server's
+ * slots) would then be made twice. So before this node treats another one as down, it asks other nodes to forward a
+ * probe to it, as SWIM does (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
+ * Membership Protocol", 2002).
  *
  * Rules:
- *  - Whoever owns this names the nodes that are suspect: nothing has come from them directly for a while, or they say
- *    that nothing comes from this one.
- *  - A suspect is probed by CW_DETOUR_WAYS others at once, by other ones each time, and by the one that brought its
- * last reply. A suspect that nobody reaches is probed more rarely.
- *  - A way holds for CW_DETOUR_LIFE_MS after something came by it.
- *  - All probes together stay within a budget, so that the loss of a whole zone costs no more.
+ *  - The owner determines the suspects: nodes from which nothing has been received directly for a while, or which
+ * report that they receive nothing from this node.
+ *  - A suspect is probed through CW_DETOUR_WAYS other nodes at once, different ones each time, and through the node
+ * that forwarded its last reply. A suspect that no node reaches is probed less often.
+ *  - A detour is valid for CW_DETOUR_VALID_MS after a datagram was received through it.
+ *  - All probes together are limited in rate, so that the loss of a complete zone does not cost more.
  *
  * No I/O; time is a parameter.
  */
@@ -27,23 +27,28 @@
 #include "base/time.h"
 
 enum {
-    CW_DETOUR_WAYS = 2,      /**< nodes that pass on each probe of a suspect, beside the one that did so before */
-    CW_DETOUR_LIFE_MS = 1000 /**< as long as a node that is silent counts as alive among few (CW_PEER_SILENCE_MS) */
+    CW_DETOUR_WAYS =
+        2, /**< nodes that forward each probe of a suspect, in addition to the one that forwarded its last reply */
+    CW_DETOUR_VALID_MS = 1000 /**< equals the time after which an unresponsive node counts as lost in a small fleet
+                                 (CW_PEER_SILENCE_MS) */
 };
 
+/** Detours to all suspects of a node. */
 typedef struct cw_detours cw_detours_t;
 
+/** Creates an empty set of detours. */
 cw_detours_t *cw_detours_create(void);
 void          cw_detours_free(cw_detours_t *detours);
-/** Something of the node came by way of `via`. Addresses: IPv4, in network order. */
+/** Called when a datagram of the node at `address` was received through `via`. Addresses: IPv4, in network order. */
 void cw_detours_received(cw_detours_t *detours, uint32_t address, uint32_t via, cw_time_us_t now);
-/** The node to send by to reach `address`; 0: no way is known. */
+/** Address of the node that forwards datagrams to `address`; 0: no valid detour is known. */
 uint32_t cw_detours_via(const cw_detours_t *detours, uint32_t address, cw_time_us_t now);
-/** Is a probe of this suspect due? If so it counts as sent. turn: rises by one with each probe of it. */
+/** True if a probe of this suspect is due; it then counts as sent. turn: number of the probe, which increases by one
+ * with each probe of the suspect. */
 bool cw_detours_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn);
-/** Forgets nodes that have not been suspect for a while. */
+/** Removes nodes that have not been suspects for a while. */
 void cw_detours_expire(cw_detours_t *detours, cw_time_us_t now);
-/** Nodes that are reached by way of others. */
+/** Number of nodes that are reached through a valid detour. */
 size_t cw_detours_count(const cw_detours_t *detours, cw_time_us_t now);
 
 #endif
--- a/src/peer/peer_link.c
+++ b/src/peer/peer_link.c
@@ -1,6 +1,6 @@
 /**
  * @file peer_link.c
- * @brief The socket and the peers known.
+ * @brief Socket for datagrams between nodes, and the known peers.
  */
 #include "peer/peer_link.h"
 
@@ -15,9 +15,11 @@
 #include "base/text.h"
 
 enum {
-    DATAGRAM_MAX = 60000,
-    PACK_MAX = 48 * 1024,
-    LATE_MOST_S = 10 /* names of all nodes stand in summaries every 5 s (router_summary.c) */
+    RECEIVE_BYTES_MAX = 60000,    /* bytes of the receive buffer; longer datagrams are dropped */
+    PACKED_BYTES_MAX = 48 * 1024, /* bytes of a datagram to be sent */
+    /* A message about the previous incarnation counts as late within this time. Summaries contain the names of all
+     * nodes every 5 s (router_summary.c). */
+    LATE_MESSAGE_S = 10
 };
 
 struct cw_peer_link {
@@ -27,12 +29,12 @@
     uint16_t          port;
     cw_peer_handler_t handler;
     cw_peer_t        *peers;
-    cw_peer_t        *by_address; /* the same, for look-up: each datagram needs one */
-    uint8_t          *packed;     /* room for the longest datagram so far */
+    cw_peer_t        *by_address; /* hash table of the same peers, since each datagram needs a look-up */
+    uint8_t          *packed;     /* buffer for packing, as large as the longest datagram so far */
     size_t            packed_capacity;
     char             *received;
     bool              closed;
-    uint32_t          packed_kind; /* of the datagram that is packed */
+    uint32_t          packed_kind; /* kind of the datagram in the buffer */
     char              zone[64];
 
     const cw_zone_region_t *zones;
@@ -45,7 +47,7 @@
     cw_peer_link_t *link = handle->data;
 
     (void)suggested;
-    *buffer = uv_buf_init(link->received, DATAGRAM_MAX);
+    *buffer = uv_buf_init(link->received, RECEIVE_BYTES_MAX);
 }
 
 static void on_received(uv_udp_t *socket, ssize_t length, const uv_buf_t *buffer, const struct sockaddr *from,
@@ -73,10 +75,10 @@
                         const cw_peer_handler_t *handler)
 {
     cw_peer_link_t    *link = calloc(1, sizeof(*link));
-    struct sockaddr_in place;
+    struct sockaddr_in socket_address;
     int                error;
 
-    if (link == NULL || (link->received = malloc(DATAGRAM_MAX)) == NULL) {
+    if (link == NULL || (link->received = malloc(RECEIVE_BYTES_MAX)) == NULL) {
         abort();
     }
     link->loop = loop;
@@ -84,13 +86,13 @@
     link->handler = *handler;
     link->socket.data = link;
     *created = link;
-    error = uv_ip4_addr(address, port, &place);
+    error = uv_ip4_addr(address, port, &socket_address);
     if (error != 0) {
         return error;
     }
-    link->address = place.sin_addr.s_addr;
+    link->address = socket_address.sin_addr.s_addr;
     uv_udp_init(loop, &link->socket);
-    error = uv_udp_bind(&link->socket, (const struct sockaddr *)&place, 0);
+    error = uv_udp_bind(&link->socket, (const struct sockaddr *)&socket_address, 0);
     if (error == 0) {
         error = uv_udp_recv_start(&link->socket, on_allocate, on_received);
     }
@@ -179,13 +181,14 @@
     }
     peer = cw_peer_link_find(link, address);
     if (peer != NULL) {
-        peer->told_at = now;
+        peer->learned_at = now;
         return peer;
     }
     peer = cw_memory_zeroed(sizeof(*peer));
     peer->address = address;
-    peer->told_at = now;
-    peer->distance = link->zone[0] == '\0' ? CW_DISTANCE_ZONE : CW_DISTANCE_REMOTE; /* without zones all are near */
+    peer->learned_at = now;
+    peer->distance =
+        link->zone[0] == '\0' ? CW_DISTANCE_ZONE : CW_DISTANCE_REMOTE; /* without zones all peers count as near */
     inet_ntop(AF_INET, &address, peer->text, sizeof(peer->text));
     peer->next = link->peers;
     link->peers = peer;
@@ -202,7 +205,7 @@
     return inet_pton(AF_INET, host, &number) == 1 ? cw_peer_link_learn(link, number.s_addr, now) : NULL;
 }
 
-static void note_too_large(const Cwp__Datagram *datagram, size_t length)
+static void log_too_large(const Cwp__Datagram *datagram, size_t length)
 {
     cw_event_t event;
 
@@ -217,8 +220,8 @@
 {
     size_t length = cwp__datagram__get_packed_size(datagram);
 
-    if (length > PACK_MAX) {
-        note_too_large(datagram, length);
+    if (length > PACKED_BYTES_MAX) {
+        log_too_large(datagram, length);
         return 0;
     }
     if (length > link->packed_capacity) {
@@ -229,22 +232,22 @@
     return cwp__datagram__pack(datagram, link->packed);
 }
 
-static void send_bytes(cw_peer_link_t *link, const cw_peer_t *peer, uint32_t kind, uint8_t *packed, size_t length)
+static void send_datagram(cw_peer_link_t *link, const cw_peer_t *peer, uint32_t kind, uint8_t *packed, size_t length)
 {
-    struct sockaddr_in place = {.sin_family = AF_INET, .sin_port = htons(link->port)};
+    struct sockaddr_in socket_address = {.sin_family = AF_INET, .sin_port = htons(link->port)};
     uv_buf_t           buffer = uv_buf_init((char *)packed, (unsigned)length);
 
     if (length == 0 || link->closed) {
         return;
     }
-    place.sin_addr.s_addr = peer->address;
+    socket_address.sin_addr.s_addr = peer->address;
     cw_traffic_account_note(&link->traffic, kind, peer->distance, length);
-    (void)uv_udp_try_send(&link->socket, &buffer, 1, (const struct sockaddr *)&place);
+    (void)uv_udp_try_send(&link->socket, &buffer, 1, (const struct sockaddr *)&socket_address);
 }
 
 void cw_peer_link_send_packed(cw_peer_link_t *link, const cw_peer_t *peer, size_t length)
 {
-    send_bytes(link, peer, link->packed_kind, link->packed, length);
+    send_datagram(link, peer, link->packed_kind, link->packed, length);
 }
 
 void cw_peer_link_copy_packed(const cw_peer_link_t *link, uint8_t *bytes, size_t length)
@@ -267,7 +270,7 @@
     size_t index;
 
     for (index = 0; index < batch->count; index++) {
-        send_bytes(link, peer, batch->kind, (uint8_t *)batch->bytes.data + sent, batch->lengths[index]);
+        send_datagram(link, peer, batch->kind, (uint8_t *)batch->bytes.data + sent, batch->lengths[index]);
         sent += batch->lengths[index];
     }
     return sent;
@@ -282,7 +285,7 @@
 
     for (index = 0; index < batch->count && index < first + count; index++) {
         if (index >= first) {
-            send_bytes(link, peer, batch->kind, (uint8_t *)batch->bytes.data + offset, batch->lengths[index]);
+            send_datagram(link, peer, batch->kind, (uint8_t *)batch->bytes.data + offset, batch->lengths[index]);
             sent += batch->lengths[index];
         }
         offset += batch->lengths[index];
@@ -311,24 +314,25 @@
 bool cw_peer_is_former(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now)
 {
     return incarnation != 0 && incarnation == peer->former_incarnation &&
-           now - peer->incarnation_at < CW_SECONDS(LATE_MOST_S);
+           now - peer->incarnation_at < CW_SECONDS(LATE_MESSAGE_S);
 }
 
-/* Every peer of the list is in the hash; the analyzer does not follow uthash's macros and takes the hash for empty. */
+/* Every peer of the list is in the hash table. The analyzer does not follow uthash's macros and assumes an empty table.
+ */
 void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now)
 {
-    cw_peer_t **place = &link->peers;
+    cw_peer_t **position = &link->peers;
 
-    while (*place != NULL) {
-        cw_peer_t *peer = *place;
+    while (*position != NULL) {
+        cw_peer_t *peer = *position;
 
-        if (now - (peer->last_received_at > peer->told_at ? peer->last_received_at : peer->told_at) > silence) {
-            *place = peer->next;
+        if (now - (peer->last_received_at > peer->learned_at ? peer->last_received_at : peer->learned_at) > silence) {
+            *position = peer->next;
             /* NOLINTNEXTLINE(clang-analyzer-core.NullDereference) */
             HASH_DELETE(by_address, link->by_address, peer);
             free(peer);
         } else {
-            place = &peer->next;
+            position = &peer->next;
         }
     }
 }
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -1,9 +1,9 @@
 /**
  * @file peer_link.h
- * @brief Datagrams between nodes, and the nodes known.
- *
- * All nodes listen on the same port. A node is known by its address once a datagram came from it, or as an address that
- * was told (seeds, the lock's holder, the leader's list). Nodes that stay silent are forgotten.
+ * @brief Sends and receives datagrams between nodes, and keeps the list of known nodes (peers).
+ * All nodes listen on the same port. A peer is identified by its address. It is added when a datagram is received from
+ * it or when its address is learned elsewhere (seeds, holder of the leader's lock, the leader's list of nodes). Peers
+ * from which nothing is received are removed.
  */
 #ifndef CEDARWINCH_PEER_PEER_LINK_H
 #define CEDARWINCH_PEER_PEER_LINK_H
@@ -19,91 +19,104 @@
 #include "peer/datagram_batch.h"
 #include "peer/traffic_account.h"
 
+/** Socket and peers of a node. */
 typedef struct cw_peer_link cw_peer_link_t;
 
-/** When what a node lacks is sent to it next. */
+/** When the list of servers or the tables that a peer lacks are sent to it next. */
 typedef struct cw_push_state {
-    cw_time_us_t due_at;
-    uint32_t     tries;      /**< since it last had the newest */
-    bool         is_waiting; /**< it was left to get it from another node until due_at */
+    cw_time_us_t due_at;     /**< time of the next transmission */
+    uint32_t     tries;      /**< transmissions since the peer last had the newest version */
+    bool         is_waiting; /**< the peer is expected to get them from another node until due_at */
 } cw_push_state_t;
 
+/** A known node. */
 typedef struct cw_peer {
-    uint32_t        address; /**< IPv4, in network order */
-    char            text[16];
-    char            node[64];
-    char            zone[64];
-    cw_distance_t   distance; /**< of that zone; the farthest until it is known */
-    uint64_t        incarnation;
-    uint64_t        former_incarnation; /**< the one before; 0: none known */
-    cw_time_us_t    incarnation_at;     /**< the present one has been known since */
-    uint32_t        sequence;
-    cw_time_us_t    last_received_at; /**< by itself, or by a relay of its zone; 0: never */
-    cw_time_us_t    direct_at;        /**< last report of its own that came here; 0: never */
-    cw_time_us_t    details_at;       /**< when it was heard first or again, or what it says of itself changed */
-    cw_time_us_t    told_at;          /**< when its address was told */
+    uint32_t      address;  /**< IPv4, in network order */
+    char          text[16]; /**< the address as text */
+    char          node[64]; /**< name; empty until it is known */
+    char          zone[64];
+    cw_distance_t distance; /**< distance of that zone; the farthest one until the zone is known */
+    uint64_t      incarnation;
+    uint64_t      former_incarnation; /**< previous incarnation; 0: none known */
+    cw_time_us_t  incarnation_at;     /**< time since which the present incarnation has been known */
+    uint32_t      sequence;           /**< of its last report */
+    cw_time_us_t  last_received_at;   /**< last time it was reported alive by itself or a relay of its zone; 0: never */
+    cw_time_us_t  direct_at;          /**< last time a report was received from it directly; 0: never */
+    cw_time_us_t
+        details_at; /**< time at which it was first received from, received from again, or its details changed */
+    cw_time_us_t    learned_at; /**< last time its address was learned */
     bool            stopping;
-    uint32_t        capability; /**< to lead, as it told; 0: not known */
+    uint32_t        capability; /**< capability to lead, as stated by the peer; 0: not known */
     bool            is_lost;
-    bool            store_lost;  /**< its calls to the store bring nothing */
-    bool            misses_this; /**< by its last report nothing of this node reaches it directly */
-    uint64_t        term;        /**< of the view it has */
-    uint64_t        servers;
-    uint64_t        tables;
+    bool            store_lost;  /**< its calls to the store get no answer */
+    bool            misses_this; /**< its last report states that it receives nothing from this node directly */
+    uint64_t        term;        /**< term of the view that it has */
+    uint64_t        servers;     /**< number of its list of servers */
+    uint64_t        tables;      /**< number of its tables */
     cw_push_state_t servers_push;
     cw_push_state_t tables_push;
-    uint32_t        peers;        /**< nodes that it has heard lately, as it told last */
-    cw_time_us_t    nodes_due_at; /**< it may be told of the other nodes from then on */
+    uint32_t        peers;        /**< number of nodes from which it received recently, by its last report */
+    cw_time_us_t    nodes_due_at; /**< earliest time at which the other nodes' addresses are sent to it again */
     struct cw_peer *next;
     UT_hash_handle  by_address;
 } cw_peer_t;
 
+/** Callback for received datagrams. */
 typedef struct cw_peer_handler {
     void *context;
+    /** Called for each valid datagram; it is valid during the call only. */
     void (*datagram)(void *context, cw_peer_t *peer, const Cwp__Datagram *datagram);
 } cw_peer_handler_t;
 
+/** Binds the socket and starts to receive. Returns 0 or a libuv error; `link` is set in both cases. */
 int cw_peer_link_create(cw_peer_link_t **link, uv_loop_t *loop, const char *address, uint16_t port,
                         const cw_peer_handler_t *handler);
-/** The address by which other nodes know this one, if it is not the bound one. Negative: not an IPv4 number. */
-int  cw_peer_link_advertise(cw_peer_link_t *link, const char *address);
+/** Sets the address by which other nodes know this one, if it is not the bound address. Negative: not an IPv4
+ * address. */
+int cw_peer_link_advertise(cw_peer_link_t *link, const char *address);
+/** Closes the socket; memory is freed once the loop has closed its handle. */
 void cw_peer_link_close(cw_peer_link_t *link);
-/** Where this node is, and which region each zone lies in; `zones` stays valid as long as the link. */
+/** Sets the zone of this node and the region of each zone. `zones` must remain valid as long as the link. */
 void cw_peer_link_set_place(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count);
-/** A peer has said which zone it is in. */
+/** Sets the zone that a peer has stated, and its distance. */
 void cw_peer_link_note_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone);
-/** What was sent, by kind and distance. */
+/** Counts of sent datagrams by kind and distance. */
 const cw_traffic_account_t *cw_peer_link_traffic(const cw_peer_link_t *link);
-/** An address that may be a node's; this node's own is left out. */
+/** Adds the peer at an address that may be a node's, or updates the time at which it was last learned. NULL: it is this
+ * node's own address, or 0. */
 cw_peer_t *cw_peer_link_learn(cw_peer_link_t *link, uint32_t address, cw_time_us_t now);
-/** NULL: not known. */
+/** The peer at an address; NULL: not known. */
 cw_peer_t *cw_peer_link_find(cw_peer_link_t *link, uint32_t address);
+/** As cw_peer_link_learn, for an address as text, with or without a port. NULL also if it is not an IPv4 address. */
 cw_peer_t *cw_peer_link_learn_text(cw_peer_link_t *link, const char *address, cw_time_us_t now);
 uint32_t   cw_peer_link_own_address(const cw_peer_link_t *link); /**< IPv4, in network order */
-cw_peer_t *cw_peer_link_peers(cw_peer_link_t *link);             /**< linked by next */
-/** Packs once, sends to one peer. What the socket does not take is lost. */
+cw_peer_t *cw_peer_link_peers(cw_peer_link_t *link);             /**< first of the list linked by next */
+/** Packs a datagram and sends it to one peer. If the socket does not accept it now, it is lost. */
 void cw_peer_link_send(cw_peer_link_t *link, const cw_peer_t *peer, const Cwp__Datagram *datagram);
-/** Packs for cw_peer_link_send_packed. 0: it is too large for a datagram, which a line of the log says. */
+/** Packs a datagram for cw_peer_link_send_packed and returns its length. 0: it is too large to be sent, which is
+ * logged. */
 size_t cw_peer_link_pack(cw_peer_link_t *link, const Cwp__Datagram *datagram);
-void   cw_peer_link_send_packed(cw_peer_link_t *link, const cw_peer_t *peer, size_t length);
-/** Copies what was packed last. */
+/** Sends the datagram that was packed last to one peer. */
+void cw_peer_link_send_packed(cw_peer_link_t *link, const cw_peer_t *peer, size_t length);
+/** Copies the datagram that was packed last. */
 void cw_peer_link_copy_packed(const cw_peer_link_t *link, uint8_t *bytes, size_t length);
-/** Packs, and adds it to a batch. */
+/** Packs a datagram and adds it to a batch. */
 void cw_peer_link_pack_into(cw_peer_link_t *link, cw_datagram_batch_t *batch, const Cwp__Datagram *datagram);
-/** Sends all of a batch to one peer. Returns its bytes. */
+/** Sends all datagrams of a batch to one peer. Returns the number of bytes. */
 size_t cw_peer_link_send_batch(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch);
-/** Sends `count` datagrams of a batch from the one at `first` on. Returns their bytes. */
+/** Sends `count` datagrams of a batch to one peer, starting at index `first`. Returns the number of bytes. */
 size_t cw_peer_link_send_part(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
                               size_t first, size_t count);
-/** The node has started anew, if this is another incarnation: its reports begin with sequence 0, and what was sent to
- * the process before it, and when, does not count for this one. */
+/** Sets the incarnation of a peer. If it differs from the known one, the node has restarted: its reports begin with
+ * sequence 0, and the state of transmissions to the previous process is reset. */
 void cw_peer_set_incarnation(cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
-/** Is it the incarnation before the one known? Then what tells of it was late: it has been out of date for a short time
- * only. One that is told of for longer is at work, and the other was told of late. */
+/** True if this is the incarnation before the known one, and the known one is recent. A message about it is then late.
+ * If messages about that incarnation continue for longer, it is the running one, and the message about the other
+ * incarnation was late. */
 bool cw_peer_is_former(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
-/** Forgets peers unheard of for so long. */
+/** Removes peers that were neither received from nor learned for longer than `silence`. */
 void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
-/** Peers heard within `silence`. */
+/** Number of peers that were received from within `silence`. */
 uint32_t cw_peer_link_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
 
 #endif
--- a/src/peer/traffic_account.c
+++ b/src/peer/traffic_account.c
@@ -1,6 +1,6 @@
 /**
  * @file traffic_account.c
- * @brief Counts of what was sent, and their texts.
+ * @brief Traffic counts and their representation as metrics and log text.
  */
 #include "peer/traffic_account.h"
 
@@ -11,26 +11,29 @@
 
 #include "peer.pb-c.h"
 
-enum { SUMMARY_ENTRY_MAX = 96 /**< bytes of one kind's entry in the summary; the longest name has 21 */ };
+enum {
+    SUMMARY_ENTRY_BYTES =
+        96 /**< size of the buffer for one kind's entry in the summary; the longest name has 21 characters */
+};
 
 static const char *const distance_names[CW_DISTANCES] = {"zone", "region", "remote"};
 
-/* Numbers beyond the table are counted together: a later version may have more kinds. */
-static uint32_t row_of(uint32_t kind)
+/* Numbers beyond the table are counted together in row 0, since a later version may have more kinds. */
+static uint32_t row_index(uint32_t kind)
 {
     return kind < CW_TRAFFIC_KINDS ? kind : 0;
 }
 
 void cw_traffic_account_note(cw_traffic_account_t *account, uint32_t kind, cw_distance_t distance, size_t bytes)
 {
-    account->bytes[row_of(kind)][distance] += bytes;
-    account->datagrams[row_of(kind)][distance]++;
+    account->bytes[row_index(kind)][distance] += bytes;
+    account->datagrams[row_index(kind)][distance]++;
 }
 
 const char *cw_traffic_kind_name(uint32_t kind)
 {
     const ProtobufCFieldDescriptor *field =
-        protobuf_c_message_descriptor_get_field(&cwp__datagram__descriptor, row_of(kind));
+        protobuf_c_message_descriptor_get_field(&cwp__datagram__descriptor, row_index(kind));
 
     return field == NULL ? "other" : field->name;
 }
@@ -63,8 +66,8 @@
     write_counter(text, "cedarwinch_peer_datagrams_total", "datagrams sent to other nodes", account->datagrams);
 }
 
-/* The kind of most bytes among those not shown yet; CW_TRAFFIC_KINDS: none is left. */
-static uint32_t largest(const cw_traffic_account_t *account, cw_distance_t distance, const bool *is_shown)
+/* The kind with the most bytes among those not shown yet; CW_TRAFFIC_KINDS: none is left. */
+static uint32_t find_largest_kind(const cw_traffic_account_t *account, cw_distance_t distance, const bool *is_shown)
 {
     uint32_t found = CW_TRAFFIC_KINDS;
     uint32_t kind;
@@ -81,7 +84,7 @@
 void cw_traffic_account_summary(const cw_traffic_account_t *account, cw_distance_t distance, char *text, size_t room)
 {
     bool     is_shown[CW_TRAFFIC_KINDS] = {false};
-    char     entry[SUMMARY_ENTRY_MAX];
+    char     entry[SUMMARY_ENTRY_BYTES];
     uint64_t sum = 0;
     size_t   length;
     uint32_t kind;
@@ -90,7 +93,7 @@
         sum += account->bytes[kind][distance];
     }
     length = (size_t)snprintf(text, room, "%" PRIu64, sum);
-    while ((kind = largest(account, distance, is_shown)) != CW_TRAFFIC_KINDS) {
+    while ((kind = find_largest_kind(account, distance, is_shown)) != CW_TRAFFIC_KINDS) {
         int written = snprintf(entry, sizeof(entry), " %s:%" PRIu64 "/%" PRIu64, cw_traffic_kind_name(kind),
                                account->bytes[kind][distance], account->datagrams[kind][distance]);
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,10 +1,10 @@
 /**
  * @file store.h
- * @brief Port to a store of objects with revisions, conditional writes, listings and watches.
+ * @brief Interface of a store of objects with revisions, conditional writes, listings and watches.
  *
- * The store is linearizable and never loses what it acknowledged. A write whose answer did not come (CW_STORE_UNKNOWN)
- * may have been done, or may still be done as long as its condition holds: reading the object back proves nothing until
- * another write has moved its revision.
+ * The store is linearizable and never loses a write that it acknowledged. A write without an answer (CW_STORE_UNKNOWN)
+ * may have been executed, and may still be executed later as long as its condition holds. Therefore reading the object
+ * back proves nothing until another write has changed the object's revision.
  */
 #ifndef CEDARWINCH_STORE_STORE_H
 #define CEDARWINCH_STORE_STORE_H
@@ -17,49 +17,57 @@
 #include "model/configuration.h"
 #include "model/server_list.h"
 
+/** Outcome of a call to the store. */
 typedef enum cw_store_result {
     CW_STORE_DONE,
     CW_STORE_NOT_FOUND,
-    CW_STORE_CONFLICT, /**< another revision, or it exists already: nothing was done */
-    CW_STORE_REFUSED,  /**< throttled or down: nothing was done */
-    CW_STORE_UNKNOWN   /**< no answer */
+    CW_STORE_CONFLICT, /**< the object has another revision, or exists already; nothing was written */
+    CW_STORE_REFUSED,  /**< the store throttles or is down; nothing was written */
+    CW_STORE_UNKNOWN   /**< no answer: a write may have been executed */
 } cw_store_result_t;
 
-/** What a read or a write of one object brought. Borrowed for the callback. */
+/** Result of a read or write of one object. Valid during the callback only. */
 typedef struct cw_store_reply {
     cw_store_result_t result;
-    uint64_t          revision; /**< of the object; 0: not stated */
-    json_t           *value;    /**< NULL: not stated. On a conflict the object as it is, where the store states it */
+    uint64_t          revision; /**< revision of the object; 0: not stated */
+    json_t *value; /**< the object, NULL if not stated; on a conflict its present value if the store states it */
 } cw_store_reply_t;
 
+/** Called once with the result of a call; context: the `data` of the call. */
 typedef void (*cw_store_replied_t)(void *context, const cw_store_reply_t *reply);
 
-/** A reading of the list of servers. */
+/** Result of one read of the list of servers. */
 typedef struct cw_servers_read {
-    cw_server_list_t *list;     /**< NULL: it could not be read. Else a reference that is given away */
-    uint64_t          revision; /**< all changes up to this one of the store are in it, */
-    uint64_t     latest; /**< and none later than this: what is read in several calls may hold some made meanwhile */
-    cw_time_us_t lag;    /**< what changed in so long before the reading may be missing */
+    cw_server_list_t *list;     /**< NULL: the read failed; otherwise a reference that passes to the receiver */
+    uint64_t          revision; /**< revision of the store up to which the list holds all changes */
+    uint64_t latest;  /**< revision after which the list holds no changes; it is later than `revision` if the list was
+                         read in several calls, since changes made between them may be included */
+    cw_time_us_t lag; /**< changes made within this time before the read may be missing */
 } cw_servers_read_t;
 
-/** Callbacks of a store's standing readers. Each gives a reference away. */
+/** Callbacks that an adapter calls for its watches and reads. Objects are passed as references that the receiver owns.
+ */
 typedef struct cw_store_readers {
     void *context;
+    /** A configuration was read. NULL: it cannot be used, and `problem` says why. */
     void (*configuration)(void *context, cw_configuration_t *configuration, const char *problem);
-    /** A change of it has to be reported within this; the adapter may wait for others that follow, but not for all of
-     * it.
-     */
+    /** A change of the configuration has to be reported within this time. The adapter may use part of it, but not all,
+     * to wait for further changes. */
     cw_time_us_t configuration_within;
-    /** An answer of the store shows: no configuration above this version had been acknowledged at that moment. */
+    /** An answer of the store shows that no configuration with a version above this one had been acknowledged at time
+     * `at`. */
     void (*configuration_newest)(void *context, uint64_t version, cw_time_us_t at);
-    /** The store answered a call of a standing reader, or left a reading of the configuration without an answer. */
+    /** The store answered a call of a watch or periodic read (true), or a read of the configuration got no answer
+     * (false). */
     void (*answered)(void *context, bool is_answered);
-    /** Operators may take zones out of service here: each reading of the servers also brings which are. */
+    /** Operators may take zones out of service in this store. Each read of the servers then also returns these zones.
+     */
     bool zones_may_be_out;
+    /** A read of the list of servers has ended. */
     void (*servers)(void *context, const cw_servers_read_t *read);
 } cw_store_readers_t;
 
-/** What the router asks of a store. A call's callback comes once, from the loop. */
+/** Operations that the router needs from a store. Each call's callback is called exactly once, from the event loop. */
 typedef struct cw_store_port {
     void *context;
     void (*read)(void *context, const char *kind, const char *name, cw_store_replied_t replied, void *data);
@@ -67,19 +75,20 @@
                    void *data);
     void (*replace)(void *context, const char *kind, const char *name, uint64_t revision, json_t *value,
                     cw_store_replied_t replied, void *data);
-    /** The same as read, from a copy that may be seconds old, at a fraction of the price: never a proof of anything. */
+    /** As read, but from a copy that may be seconds old, at a fraction of the cost. The result proves nothing about the
+     * present state. */
     void (*read_copy)(void *context, const char *kind, const char *name, cw_store_replied_t replied, void *data);
-    /** Reads the list of servers; the answer goes to the readers' servers(). from_copy:
-     * it may be seconds old. */
+    /** Reads the list of servers; the result is passed to servers() of the readers. from_copy: the list may be seconds
+     * old. */
     void (*read_servers)(void *context, bool from_copy);
-    /** This node knows the list as of this revision, from another node: the next reading needs only what changed since.
-     */
+    /** This node got the list as of this revision from another node. The next read needs only the changes after it. */
     void (*know_servers)(void *context, const cw_server_list_t *list, uint64_t revision);
-    /** Reads the configuration at once; a standing watch begins anew, since the present one may be dead. */
+    /** Reads the configuration immediately. A present watch is replaced by a new one, since its connection may be dead.
+     */
     void (*read_configuration)(void *context);
-    /** Keeps a standing watch of the configuration that the store may hold for `wait`; 0: none. None at first: the
-     * configuration is read once, from a copy. A watch that would be given up later than one of `wait` begun now is
-     * replaced by such a one: it may be dead. */
+    /** Keeps a watch (long poll) of the configuration that the store may hold open for `wait`; 0: no watch. Without a
+     * call there is no watch: the configuration is read once, from a copy. A present watch whose timeout expires later
+     * than that of a watch of `wait` begun now is replaced by the latter, since its connection may be dead. */
     void (*watch_configuration)(void *context, cw_time_us_t wait);
 } cw_store_port_t;
 
--- a/tests/listener_world.c
+++ b/tests/listener_world.c
@@ -1,6 +1,7 @@
 /**
  * @file listener_world.c
- * @brief A listener whose handler keeps its requests until a test answers them, and raw callers.
+ * @brief Test fixture: a listener whose handler keeps requests until a test answers them, and callers that send raw
+ *        bytes.
  */
 #include "listener_world.h"
 
@@ -18,10 +19,10 @@
 
 static void on_request(void *context, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound)
 {
-    cw_listener_world_t *world = context;
-    cw_world_request_t  *request = &world->requests[world->count++];
+    listener_fixture_t *fixture = context;
+    fixture_request_t  *request = &fixture->requests[fixture->count++];
 
-    ck_assert_uint_le(world->count, CW_WORLD_REQUESTS);
+    ck_assert_uint_le(fixture->count, LISTENER_FIXTURE_REQUESTS);
     request->exchange = exchange;
     request->arrived_us = inbound->arrived_us;
     snprintf(request->method, sizeof(request->method), "%s", inbound->method);
@@ -33,39 +34,39 @@
         request->body_last = inbound->body[inbound->body_length - 1];
     }
     cw_http_exchange_set_data(exchange, request);
-    if (world->answers_at_once) {
+    if (fixture->answers_immediately) {
         request->exchange = NULL;
         answer_exchange(exchange, request->target);
     }
 }
 
-static void on_gone(void *context, cw_http_exchange_t *exchange)
+static void on_cancelled(void *context, cw_http_exchange_t *exchange)
 {
-    cw_listener_world_t *world = context;
-    cw_world_request_t  *request = cw_http_exchange_data(exchange);
+    listener_fixture_t *fixture = context;
+    fixture_request_t  *request = cw_http_exchange_data(exchange);
 
     ck_assert_ptr_eq(request->exchange, exchange);
     request->exchange = NULL;
-    request->gone = true;
-    world->gone++;
+    request->cancelled = true;
+    fixture->cancelled++;
 }
 
 static bool rejects(void *context, const cw_http_inbound_t *head)
 {
     (void)context;
-    return strcmp(head->target, CW_WORLD_REJECTED) == 0;
+    return strcmp(head->target, LISTENER_FIXTURE_REJECTED) == 0;
 }
 
-void cw_world_init(cw_listener_world_t *world, const cw_http_limits_t *limits,
-                   const cw_http_listener_options_t *options)
+void listener_fixture_init(listener_fixture_t *fixture, const cw_http_limits_t *limits,
+                           const cw_http_listener_options_t *options)
 {
-    cw_http_listener_handler_t handler = {world, on_request, on_gone};
+    cw_http_listener_handler_t handler = {fixture, on_request, on_cancelled};
 
-    memset(world, 0, sizeof(*world));
-    uv_loop_init(&world->loop);
-    ck_assert_int_eq(cw_http_listener_create(&world->listener, &world->loop, "127.0.0.1", 0, limits, &handler), 0);
-    cw_http_listener_set_options(world->listener, options);
-    cw_http_listener_set_rejects(world->listener, rejects);
+    memset(fixture, 0, sizeof(*fixture));
+    uv_loop_init(&fixture->loop);
+    ck_assert_int_eq(cw_http_listener_create(&fixture->listener, &fixture->loop, "127.0.0.1", 0, limits, &handler), 0);
+    cw_http_listener_set_options(fixture->listener, options);
+    cw_http_listener_set_rejects(fixture->listener, rejects);
 }
 
 /* ---- callers ---- */
@@ -81,7 +82,7 @@
 
 static void on_read(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
 {
-    cw_world_caller_t *caller = stream->data;
+    fixture_caller_t *caller = stream->data;
 
     if (length > 0) {
         cw_bytes_append(&caller->received, buffer->base, (size_t)length);
@@ -96,27 +97,27 @@
     *(bool *)connect->data = true;
 }
 
-cw_world_caller_t *cw_world_connect(cw_listener_world_t *world)
+fixture_caller_t *listener_fixture_connect(listener_fixture_t *fixture)
 {
-    cw_world_caller_t *caller = &world->callers[world->caller_count++];
-    struct sockaddr_in place;
+    fixture_caller_t  *caller = &fixture->callers[fixture->caller_count++];
+    struct sockaddr_in socket_address;
     uv_connect_t       connect;
     bool               connected = false;
 
-    ck_assert_uint_le(world->caller_count, CW_WORLD_CALLERS);
-    caller->loop = &world->loop;
-    uv_ip4_addr("127.0.0.1", cw_http_listener_port(world->listener), &place);
-    uv_tcp_init(&world->loop, &caller->tcp);
+    ck_assert_uint_le(fixture->caller_count, LISTENER_FIXTURE_CALLERS);
+    caller->loop = &fixture->loop;
+    uv_ip4_addr("127.0.0.1", cw_http_listener_port(fixture->listener), &socket_address);
+    uv_tcp_init(&fixture->loop, &caller->tcp);
     caller->tcp.data = caller;
     connect.data = &connected;
-    uv_tcp_connect(&connect, &caller->tcp, (const struct sockaddr *)&place, on_connected);
-    cw_test_run_until_set(&world->loop, &connected);
+    uv_tcp_connect(&connect, &caller->tcp, (const struct sockaddr *)&socket_address, on_connected);
+    cw_test_run_until_set(&fixture->loop, &connected);
     uv_tcp_nodelay(&caller->tcp, 1);
     uv_read_start((uv_stream_t *)&caller->tcp, on_allocate, on_read);
     return caller;
 }
 
-size_t cw_world_stuff(cw_world_caller_t *caller, const void *bytes, size_t length)
+size_t listener_fixture_send_some(fixture_caller_t *caller, const void *bytes, size_t length)
 {
     uv_buf_t buffer = uv_buf_init((char *)bytes, (unsigned)length);
     int      written = uv_try_write((uv_stream_t *)&caller->tcp, &buffer, 1);
@@ -125,12 +126,12 @@
     return written > 0 ? (size_t)written : 0;
 }
 
-void cw_world_send(cw_world_caller_t *caller, const void *bytes, size_t length)
+void listener_fixture_send(fixture_caller_t *caller, const void *bytes, size_t length)
 {
     size_t sent = 0;
 
     while (sent < length) {
-        size_t written = cw_world_stuff(caller, (const char *)bytes + sent, length - sent);
+        size_t written = listener_fixture_send_some(caller, (const char *)bytes + sent, length - sent);
 
         if (written == 0) {
             uv_run(caller->loop, UV_RUN_ONCE);
@@ -139,48 +140,48 @@
     }
 }
 
-void cw_world_send_text(cw_world_caller_t *caller, const char *text)
+void listener_fixture_send_text(fixture_caller_t *caller, const char *text)
 {
-    cw_world_send(caller, text, strlen(text));
+    listener_fixture_send(caller, text, strlen(text));
 }
 
-void cw_world_leave(cw_world_caller_t *caller)
+void listener_fixture_disconnect(fixture_caller_t *caller)
 {
     uv_close((uv_handle_t *)&caller->tcp, NULL);
 }
 
 /* ---- waiting ---- */
 
-void cw_world_await_requests(cw_listener_world_t *world, size_t count)
+void listener_fixture_await_requests(listener_fixture_t *fixture, size_t count)
 {
-    while (world->count < count) {
-        uv_run(&world->loop, UV_RUN_ONCE);
+    while (fixture->count < count) {
+        uv_run(&fixture->loop, UV_RUN_ONCE);
     }
 }
 
-const char *cw_world_received(cw_world_caller_t *caller)
+const char *listener_fixture_received(fixture_caller_t *caller)
 {
     cw_bytes_append(&caller->received, "", 1);
     caller->received.length--;
     return caller->received.data;
 }
 
-void cw_world_await_text(cw_world_caller_t *caller, const char *text)
+void listener_fixture_await_text(fixture_caller_t *caller, const char *text)
 {
-    while (strstr(cw_world_received(caller), text) == NULL) {
+    while (strstr(listener_fixture_received(caller), text) == NULL) {
         uv_run(caller->loop, UV_RUN_ONCE);
     }
 }
 
-void cw_world_await_end(cw_world_caller_t *caller)
+void listener_fixture_await_end(fixture_caller_t *caller)
 {
     cw_test_run_until_set(caller->loop, &caller->ended);
 }
 
-void cw_world_await_gone(cw_listener_world_t *world, size_t count)
+void listener_fixture_await_cancelled(listener_fixture_t *fixture, size_t count)
 {
-    while (world->gone < count) {
-        uv_run(&world->loop, UV_RUN_ONCE);
+    while (fixture->cancelled < count) {
+        uv_run(&fixture->loop, UV_RUN_ONCE);
     }
 }
 
@@ -194,33 +195,33 @@
     *(bool *)handle->data = false;
 }
 
-void cw_world_pass(cw_listener_world_t *world, uint64_t ms)
+void listener_fixture_run_for(listener_fixture_t *fixture, uint64_t ms)
 {
     uv_timer_t timer;
     bool       passed = false;
 
-    uv_timer_init(&world->loop, &timer);
+    uv_timer_init(&fixture->loop, &timer);
     timer.data = &passed;
     uv_timer_start(&timer, on_passed, ms, 0);
-    cw_test_run_until_set(&world->loop, &passed);
+    cw_test_run_until_set(&fixture->loop, &passed);
     uv_close((uv_handle_t *)&timer, on_timer_closed);
     while (passed) {
-        uv_run(&world->loop, UV_RUN_NOWAIT);
+        uv_run(&fixture->loop, UV_RUN_NOWAIT);
     }
 }
 
-void cw_world_answer(cw_listener_world_t *world, size_t index, const char *body)
+void listener_fixture_answer(listener_fixture_t *fixture, size_t index, const char *body)
 {
-    cw_http_exchange_t *exchange = world->requests[index].exchange;
+    cw_http_exchange_t *exchange = fixture->requests[index].exchange;
 
     ck_assert_ptr_nonnull(exchange);
-    world->requests[index].exchange = NULL;
+    fixture->requests[index].exchange = NULL;
     answer_exchange(exchange, body);
 }
 
-bool cw_world_received_in_order(cw_world_caller_t *caller, const char *const *texts)
+bool listener_fixture_received_in_order(fixture_caller_t *caller, const char *const *texts)
 {
-    const char *at = cw_world_received(caller);
+    const char *at = listener_fixture_received(caller);
 
     for (; *texts != NULL; texts++) {
         at = strstr(at, *texts);
--- a/tests/process/few_descriptors.sh
+++ b/tests/process/few_descriptors.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# A node that gets fewer descriptors than it needs to start ends with 1 and says why; one that gets enough starts, and ends
-# with 0 when it is asked to stop. None ever ends by a signal. The node inherits its three standard descriptors and no
-# others, whatever this script was started with, so that each limit leaves the same number free on every machine.
+# Starts a node under different limits of open file descriptors. With fewer descriptors than it needs to start, it exits
+# with 1 and reports the reason. With enough, it starts and exits with 0 when it is asked to stop. It never ends by a
+# signal. The node inherits the three standard descriptors and no others, whatever this script was started with, so that
+# each limit leaves the same number of free descriptors on every machine.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-LOWEST_LIMIT=4   # one descriptor beside the three standard ones, for the settings file
-SAYS_WHY_FROM=6  # below it the dynamic loader or the settings file may fail first, with a line of its own
-NEEDED=13        # three standard ones, seven of the loop, sockets for callers, readiness and other nodes
-HIGHEST_LIMIT=32 # with the connections to the store and to seeds that it opens next
+LOWEST_LIMIT=4   # one descriptor for the settings file, besides the three standard ones
+SAYS_WHY_FROM=6  # with a lower limit the dynamic loader or the settings file may fail first, with a message of its own
+NEEDED=13        # three standard descriptors, seven of the event loop, sockets for callers, readiness and other nodes
+HIGHEST_LIMIT=32 # enough also for the connections to the store and to seeds that the node opens next
 
 cat >"$WORK/node.yaml" <<YAML
 node: n1
@@ -45,8 +46,8 @@
         kill -TERM "$NODE"
     fi
     wait "$NODE"
-    check "$limit descriptors: it ends with $expected" [ $? = "$expected" ]
+    check "$limit descriptors: the node exits with $expected" [ $? = "$expected" ]
     [ "$expected" = 0 ] || [ "$limit" -lt "$SAYS_WHY_FROM" ] ||
-        check "$limit descriptors: and says why" grep -q 'cannot start: too many open files' "$WORK/node$limit.err"
+        check "$limit descriptors: the node reports the reason" grep -q 'cannot start: too many open files' "$WORK/node$limit.err"
 done
 finish_test
--- a/tests/test_configuration_pages.c
+++ b/tests/test_configuration_pages.c
@@ -1,8 +1,9 @@
 /**
  * @file test_configuration_pages.c
- * @brief Tenants and their keys as pages between nodes: the whole, what changed, what is gone.
+ * @brief Transfer of configurations as pages between nodes: complete configurations, changed and removed tenants and
+ * keys.
  *
- * Pages are packed and unpacked as on the wire, and taken in an order of the test.
+ * Pages are packed and unpacked as on the network, and received with the last page first.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,11 +14,11 @@
 
 enum { DATAGRAM_BYTES = 65507, TENANTS = 10000, MANY_KEYS = 2500 };
 
-/** What one transfer took. */
+/** Pages and sizes of one transfer. */
 typedef struct transfer {
     Cwp__ConfigurationPage **pages;
     size_t                   count;
-    size_t                   tenants; /**< entries in them */
+    size_t                   tenants; /**< entries of tenants in all pages */
     size_t                   bytes;
     size_t                   largest;
 } transfer_t;
@@ -37,7 +38,7 @@
     free(packed);
 }
 
-static transfer_t transfer_of(const cw_configuration_t *base, const cw_configuration_t *configuration)
+static transfer_t make_transfer(const cw_configuration_t *base, const cw_configuration_t *configuration)
 {
     transfer_t       transfer = {0};
     cw_page_window_t all = {.first = 0, .count = CW_CONFIGURATION_PAGES_MAX};
@@ -46,7 +47,7 @@
     return transfer;
 }
 
-/* The last page first. NULL: refused. */
+/* Receives the pages of a transfer, the last page first. NULL: refused. */
 static cw_configuration_t *receive(const transfer_t *transfer, const cw_configuration_t *base)
 {
     cw_configuration_assembly_t assembly = {0};
@@ -61,7 +62,7 @@
     return whole;
 }
 
-static void clear(transfer_t *transfer)
+static void clear_transfer(transfer_t *transfer)
 {
     size_t index;
 
@@ -102,22 +103,23 @@
     ck_assert_uint_eq(cw_credential_index_count(left->credentials), cw_credential_index_count(right->credentials));
 }
 
-/* Sends `later` over `base` (NULL: nothing) and holds what arrives against it. Entries of tenants that were sent. */
-static size_t send_over(const cw_configuration_t *base, const cw_configuration_t *later)
+/* Sends `later` to a receiver that has `base` (NULL: none) and checks that it receives the same tenants. Returns the
+ * number of tenant entries that were sent. */
+static size_t transfer_and_check(const cw_configuration_t *base, const cw_configuration_t *later)
 {
-    transfer_t          transfer = transfer_of(base, later);
+    transfer_t          transfer = make_transfer(base, later);
     cw_configuration_t *received = receive(&transfer, base);
     size_t              tenants = transfer.tenants;
 
     assert_same_tenants(received, later);
     ck_assert_uint_lt(transfer.largest, DATAGRAM_BYTES);
     cw_configuration_release(received);
-    clear(&transfer);
+    clear_transfer(&transfer);
     return tenants;
 }
 
-/* Tenants t0, t1 and t2 with two keys each. */
-static cw_configuration_t *begin(uint64_t version, bool with_last, uint32_t key_of_second)
+/* Tenants t0, t1 and optionally t2. t1 has key 3 and key_of_second, unless that is 0. */
+static cw_configuration_t *make_configuration(uint64_t version, bool with_last, uint32_t key_of_second)
 {
     cw_configuration_t *configuration = cw_configuration_create(version);
     cw_tenant_t        *tenant = add_tenant(configuration, "t0");
@@ -141,48 +143,48 @@
     return configuration;
 }
 
-START_TEST(keys_come_and_go_without_the_store)
+START_TEST(added_and_removed_keys_are_transferred)
 {
-    cw_configuration_t *first = begin(1, true, 4);
-    cw_configuration_t *added = begin(2, true, 6);   /* t1 has another second key */
-    cw_configuration_t *removed = begin(3, true, 0); /* and then none */
-    cw_configuration_t *gone = begin(4, false, 0);   /* t2 is no tenant any more */
-
-    ck_assert_uint_eq(send_over(NULL, first), 3);
-    ck_assert_uint_eq(send_over(first, added), 1);
-    ck_assert_uint_eq(send_over(added, removed), 1);
-    ck_assert_uint_eq(send_over(removed, gone), 0);
-    ck_assert_uint_eq(send_over(first, gone), 1);
+    cw_configuration_t *first = make_configuration(1, true, 4);
+    cw_configuration_t *added = make_configuration(2, true, 6);         /* t1 has another second key */
+    cw_configuration_t *removed = make_configuration(3, true, 0);       /* t1 has no second key */
+    cw_configuration_t *without_last = make_configuration(4, false, 0); /* t2 is removed */
+
+    ck_assert_uint_eq(transfer_and_check(NULL, first), 3);
+    ck_assert_uint_eq(transfer_and_check(first, added), 1);
+    ck_assert_uint_eq(transfer_and_check(added, removed), 1);
+    ck_assert_uint_eq(transfer_and_check(removed, without_last), 0);
+    ck_assert_uint_eq(transfer_and_check(first, without_last), 1);
     cw_configuration_release(first);
     cw_configuration_release(added);
     cw_configuration_release(removed);
-    cw_configuration_release(gone);
+    cw_configuration_release(without_last);
 }
 END_TEST
 
-START_TEST(a_tenant_that_lost_all_its_keys_still_needs_one_at_the_other_node)
+START_TEST(a_tenant_without_keys_left_still_needs_a_key_after_a_transfer)
 {
-    cw_configuration_t *first = begin(1, true, 4);
+    cw_configuration_t *first = make_configuration(1, true, 4);
     cw_configuration_t *later = cw_configuration_create(2);
     transfer_t          transfer;
     cw_configuration_t *received;
 
     (void)add_tenant(later, "t0");
     cw_configuration_seal(later);
-    transfer = transfer_of(first, later);
+    transfer = make_transfer(first, later);
     received = receive(&transfer, first);
     assert_same_tenants(received, later);
     ck_assert(received->needs_keys);
     ck_assert(received->tenants[0].needs_key);
     ck_assert_uint_eq(cw_credential_index_count(received->credentials), 0);
-    clear(&transfer);
+    clear_transfer(&transfer);
     cw_configuration_release(received);
     cw_configuration_release(first);
     cw_configuration_release(later);
 }
 END_TEST
 
-START_TEST(an_open_route_is_open_at_the_other_node_too)
+START_TEST(a_route_for_anonymous_callers_is_transferred_as_such)
 {
     cw_configuration_t *configuration = cw_configuration_create(1);
     cw_route_t         *route = cw_configuration_add_route(configuration);
@@ -195,17 +197,17 @@
     route->allows_anonymous = true;
     cw_route_add_part(route, "s", 1);
     cw_configuration_seal(configuration);
-    transfer = transfer_of(NULL, configuration);
+    transfer = make_transfer(NULL, configuration);
     received = receive(&transfer, NULL);
     ck_assert_ptr_nonnull(received);
     ck_assert(cw_route_same(&received->routes[0], &configuration->routes[0]));
-    clear(&transfer);
+    clear_transfer(&transfer);
     cw_configuration_release(received);
     cw_configuration_release(configuration);
 }
 END_TEST
 
-START_TEST(a_tenant_of_very_many_keys_fits_into_datagrams)
+START_TEST(a_tenant_with_many_keys_fits_into_datagrams)
 {
     cw_configuration_t *first = cw_configuration_create(1);
     cw_configuration_t *later = cw_configuration_create(2);
@@ -219,15 +221,15 @@
     cw_configuration_copy_tenant(later, tenant);
     add_key(&later->tenants[0], MANY_KEYS);
     cw_configuration_seal(later);
-    (void)send_over(NULL, first);
-    (void)send_over(first, later);
+    (void)transfer_and_check(NULL, first);
+    (void)transfer_and_check(first, later);
 
     cw_configuration_release(first);
     cw_configuration_release(later);
 }
 END_TEST
 
-START_TEST(of_ten_thousand_tenants_only_those_that_changed_are_sent)
+START_TEST(only_changed_tenants_of_ten_thousand_are_sent)
 {
     cw_configuration_t *first = cw_configuration_create(1);
     cw_configuration_t *later = cw_configuration_create(2);
@@ -244,22 +246,22 @@
     add_key(&later->tenants[TENANTS / 2], 2 * TENANTS);
     cw_configuration_seal(first);
     cw_configuration_seal(later);
-    ck_assert_uint_eq(send_over(NULL, first), TENANTS);
-    ck_assert_uint_eq(send_over(first, later), 1);
-    transfer = transfer_of(NULL, first);
+    ck_assert_uint_eq(transfer_and_check(NULL, first), TENANTS);
+    ck_assert_uint_eq(transfer_and_check(first, later), 1);
+    transfer = make_transfer(NULL, first);
     printf("%d tenants: %zu pages, %zu bytes, the largest %zu; ", TENANTS, transfer.count, transfer.bytes,
            transfer.largest);
-    clear(&transfer);
-    transfer = transfer_of(first, later);
+    clear_transfer(&transfer);
+    transfer = make_transfer(first, later);
     printf("one more key: %zu bytes\n", transfer.bytes);
     ck_assert_uint_eq(transfer.count, 1);
-    clear(&transfer);
+    clear_transfer(&transfer);
     cw_configuration_release(first);
     cw_configuration_release(later);
 }
 END_TEST
 
-START_TEST(pages_that_give_a_key_to_two_tenants_are_refused)
+START_TEST(pages_with_one_key_for_two_tenants_are_refused)
 {
     cw_configuration_t *configuration = cw_configuration_create(1);
     transfer_t          transfer;
@@ -267,9 +269,9 @@
     add_key(add_tenant(configuration, "a"), 1);
     add_key(add_tenant(configuration, "b"), 1);
     cw_configuration_seal(configuration);
-    transfer = transfer_of(NULL, configuration);
+    transfer = make_transfer(NULL, configuration);
     ck_assert_ptr_null(receive(&transfer, NULL));
-    clear(&transfer);
+    clear_transfer(&transfer);
     cw_configuration_release(configuration);
 }
 END_TEST
@@ -279,12 +281,12 @@
     Suite *suite = suite_create("configuration pages");
     TCase *cases = tcase_create("configuration pages");
 
-    tcase_add_test(cases, keys_come_and_go_without_the_store);
-    tcase_add_test(cases, a_tenant_that_lost_all_its_keys_still_needs_one_at_the_other_node);
-    tcase_add_test(cases, an_open_route_is_open_at_the_other_node_too);
-    tcase_add_test(cases, a_tenant_of_very_many_keys_fits_into_datagrams);
-    tcase_add_test(cases, of_ten_thousand_tenants_only_those_that_changed_are_sent);
-    tcase_add_test(cases, pages_that_give_a_key_to_two_tenants_are_refused);
+    tcase_add_test(cases, added_and_removed_keys_are_transferred);
+    tcase_add_test(cases, a_tenant_without_keys_left_still_needs_a_key_after_a_transfer);
+    tcase_add_test(cases, a_route_for_anonymous_callers_is_transferred_as_such);
+    tcase_add_test(cases, a_tenant_with_many_keys_fits_into_datagrams);
+    tcase_add_test(cases, only_changed_tenants_of_ten_thousand_are_sent);
+    tcase_add_test(cases, pages_with_one_key_for_two_tenants_are_refused);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_detours.c
+++ b/tests/test_detours.c
@@ -1,6 +1,6 @@
 /**
  * @file test_detours.c
- * @brief Ways to other nodes by way of a third one: when they are looked for, and what goes by them.
+ * @brief Detours to other nodes through a third one: when probes are sent, and which datagrams are forwarded.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -11,11 +11,11 @@
 #include "peer/detours.h"
 #include "router/router_quota.h"
 
-enum { SUSPECT = 4, BETWEEN = 5, OTHER = 6, RUN_MS = 5000 };
+enum { SUSPECT = 4, INTERMEDIATE = 5, OTHER = 6, RUN_MS = 5000 };
 
 static const cw_time_us_t start = CW_SECONDS(100);
 
-/* ---- the pauses between probes ---- */
+/* ---- intervals between probes ---- */
 
 static uint32_t probes_within(cw_detours_t *detours, uint32_t address, cw_time_us_t from, cw_time_us_t to)
 {
@@ -38,7 +38,7 @@
 }
 END_TEST
 
-START_TEST(a_node_that_nobody_reaches_is_probed_rarely)
+START_TEST(an_unreachable_node_is_probed_less_often)
 {
     cw_detours_t *detours = cw_detours_create();
     uint32_t      at_first = probes_within(detours, SUSPECT, start, start + CW_SECONDS(5));
@@ -50,8 +50,8 @@
 }
 END_TEST
 
-/* Guards against a node that floods its zone with probes when another zone is lost. */
-START_TEST(probes_of_a_lost_zone_stay_within_the_budget)
+/* Guards against a node that floods its zone with probes after the loss of another zone. */
+START_TEST(probes_of_a_lost_zone_stay_within_the_rate_limit)
 {
     cw_detours_t *detours = cw_detours_create();
     uint32_t      count = 0;
@@ -70,15 +70,15 @@
 }
 END_TEST
 
-START_TEST(a_way_holds_for_a_second_after_something_came_by_it)
+START_TEST(a_detour_is_valid_for_a_second_after_a_datagram)
 {
     cw_detours_t *detours = cw_detours_create();
 
     ck_assert_uint_eq(cw_detours_via(detours, SUSPECT, start), 0);
-    cw_detours_received(detours, SUSPECT, BETWEEN, start);
-    ck_assert_uint_eq(cw_detours_via(detours, SUSPECT, start + CW_MS(900)), BETWEEN);
+    cw_detours_received(detours, SUSPECT, INTERMEDIATE, start);
+    ck_assert_uint_eq(cw_detours_via(detours, SUSPECT, start + CW_MS(900)), INTERMEDIATE);
     ck_assert_uint_eq(cw_detours_count(detours, start + CW_MS(900)), 1);
-    ck_assert_uint_eq(cw_detours_via(detours, SUSPECT, start + CW_MS(CW_DETOUR_LIFE_MS)), 0);
+    ck_assert_uint_eq(cw_detours_via(detours, SUSPECT, start + CW_MS(CW_DETOUR_VALID_MS)), 0);
     cw_detours_received(detours, SUSPECT, OTHER, start + CW_SECONDS(2));
     ck_assert_uint_eq(cw_detours_via(detours, SUSPECT, start + CW_SECONDS(2)), OTHER);
     cw_detours_expire(detours, start + CW_SECONDS(60));
@@ -87,13 +87,13 @@
 }
 END_TEST
 
-/* ---- at a node ---- */
+/* ---- use by a node ---- */
 
 static const char suspect_text[] = "10.1.0.1";
-static const char between_text[] = "10.1.0.2";
+static const char intermediate_text[] = "10.1.0.2";
 
-/* Two others, one of which has not been received from for so long that it counts as lost. */
-static node_fixture_t *node_that_misses_one(void)
+/* A node that knows two others, one of which counts as lost because nothing has been received from it. */
+static node_fixture_t *create_node_with_lost_peer(void)
 {
     node_fixture_t *node = node_fixture_create();
     uint32_t        sequence = 1;
@@ -103,7 +103,7 @@
     node->router.silence = CW_MS(CW_PEER_SILENCE_MS);
     node_fixture_receive_report(node, suspect_text, "z1", sequence);
     for (passed = 0; passed < RUN_MS; passed += 100) {
-        node_fixture_receive_report(node, between_text, "z1", ++sequence);
+        node_fixture_receive_report(node, intermediate_text, "z1", ++sequence);
         node_fixture_tick(node, 100);
         cw_router_detours_tick(&node->router, cw_router_now(&node->router));
     }
@@ -130,7 +130,7 @@
     detour.zone = "z1";
     datagram.content_case = CWP__DATAGRAM__CONTENT_DETOUR;
     datagram.detour = &detour;
-    node_fixture_receive(node, between_text, &datagram);
+    node_fixture_receive(node, intermediate_text, &datagram);
 }
 
 static bool is_alive(node_fixture_t *node, const char *address)
@@ -139,10 +139,11 @@
                               cw_router_now(&node->router));
 }
 
-/* Guards against a node that takes another one for gone, and counts in its place, since it does not receive from it. */
+/* Guards against a node that treats another one as down and counts in its place because it receives nothing from it
+ * directly. */
 START_TEST(a_lost_node_is_alive_while_another_one_reaches_it)
 {
-    node_fixture_t *node = node_that_misses_one();
+    node_fixture_t *node = create_node_with_lost_peer();
     uint32_t        own = cw_peer_link_own_address(node->router.link);
 
     ck_assert_uint_gt(detours_sent(node), 0);
@@ -156,11 +157,11 @@
 }
 END_TEST
 
-/* Guards against a share that is given out for a node which receives nothing: that its probe came proves one way only.
- */
-START_TEST(a_probe_is_answered_and_proves_nothing)
+/* Guards against a share that is granted in place of a node which cannot receive: a received probe proves only that one
+ * direction works. */
+START_TEST(a_probe_is_answered_but_does_not_prove_that_the_node_is_alive)
 {
-    node_fixture_t *node = node_that_misses_one();
+    node_fixture_t *node = create_node_with_lost_peer();
     uint64_t        before = detours_sent(node);
 
     receive_detour(node, suspect_text, cw_peer_link_own_address(node->router.link), true);
@@ -170,29 +171,30 @@
 }
 END_TEST
 
-START_TEST(a_detour_has_one_node_in_between)
+START_TEST(a_detour_has_exactly_one_intermediate_node)
 {
-    node_fixture_t *node = node_that_misses_one();
+    node_fixture_t *node = create_node_with_lost_peer();
     uint64_t        before = detours_sent(node);
 
-    receive_detour(node, between_text, inet_addr("10.1.0.9"), true);   /* nobody here knows that one */
-    receive_detour(node, between_text, inet_addr(suspect_text), true); /* nor reaches this one */
+    receive_detour(node, intermediate_text, inet_addr("10.1.0.9"), true); /* the destination is unknown to this node */
+    receive_detour(node, intermediate_text, inet_addr(suspect_text),
+                   true); /* the destination counts as lost at this node */
     ck_assert_uint_eq(detours_sent(node), before);
     node_fixture_receive_report(node, suspect_text, "z1", 2);
-    receive_detour(node, between_text, inet_addr(suspect_text), true);
+    receive_detour(node, intermediate_text, inet_addr(suspect_text), true);
     ck_assert_uint_eq(detours_sent(node), before + 1);
-    receive_detour(node, "10.1.0.9", inet_addr(suspect_text), true); /* it has been passed on once */
+    receive_detour(node, "10.1.0.9", inet_addr(suspect_text), true); /* the datagram has been forwarded once already */
     ck_assert_uint_eq(detours_sent(node), before + 1);
     node_fixture_free(node);
 }
 END_TEST
 
-static void report_missing(node_fixture_t *node, uint32_t sequence, uint32_t missed)
+static void receive_report_with_missed(node_fixture_t *node, uint32_t sequence, uint32_t missed)
 {
     Cwp__NodeReport report = CWP__NODE_REPORT__INIT;
     Cwp__Datagram   datagram = CWP__DATAGRAM__INIT;
 
-    report.node = (char *)between_text;
+    report.node = (char *)intermediate_text;
     report.zone = "z1";
     report.incarnation = 1;
     report.sequence = sequence;
@@ -200,20 +202,21 @@
     report.n_missed = 1;
     datagram.content_case = CWP__DATAGRAM__CONTENT_REPORT;
     datagram.report = &report;
-    node_fixture_receive(node, between_text, &datagram);
+    node_fixture_receive(node, intermediate_text, &datagram);
 }
 
-/* Guards against a share that is given out for a node which does not receive from this one, and serves it by itself. */
-START_TEST(a_node_that_misses_this_one_is_not_in_touch)
+/* Guards against a share that is granted in place of a node which does not receive from this one and serves its own
+ * share. */
+START_TEST(a_node_that_does_not_receive_from_this_one_is_not_reachable)
 {
-    node_fixture_t *node = node_that_misses_one();
-    cw_peer_t      *peer = cw_peer_link_find(node->router.link, inet_addr(between_text));
+    node_fixture_t *node = create_node_with_lost_peer();
+    cw_peer_t      *peer = cw_peer_link_find(node->router.link, inet_addr(intermediate_text));
 
     ck_assert(cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
-    report_missing(node, 900, cw_peer_link_own_address(node->router.link));
+    receive_report_with_missed(node, 900, cw_peer_link_own_address(node->router.link));
     ck_assert(!cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
     ck_assert(cw_router_is_alive(&node->router, peer, cw_router_now(&node->router)));
-    report_missing(node, 901, inet_addr(suspect_text));
+    receive_report_with_missed(node, 901, inet_addr(suspect_text));
     ck_assert(cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
     node_fixture_free(node);
 }
@@ -226,13 +229,13 @@
     TCase *node = tcase_create("node");
 
     tcase_add_test(pauses, a_suspect_is_probed_three_times_before_it_counts_as_lost);
-    tcase_add_test(pauses, a_node_that_nobody_reaches_is_probed_rarely);
-    tcase_add_test(pauses, probes_of_a_lost_zone_stay_within_the_budget);
-    tcase_add_test(pauses, a_way_holds_for_a_second_after_something_came_by_it);
+    tcase_add_test(pauses, an_unreachable_node_is_probed_less_often);
+    tcase_add_test(pauses, probes_of_a_lost_zone_stay_within_the_rate_limit);
+    tcase_add_test(pauses, a_detour_is_valid_for_a_second_after_a_datagram);
     tcase_add_test(node, a_lost_node_is_alive_while_another_one_reaches_it);
-    tcase_add_test(node, a_probe_is_answered_and_proves_nothing);
-    tcase_add_test(node, a_detour_has_one_node_in_between);
-    tcase_add_test(node, a_node_that_misses_this_one_is_not_in_touch);
+    tcase_add_test(node, a_probe_is_answered_but_does_not_prove_that_the_node_is_alive);
+    tcase_add_test(node, a_detour_has_exactly_one_intermediate_node);
+    tcase_add_test(node, a_node_that_does_not_receive_from_this_one_is_not_reachable);
     suite_add_tcase(suite, pauses);
     suite_add_tcase(suite, node);
     return cw_test_main(suite);
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -1,9 +1,8 @@
 /**
  * @file test_link.c
- * @brief The proxy between programs (standins/link): each fault does what it says, over sockets of the test's own.
- *
- * That nothing passes is seen by what was sent behind it: datagrams to one node are read in order, and a round trip
- * over another connection takes the proxy more than one turn of its loop.
+ * @brief The fault-injecting proxy between programs (standins/link): effect of each fault on sockets of the test.
+ * Tests check that data does not pass by means of data that is sent after it: datagrams to one node are read in order,
+ * and a round trip over another connection takes the proxy more than one turn of its event loop.
  */
 #include <arpa/inet.h>
 #include <check.h>
@@ -21,18 +20,18 @@
 #include "base/time.h"
 
 enum {
-    WAIT_MS = 10000, /* for what must come: far longer than a busy machine takes */
+    WAIT_MS = 10000, /* timeout for expected data: far longer than a busy machine needs */
     REPLY_MAX = 64,
-    DRAWS = 100
+    DATAGRAMS = 100
 };
 
 static pid_t    proxy;
 static FILE    *to_proxy;
 static FILE    *from_proxy;
 static char     reply[REPLY_MAX];
-static uint16_t ports[6]; /* known and bound ones of n1, n2, n3 */
+static uint16_t ports[6]; /* for each of n1, n2, n3 the port known to others and the port it binds */
 static int      nodes[3];
-static int      listener; /* the server s */
+static int      listener; /* socket of the server s */
 static uint16_t link_port;
 
 /* ---- the proxy ---- */
@@ -82,23 +81,23 @@
 
 /* ---- sockets ---- */
 
-static struct sockaddr_in place_of(uint16_t port)
+static struct sockaddr_in loopback_address(uint16_t port)
 {
-    struct sockaddr_in place = {.sin_family = AF_INET, .sin_port = htons(port)};
+    struct sockaddr_in socket_address = {.sin_family = AF_INET, .sin_port = htons(port)};
 
-    place.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    return place;
+    socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    return socket_address;
 }
 
 static int bind_any(int type, uint16_t *port)
 {
-    struct sockaddr_in place = place_of(0);
-    socklen_t          length = sizeof(place);
+    struct sockaddr_in socket_address = loopback_address(0);
+    socklen_t          length = sizeof(socket_address);
     int                descriptor = socket(AF_INET, type, 0);
 
-    ck_assert_int_eq(bind(descriptor, (const struct sockaddr *)&place, sizeof(place)), 0);
-    ck_assert_int_eq(getsockname(descriptor, (struct sockaddr *)&place, &length), 0);
-    *port = ntohs(place.sin_port);
+    ck_assert_int_eq(bind(descriptor, (const struct sockaddr *)&socket_address, sizeof(socket_address)), 0);
+    ck_assert_int_eq(getsockname(descriptor, (struct sockaddr *)&socket_address, &length), 0);
+    *port = ntohs(socket_address.sin_port);
     return descriptor;
 }
 
@@ -119,14 +118,14 @@
 
 static int connect_to(uint16_t port)
 {
-    struct sockaddr_in place = place_of(port);
+    struct sockaddr_in socket_address = loopback_address(port);
     int                descriptor = socket(AF_INET, SOCK_STREAM, 0);
 
-    ck_assert_int_eq(connect(descriptor, (const struct sockaddr *)&place, sizeof(place)), 0);
+    ck_assert_int_eq(connect(descriptor, (const struct sockaddr *)&socket_address, sizeof(socket_address)), 0);
     return descriptor;
 }
 
-/* A connection through the proxy, and its other side. */
+/* Opens a connection through the proxy: `near` is the client's side, `far` the server's. */
 static void open_pair(int *near, int *far)
 {
     *near = connect_to(link_port);
@@ -169,14 +168,15 @@
 
 static void send_datagram(int from, int to, const char *text)
 {
-    struct sockaddr_in place = place_of(ports[2 * to]);
+    struct sockaddr_in socket_address = loopback_address(ports[2 * to]);
 
-    ck_assert_int_eq(sendto(nodes[from], text, strlen(text), 0, (const struct sockaddr *)&place, sizeof(place)),
-                     (ssize_t)strlen(text));
+    ck_assert_int_eq(
+        sendto(nodes[from], text, strlen(text), 0, (const struct sockaddr *)&socket_address, sizeof(socket_address)),
+        (ssize_t)strlen(text));
 }
 
-/* Returns from whom, by the address that is known. */
-static int take_datagram(int node, char *text, size_t size)
+/* Receives a datagram and returns the index of its sender, identified by the port known to others. */
+static int receive_datagram(int node, char *text, size_t size)
 {
     struct sockaddr_in sender = {0};
     socklen_t          sender_length = sizeof(sender);
@@ -198,7 +198,7 @@
 {
     char text[REPLY_MAX];
 
-    ck_assert_int_eq(take_datagram(node, text, sizeof(text)), from);
+    ck_assert_int_eq(receive_datagram(node, text, sizeof(text)), from);
     ck_assert_str_eq(text, expected);
 }
 
@@ -239,7 +239,7 @@
 
 /* ---- tests ---- */
 
-START_TEST(wrong_lines_are_refused)
+START_TEST(invalid_commands_are_refused)
 {
     ck_assert_int_eq(strncmp(command("cut n1"), "error ", 6), 0);
     ck_assert_int_eq(strncmp(command("cut n1 n9"), "error ", 6), 0);
@@ -260,7 +260,7 @@
 }
 END_TEST
 
-START_TEST(a_cut_stops_datagrams_both_ways)
+START_TEST(a_cut_stops_datagrams_in_both_directions)
 {
     ck_assert_str_eq(command("cut west n3"), "ok");
     send_datagram(0, 2, "lost");
@@ -273,7 +273,7 @@
 }
 END_TEST
 
-START_TEST(a_cut_one_way_stops_one_way)
+START_TEST(a_one_way_cut_stops_one_direction)
 {
     ck_assert_str_eq(command("cut-one-way n1 n2"), "ok");
     send_datagram(0, 1, "lost");
@@ -284,42 +284,42 @@
 }
 END_TEST
 
-/* Which of the draws were lost, as a text of dots and stars. */
-static void lost_of_draws(char *lost)
+/* Sends DATAGRAMS datagrams and returns which were lost, as text: '.' received, '*' lost. */
+static void send_draws(char *lost)
 {
     char text[REPLY_MAX];
     int  number;
 
-    memset(lost, '*', DRAWS);
-    lost[DRAWS] = '\0';
-    for (number = 0; number < DRAWS; number++) {
+    memset(lost, '*', DATAGRAMS);
+    lost[DATAGRAMS] = '\0';
+    for (number = 0; number < DATAGRAMS; number++) {
         snprintf(text, sizeof(text), "%d", number);
         send_datagram(0, 1, text);
     }
     send_datagram(2, 1, "end");
-    while (take_datagram(1, text, sizeof(text)) != 2) {
+    while (receive_datagram(1, text, sizeof(text)) != 2) {
         lost[atoi(text)] = '.';
     }
 }
 
-START_TEST(datagrams_are_lost_by_seed)
+START_TEST(lost_datagrams_are_determined_by_the_seed)
 {
-    char first[DRAWS + 1];
-    char second[DRAWS + 1];
+    char first[DATAGRAMS + 1];
+    char second[DATAGRAMS + 1];
 
     ck_assert_str_eq(command("lose n1 n2 50"), "ok");
-    lost_of_draws(first);
+    send_draws(first);
     ck_assert_ptr_nonnull(strchr(first, '*'));
     ck_assert_ptr_nonnull(strchr(first, '.'));
     teardown();
     setup();
     ck_assert_str_eq(command("lose n1 n2 50"), "ok");
-    lost_of_draws(second);
+    send_draws(second);
     ck_assert_str_eq(first, second);
 }
 END_TEST
 
-START_TEST(datagrams_come_twice)
+START_TEST(datagrams_are_duplicated)
 {
     ck_assert_str_eq(command("double n1 n2 100"), "ok");
     send_datagram(0, 1, "a");
@@ -328,7 +328,7 @@
 }
 END_TEST
 
-START_TEST(datagrams_come_out_of_order)
+START_TEST(datagrams_are_reordered)
 {
     char text[REPLY_MAX];
     int  last = -1;
@@ -336,12 +336,12 @@
     int  number;
 
     ck_assert_str_eq(command("reorder n1 n2 30"), "ok");
-    for (number = 0; number < DRAWS; number++) {
+    for (number = 0; number < DATAGRAMS; number++) {
         snprintf(text, sizeof(text), "%d", number);
         send_datagram(0, 1, text);
     }
-    for (number = 0; number < DRAWS; number++) {
-        ck_assert_int_eq(take_datagram(1, text, sizeof(text)), 0);
+    for (number = 0; number < DATAGRAMS; number++) {
+        ck_assert_int_eq(receive_datagram(1, text, sizeof(text)), 0);
         backwards += atoi(text) < last ? 1 : 0;
         last = atoi(text);
     }
@@ -408,7 +408,7 @@
 }
 END_TEST
 
-START_TEST(the_end_of_one_side_is_passed_on_behind_its_bytes)
+START_TEST(the_end_of_one_side_is_forwarded_after_its_bytes)
 {
     char byte;
     int  near;
@@ -425,7 +425,7 @@
 }
 END_TEST
 
-START_TEST(what_was_reset_meanwhile_passes_nothing_after_a_cut)
+START_TEST(a_connection_reset_during_a_cut_passes_nothing_after_healing)
 {
     struct linger at_once = {.l_onoff = 1, .l_linger = 0};
     char          byte;
@@ -486,7 +486,7 @@
 }
 END_TEST
 
-START_TEST(a_connection_comes_from_the_end_whose_process_has_it)
+START_TEST(a_connection_belongs_to_the_end_of_its_process)
 {
     char line[64];
     int  near;
@@ -510,21 +510,21 @@
 
     tcase_set_timeout(cases, 30);
     tcase_add_checked_fixture(cases, setup, teardown);
-    tcase_add_test(cases, wrong_lines_are_refused);
+    tcase_add_test(cases, invalid_commands_are_refused);
     tcase_add_test(cases, a_datagram_comes_from_the_known_address);
-    tcase_add_test(cases, a_cut_stops_datagrams_both_ways);
-    tcase_add_test(cases, a_cut_one_way_stops_one_way);
-    tcase_add_test(cases, datagrams_are_lost_by_seed);
-    tcase_add_test(cases, datagrams_come_twice);
-    tcase_add_test(cases, datagrams_come_out_of_order);
+    tcase_add_test(cases, a_cut_stops_datagrams_in_both_directions);
+    tcase_add_test(cases, a_one_way_cut_stops_one_direction);
+    tcase_add_test(cases, lost_datagrams_are_determined_by_the_seed);
+    tcase_add_test(cases, datagrams_are_duplicated);
+    tcase_add_test(cases, datagrams_are_reordered);
     tcase_add_test(cases, a_cut_holds_bytes_until_it_is_healed);
     tcase_add_test(cases, an_open_connection_stalls_and_a_new_one_works);
     tcase_add_test(cases, an_open_connection_is_reset);
-    tcase_add_test(cases, what_was_reset_meanwhile_passes_nothing_after_a_cut);
-    tcase_add_test(cases, the_end_of_one_side_is_passed_on_behind_its_bytes);
+    tcase_add_test(cases, a_connection_reset_during_a_cut_passes_nothing_after_healing);
+    tcase_add_test(cases, the_end_of_one_side_is_forwarded_after_its_bytes);
     tcase_add_test(cases, bytes_and_datagrams_are_delayed);
     tcase_add_test(cases, bytes_are_throttled);
-    tcase_add_test(cases, a_connection_comes_from_the_end_whose_process_has_it);
+    tcase_add_test(cases, a_connection_belongs_to_the_end_of_its_process);
     suite_add_tcase(suite, cases);
     runner = srunner_create(suite);
     srunner_run_all(runner, CK_NORMAL);
--- a/tests/test_traffic_account.c
+++ b/tests/test_traffic_account.c
@@ -1,6 +1,6 @@
 /**
  * @file test_traffic_account.c
- * @brief What a node has sent, by kind and distance: counts, metrics, the line of the log.
+ * @brief Traffic sent by a node, by kind and distance: counts, metrics and log text.
  */
 #include <stdio.h>
 #include <string.h>
@@ -30,7 +30,7 @@
 }
 END_TEST
 
-START_TEST(a_kind_of_a_later_version_is_counted_apart)
+START_TEST(a_kind_of_a_later_version_is_counted_as_other)
 {
     cw_traffic_account_t account = {0};
 
@@ -53,7 +53,7 @@
 }
 END_TEST
 
-START_TEST(the_summary_shows_the_largest_kinds_as_far_as_the_room_goes)
+START_TEST(the_summary_shows_as_many_of_the_largest_kinds_as_fit)
 {
     cw_traffic_account_t account = {0};
     char                 text[64];
@@ -76,9 +76,9 @@
     TCase *cases = tcase_create("traffic account");
 
     tcase_add_test(cases, bytes_and_datagrams_are_counted_by_kind_and_distance);
-    tcase_add_test(cases, a_kind_of_a_later_version_is_counted_apart);
+    tcase_add_test(cases, a_kind_of_a_later_version_is_counted_as_other);
     tcase_add_test(cases, every_kind_of_datagram_has_a_row_and_a_name);
-    tcase_add_test(cases, the_summary_shows_the_largest_kinds_as_far_as_the_room_goes);
+    tcase_add_test(cases, the_summary_shows_as_many_of_the_largest_kinds_as_fit);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
