--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -1,9 +1,10 @@
 /**
  * @file http_listener.h
  * @brief HTTP/1.1 server on libuv and http_parser. It passes complete requests to a handler and writes complete
- * answers; several requests of a connection are processed at once. Unlike the connections of common server libraries,
- * these are read while requests are being processed, so that a caller's disconnect is detected immediately. They are
- * never closed while a request is with the handler.
+ *        answers; several requests of a connection are processed at once.
+ *
+ * Unlike the connections of common server libraries, these are read while requests are being processed, so that a
+ * caller's disconnect is detected immediately. They are never closed while a request is with the handler.
  *
  * Rules:
  *  - Requests that arrive on one connection before the first is answered are passed to the handler concurrently. The
@@ -12,8 +13,8 @@
  *    counts from when its head was read; a request that waits unread in the socket has not begun.
  *  - Bodies are read completely before the handler gets the request, within one memory limit for all connections
  *    (net/body_budget.h). They are kept until the answer, so that the handler may send them more than once.
- *  - A request that the handler rejects by its head is passed on without its body. The body and all later input of the
- *    connection are discarded, so later requests have not been read.
+ *  - A request that the handler rejects by its head is passed on without its body. The body and all later input of
+ *    the connection are discarded, so later requests have not been read.
  *  - When the caller disconnects, all its requests end.
  */
 #ifndef CEDARWINCH_NET_HTTP_LISTENER_H
@@ -34,12 +35,11 @@
 
 /** Limits of callers' requests and times. */
 typedef struct cw_http_limits {
-    size_t header_bytes; /**< maximum size of a head; longer: 431 */
-    size_t body_bytes;   /**< maximum size of a body; longer: 413 */
+    size_t       header_bytes;   /**< maximum size of a head; longer: 431 */
+    size_t       body_bytes;     /**< maximum size of a body; longer: 413 */
+    cw_time_us_t header_timeout; /**< time from the first to the last byte of a head; exceeded: 408 */
     cw_time_us_t
-        header_timeout;        /**< time from the first byte of a request to the last byte of its head; exceeded: 408 */
-    cw_time_us_t idle_timeout; /**< an idle connection is closed after this time; also the maximum time without progress
-                                  of a body or an answer */
+        idle_timeout; /**< maximum time of a connection without a request, and of a body or answer without progress */
 } cw_http_limits_t;
 
 /** Concurrency of a connection's requests and memory of bodies. All zeros: one request at a time, and bodies limited by
@@ -48,19 +48,18 @@
     cw_pipeline_limits_t pipeline;
     size_t               body_bytes_most; /**< maximum size of all bodies in memory; 0: unlimited */
     cw_time_us_t         body_wait;       /**< a body that waits for memory for this time is refused with 503 */
-    const char
-        *request_id_name; /**< header by whose value a request is named in the log; NULL: requests are not named */
+    const char          *request_id_name; /**< header whose value names a request in the log; NULL: none */
 } cw_http_listener_options_t;
 
-/** A request as the handler gets it. Valid until its answer. */
+/** A request as the handler gets it. The data that it points to is valid until the answer. */
 typedef struct cw_http_inbound {
     const char             *method;
     const char             *target; /**< path and query as received */
     const cw_http_fields_t *fields;
     const char             *body;
     size_t                  body_length;
-    cw_time_us_t            arrived_us; /**< time at which the last byte of the head was read */
-    bool without_body; /**< the body was not read, because the handler rejects the request by its head */
+    cw_time_us_t            arrived_us;   /**< time at which the last byte of the head was read */
+    bool                    without_body; /**< the body was not read: the handler rejects the request by its head */
 } cw_http_inbound_t;
 
 /** Callbacks of a listener. */
--- a/src/net/http_listener_answer.c
+++ b/src/net/http_listener_answer.c
@@ -1,8 +1,9 @@
 /**
  * @file http_listener_answer.c
  * @brief Answers of the HTTP server: format, order, writing.
- * An answer is kept as its body and its head without the last lines, since whether it closes the connection is decided
- * only when its turn comes. It is written from these two buffers, so that no byte is copied a second time.
+ *
+ * An answer is kept as its body and its head without the last lines, since whether it closes the connection is
+ * decided only when its turn comes. It is written from these two buffers, so that no byte is copied a second time.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/src/net/http_listener_body.c
+++ b/src/net/http_listener_body.c
@@ -1,9 +1,10 @@
 /**
  * @file http_listener_body.c
  * @brief Memory for bodies over all connections, and the queue of connections that wait for it.
+ *
  * The memory of a body of known length is reserved before its first byte is read, that of a chunked body piece by
- * piece. A waiting connection is not read, which slows its caller down by TCP flow control. A body that gets no memory
- * within the wait time is refused with 503: its request was not passed to the handler.
+ * piece. A waiting connection is not read, which slows its caller down by TCP flow control. A body that gets no
+ * memory within the wait time is refused with 503: its request was not passed to the handler.
  */
 #include <utlist.h>
 
--- a/src/net/http_listener_internal.h
+++ b/src/net/http_listener_internal.h
@@ -1,10 +1,12 @@
 /**
  * @file http_listener_internal.h
  * @brief Types and functions shared by the source files of the HTTP server.
+ *
  * A connection holds the request that is being read (`incoming`) and the requests that were read, in order of arrival
  * (`pipeline`). The socket is also read while requests are with the handler, so that a disconnect is detected
- * immediately. It is not read while `pending` holds bytes that may not be parsed yet, because the pipeline is full or a
- * body waits for memory. Meanwhile the connection is checked for a disconnect every CW_HANG_UP_CHECK_MS.
+ * immediately. It is not read while `pending` holds bytes that may not be parsed yet, because the pipeline is full or
+ * a body waits for memory. Meanwhile the connection is checked for a disconnect every CW_HANG_UP_CHECK_MS.
+ *
  * States of a connection: OPEN, then LINGERING (the last answer has been written and the sending side is shut down;
  * input is discarded until the peer closes or sends nothing for CW_LINGER_MS, so that the peer gets the complete
  * answer), then CLOSED.
@@ -19,8 +21,8 @@
 enum {
     CW_LISTENER_CHUNK = 16 * 1024, /* bytes of one read */
     CW_LINGER_MS = 1000,           /* a lingering connection is closed after this time without input */
-    CW_LINGER_MAX_S = 30,     /* maximum time of lingering, as nginx's lingering_time: the sender of an unread body may
-                                  send it for this time */
+    CW_LINGER_MAX_S =
+        30, /* maximum time of lingering, as nginx's lingering_time: an unread body may arrive for so long */
     CW_HANG_UP_CHECK_MS = 250 /* a disconnect is detected within half a second even while the connection is not read */
 };
 
--- a/src/net/http_pipeline.h
+++ b/src/net/http_pipeline.h
@@ -5,9 +5,10 @@
  *
  * Rules:
  *  - Requests are passed to the handler in the order of arrival and processed concurrently. Their answers are written
- * in the same order.
+ *    in the same order.
  *  - A request with an unsafe method is passed on only after all requests before it are answered, and later requests
- *    only after it is answered. So an answer that closes the connection never hides that a later request was executed.
+ *    only after it is answered. So an answer that closes the connection never hides that a later request was
+ *    executed.
  *  - The answer that closes the connection is the one to the last request that was passed on. Later requests have not
  *    been processed: the caller may repeat them, whatever their method is.
  *
--- a/src/net/http_upstream.c
+++ b/src/net/http_upstream.c
@@ -1,9 +1,10 @@
 /**
  * @file http_upstream.c
  * @brief Calls, connections and pools of idle connections.
+ *
  * A call owns its connection from start to end. `sent` is set just before the first write, so if a call ends without
- * it, no byte has been sent. Idle connections are read, so that a close by the peer, or an unexpected byte, after which
- * the connection must not be reused, is detected before the next use.
+ * it, no byte has been sent. Idle connections are read, so that a close by the peer, or an unexpected byte, after
+ * which the connection must not be reused, is detected before the next use.
  */
 #include "net/http_upstream_internal.h"
 
--- a/src/net/http_upstream.h
+++ b/src/net/http_upstream.h
@@ -1,11 +1,12 @@
 /**
  * @file http_upstream.h
  * @brief HTTP/1.1 client on libuv and http_parser. Each connection carries one call at a time, idle connections are
- * kept for each target, and the outcome of a call is determined strictly. An answer is complete only if its framing
- * says so: the stated length was reached, the last chunk arrived or, with neither, the connection was closed in an
- * orderly way (not by a reset). A connection is reused only after a complete answer without further bytes after it, to
- * a request that had been sent completely. A server may answer before it has read a long body, and would otherwise read
- * the next request as the rest of that body.
+ *        kept for each target, and the outcome of a call is determined strictly.
+ *
+ * An answer is complete only if its framing says so: the stated length was reached, the last chunk arrived or, with
+ * neither, the connection was closed in an orderly way (not by a reset). A connection is reused only after a complete
+ * answer without further bytes after it, to a request that had been sent completely. A server may answer before it
+ * has read a long body, and would otherwise read the next request as the rest of that body.
  */
 #ifndef CEDARWINCH_NET_HTTP_UPSTREAM_H
 #define CEDARWINCH_NET_HTTP_UPSTREAM_H
@@ -69,8 +70,7 @@
                               keep-alive timeout */
     cw_time_us_t unacknowledged; /**< a connection ends if sent data is not acknowledged for this time
                                     (TCP_USER_TIMEOUT); 0: system default */
-    bool reset_on_abandon; /**< an abandoned or timed-out call resets its connection, so that data in flight is dropped
-                            */
+    bool reset_on_abandon; /**< reset the connection of an abandoned or timed-out call: data in flight is dropped */
 } cw_upstream_options_t;
 
 /** Creates a client. */
--- a/src/net/http_upstream_internal.h
+++ b/src/net/http_upstream_internal.h
@@ -48,15 +48,14 @@
     bool                      any_byte;
     bool                      too_long;
     bool                      complete;
-    bool
-        not_reusable; /* the connection must not be reused: it ends, or bytes arrived that belong to no request of it */
-    char                   *match_name;
-    char                   *match_value;
-    http_parser             parser;
-    cw_http_fields_t        fields;
-    cw_http_field_builder_t builder;
-    bool                    head_done;
-    cw_bytes_t              body;
+    bool                      not_reusable; /* its connection ends, or bytes arrived that belong to no request */
+    char                     *match_name;
+    char                     *match_value;
+    http_parser               parser;
+    cw_http_fields_t          fields;
+    cw_http_field_builder_t   builder;
+    bool                      head_done;
+    cw_bytes_t                body;
 };
 
 struct cw_upstream_target {
--- a/src/peer/configuration_pages.c
+++ b/src/peer/configuration_pages.c
@@ -8,8 +8,7 @@
 #include <string.h>
 
 enum {
-    KEYS_PER_SLICE =
-        3 /* keys of a tenant in one item: about 100 bytes of digests, so that the item is about as large as a route */
+    KEYS_PER_SLICE = 3 /* about 100 bytes of digests, so that an item is about as large as a route */
 };
 
 /* ---- finding changes ---- */
--- a/src/peer/configuration_pages.h
+++ b/src/peer/configuration_pages.h
@@ -5,13 +5,13 @@
  *
  * Rules:
  *  - Changes are sent by route and by tenant. A route is identified by its host and prefix, a tenant by its name;
- * sealed configurations are sorted by these. A tenant with many keys is sent in parts of a few keys each.
- *  - Page 0 also holds the services and limits, which are small and always sent completely. The items of all pages are
- * in this order: removed routes, added or changed routes, removed tenants, parts of added or changed tenants.
+ *    sealed configurations are sorted by these. A tenant with many keys is sent in parts of a few keys each.
+ *  - Page 0 also holds the services and limits, which are small and always sent completely. The items of all pages
+ *    are in this order: removed routes, added or changed routes, removed tenants, parts of added or changed tenants.
  *  - Each node makes the same pages from the same two configurations, so the pages of one transfer may come from
- * several nodes.
- *  - A transfer of more than CW_CONFIGURATION_PAGES_MAX pages is not sent. One page without contents (pages 0) is sent
- *    instead.
+ *    several nodes.
+ *  - A transfer of more than CW_CONFIGURATION_PAGES_MAX pages is not sent. One page without contents (pages 0) is
+ *    sent instead.
  *
  * No I/O, no clock.
  */
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -1,9 +1,10 @@
 /**
  * @file peer_link.h
  * @brief Sends and receives datagrams between nodes, and keeps the list of known nodes (peers).
- * All nodes listen on the same port. A peer is identified by its address. It is added when a datagram is received from
- * it or when its address is learned elsewhere (seeds, holder of the leader's lock, the leader's list of nodes). Peers
- * from which nothing is received are removed.
+ *
+ * All nodes listen on the same port. A peer is identified by its address. It is added when a datagram is received
+ * from it or when its address is learned elsewhere (seeds, holder of the leader's lock, the leader's list of nodes).
+ * Peers from which nothing is received are removed.
  */
 #ifndef CEDARWINCH_PEER_PEER_LINK_H
 #define CEDARWINCH_PEER_PEER_LINK_H
@@ -31,19 +32,18 @@
 
 /** A known node. */
 typedef struct cw_peer {
-    uint32_t      address;  /**< IPv4, in network order */
-    char          text[16]; /**< the address as text */
-    char          node[64]; /**< name; empty until it is known */
-    char          zone[64];
-    cw_distance_t distance; /**< distance of that zone; the farthest one until the zone is known */
-    uint64_t      incarnation;
-    uint64_t      former_incarnation; /**< previous incarnation; 0: none known */
-    cw_time_us_t  incarnation_at;     /**< time since which the present incarnation has been known */
-    uint32_t      sequence;           /**< of its last report */
-    cw_time_us_t  last_received_at;   /**< last time it was reported alive by itself or a relay of its zone; 0: never */
-    cw_time_us_t  direct_at;          /**< last time a report was received from it directly; 0: never */
-    cw_time_us_t
-        details_at; /**< time at which it was first received from, received from again, or its details changed */
+    uint32_t        address;  /**< IPv4, in network order */
+    char            text[16]; /**< the address as text */
+    char            node[64]; /**< name; empty until it is known */
+    char            zone[64];
+    cw_distance_t   distance; /**< distance of that zone; the farthest one until the zone is known */
+    uint64_t        incarnation;
+    uint64_t        former_incarnation; /**< previous incarnation; 0: none known */
+    cw_time_us_t    incarnation_at;     /**< time since which the present incarnation has been known */
+    uint32_t        sequence;           /**< of its last report */
+    cw_time_us_t    last_received_at; /**< last time it was reported alive by itself or a relay of its zone; 0: never */
+    cw_time_us_t    direct_at;        /**< last time a report was received from it directly; 0: never */
+    cw_time_us_t    details_at; /**< last change of its details, including its first report and a return after a loss */
     cw_time_us_t    learned_at; /**< last time its address was learned */
     bool            stopping;
     uint32_t        capability; /**< capability to lead, as stated by the peer; 0: not known */
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -2,9 +2,9 @@
  * @file store.h
  * @brief Interface of a store of objects with revisions, conditional writes, listings and watches.
  *
- * The store is linearizable and never loses a write that it acknowledged. A write without an answer (CW_STORE_UNKNOWN)
- * may have been executed, and may still be executed later as long as its condition holds. Therefore reading the object
- * back proves nothing until another write has changed the object's revision.
+ * The store is linearizable and never loses a write that it acknowledged. A write without an answer
+ * (CW_STORE_UNKNOWN) may have been executed, and may still be executed later as long as its condition holds.
+ * Therefore reading the object back proves nothing until another write has changed the object's revision.
  */
 #ifndef CEDARWINCH_STORE_STORE_H
 #define CEDARWINCH_STORE_STORE_H
--- a/tests/test_configuration_pages.c
+++ b/tests/test_configuration_pages.c
@@ -1,7 +1,7 @@
 /**
  * @file test_configuration_pages.c
  * @brief Transfer of configurations as pages between nodes: complete configurations, changed and removed tenants and
- * keys.
+ *        keys.
  *
  * Pages are packed and unpacked as on the network, and received with the last page first.
  */
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -1,8 +1,9 @@
 /**
  * @file test_link.c
  * @brief The fault-injecting proxy between programs (standins/link): effect of each fault on sockets of the test.
- * Tests check that data does not pass by means of data that is sent after it: datagrams to one node are read in order,
- * and a round trip over another connection takes the proxy more than one turn of its event loop.
+ *
+ * Tests check that data does not pass by means of data that is sent after it: datagrams to one node are read in
+ * order, and a round trip over another connection takes the proxy more than one turn of its event loop.
  */
 #include <arpa/inet.h>
 #include <check.h>
