--- a/src/net/http_listener_internal.h
+++ b/src/net/http_listener_internal.h
@@ -21,8 +21,7 @@
 enum {
     CW_LISTENER_CHUNK = 16 * 1024, /* bytes of one read */
     CW_LINGER_MS = 1000,           /* a lingering connection is closed after this time without input */
-    CW_LINGER_MAX_S =
-        30, /* maximum time of lingering, as nginx's lingering_time: an unread body may arrive for so long */
+    CW_LINGER_MAX_S = 30,          /* maximum, as nginx's lingering_time: an unread body may arrive for so long */
     CW_HANG_UP_CHECK_MS = 250 /* a disconnect is detected within half a second even while the connection is not read */
 };
 
--- a/src/net/http_listener_request.c
+++ b/src/net/http_listener_request.c
@@ -362,8 +362,7 @@
     cw_http_connection_t *connection = stream->data;
     size_t                used;
 
-    if (length ==
-        0) { /* libuv reports that there are no bytes now; the parser would take 0 bytes for the end of the stream */
+    if (length == 0) { /* no bytes now (libuv); the parser would take 0 bytes for the end of the stream */
         return;
     }
     if (length < 0) {
--- a/src/peer/configuration_pages.h
+++ b/src/peer/configuration_pages.h
@@ -58,7 +58,8 @@
 uint32_t cw_configuration_assembly_missing(const cw_configuration_assembly_t *assembly);
 /** Discards the received pages. */
 void cw_configuration_assembly_clear(cw_configuration_assembly_t *assembly);
-/* * Adds a page. Returns the new configuration, sealed and owned by the caller, once all pages are received; otherwise
+/**
+ * Adds a page. Returns the new configuration, sealed and owned by the caller, once all pages are received; otherwise
  * NULL.
  * in_force: the receiver's own configuration (NULL: none). Pages that are based on another one are ignored.
  */
--- a/src/peer/detours.c
+++ b/src/peer/detours.c
@@ -10,11 +10,10 @@
 #include "base/memory.h"
 
 enum {
-    PROBE_INTERVAL_MS = 200, /* three probes from when a node becomes a suspect until it counts as lost */
-    FREQUENT_PROBES = 10, /* probes at this interval; a node that any other node reaches has replied to one of them */
+    PROBE_INTERVAL_MS = 200,       /* three probes from when a node becomes a suspect until it counts as lost */
+    FREQUENT_PROBES = 10,          /* probes at that interval; a node that any other reaches has replied to one */
     RARE_PROBE_INTERVAL_MS = 1000, /* interval of later probes, which detect that the node is back */
-    PROBES_PER_SECOND =
-        20, /* of all suspects: each is two or three datagrams of 60 bytes, within the 3 KB/s of control traffic */
+    PROBES_PER_SECOND = 20, /* of all suspects: two or three datagrams of 60 bytes each, within 3 KB/s of control */
     PROBE_BURST = 25, /* probes that may be sent at once, so that the first probes of some suspects are not delayed */
     RETENTION_S = 10  /* time after the last probe or datagram after which a node is removed */
 };
@@ -45,8 +44,7 @@
 
 static void remove_detour(cw_detours_t *detours, detour_t *detour)
 {
-    HASH_DEL(detours->items,
-             detour); /* NOLINT(clang-analyzer-unix.Malloc): the analyzer does not follow uthash's macros */
+    HASH_DEL(detours->items, detour); /* NOLINT(clang-analyzer-unix.Malloc): uthash's macros are not followed */
     free(detour);
 }
 
--- a/src/peer/detours.h
+++ b/src/peer/detours.h
@@ -28,8 +28,7 @@
 #include "base/time.h"
 
 enum {
-    CW_DETOUR_WAYS =
-        2, /**< nodes that forward each probe of a suspect, in addition to the one that forwarded its last reply */
+    CW_DETOUR_WAYS = 2,       /**< nodes that forward each probe, besides the one that forwarded the last reply */
     CW_DETOUR_VALID_MS = 1000 /**< as the timeout of an unresponsive node in a small fleet (CW_PEER_SILENCE_MS) */
 };
 
--- a/src/peer/peer_link.c
+++ b/src/peer/peer_link.c
@@ -187,8 +187,8 @@
     peer = cw_memory_zeroed(sizeof(*peer));
     peer->address = address;
     peer->learned_at = now;
-    peer->distance =
-        link->zone[0] == '\0' ? CW_DISTANCE_ZONE : CW_DISTANCE_REMOTE; /* without zones all peers count as near */
+    /* Without zones all peers count as near. */
+    peer->distance = link->zone[0] == '\0' ? CW_DISTANCE_ZONE : CW_DISTANCE_REMOTE;
     inet_ntop(AF_INET, &address, peer->text, sizeof(peer->text));
     peer->next = link->peers;
     link->peers = peer;
--- a/src/peer/traffic_account.c
+++ b/src/peer/traffic_account.c
@@ -12,8 +12,7 @@
 #include "peer.pb-c.h"
 
 enum {
-    SUMMARY_ENTRY_BYTES =
-        96 /**< size of the buffer for one kind's entry in the summary; the longest name has 21 characters */
+    SUMMARY_ENTRY_BYTES = 96 /**< buffer of one kind's entry in the summary; the longest name has 21 bytes */
 };
 
 static const char *const distance_names[CW_DISTANCES] = {"zone", "region", "remote"};
--- a/tests/test_http_pipeline.c
+++ b/tests/test_http_pipeline.c
@@ -172,7 +172,7 @@
 
 /* The caller writes until no more bytes are accepted. The number of accepted requests and the size of buffered input
  * stay within their limits. */
-START_TEST(a_caller_that_sends_endlessly_is_not_read)
+START_TEST(buffered_input_of_a_caller_that_sends_endlessly_is_bounded)
 {
     static char        text[1 << 20];
     listener_fixture_t fixture;
@@ -481,7 +481,7 @@
     tcase_add_test(cases, an_answer_to_head_has_no_body);
     tcase_add_test(cases, no_more_requests_than_the_depth_are_accepted);
     tcase_add_test(cases, waiting_answers_delay_the_next_request);
-    tcase_add_test(cases, a_caller_that_sends_endlessly_is_not_read);
+    tcase_add_test(cases, buffered_input_of_a_caller_that_sends_endlessly_is_bounded);
     tcase_add_test(cases, a_pending_request_counts_from_when_it_was_read);
     tcase_add_test(cases, a_disconnect_cancels_all_requests_of_the_connection);
     tcase_add_test(cases, a_disconnect_is_detected_while_the_connection_is_not_read);
