--- a/tests/test_detours.c
+++ b/tests/test_detours.c
@@ -150,7 +150,7 @@
     ck_assert(!is_alive(node, suspect_text));
     receive_detour(node, suspect_text, own, false);
     ck_assert(is_alive(node, suspect_text));
-    cw_router_quota_look_around(node->router.quota, cw_router_now(&node->router));
+    cw_router_quota_update_nodes(node->router.quota, cw_router_now(&node->router));
     ck_assert_uint_eq(node->router.quota->candidate_count, 3);
     ck_assert_uint_eq(node->router.quota->in_reach, 3);
     node_fixture_free(node);
@@ -212,12 +212,12 @@
     node_fixture_t *node = create_node_with_lost_peer();
     cw_peer_t      *peer = cw_peer_link_find(node->router.link, inet_addr(intermediate_text));
 
-    ck_assert(cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
+    ck_assert(cw_router_is_reachable(&node->router, peer, cw_router_now(&node->router)));
     receive_report_with_missed(node, 900, cw_peer_link_own_address(node->router.link));
-    ck_assert(!cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
+    ck_assert(!cw_router_is_reachable(&node->router, peer, cw_router_now(&node->router)));
     ck_assert(cw_router_is_alive(&node->router, peer, cw_router_now(&node->router)));
     receive_report_with_missed(node, 901, inet_addr(suspect_text));
-    ck_assert(cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
+    ck_assert(cw_router_is_reachable(&node->router, peer, cw_router_now(&node->router)));
     node_fixture_free(node);
 }
 END_TEST
