--- a/src/balance/cold_rate.c
+++ b/src/balance/cold_rate.c
@@ -1,6 +1,6 @@
 /**
  * @file cold_rate.c
- * @brief The nodes that share a cold server, by rendezvous hashing.
+ * @brief Selects the sharers of a cold server by rendezvous hashing.
  */
 #include "balance/cold_rate.h"
 
@@ -11,17 +11,18 @@
 #include "base/memory.h"
 
 enum {
-    WINDOW_MS = 1100, /* the bound's second, and what the ways to the server differ by */
-    CHANGED_MS =
-        2000,   /* a node is missed by all others within a second and a half (CW_PEER_SILENCE_MS, a late report) */
-    MOST_S = 60 /* after that a smaller number of nodes is how many there are */
+    SEND_WINDOW_MS = 1100, /* one second, plus the differences in network delay to the server */
+    CHANGE_PAUSE_MS =
+        2000, /* all others detect a stopped node within 1.5 seconds (CW_PEER_SILENCE_MS, plus a delayed report) */
+    MAX_NODES_EXPIRY_S =
+        60 /* a number of known nodes that has stayed lower for so long is accepted as the number of nodes */
 };
 
 bool cw_cold_sends_are_left(const cw_cold_sends_t *sends, cw_time_us_t now)
 {
     cw_time_us_t oldest = sends->at[sends->next];
 
-    return oldest == 0 || now - oldest >= CW_MS(WINDOW_MS);
+    return oldest == 0 || now - oldest >= CW_MS(SEND_WINDOW_MS);
 }
 
 void cw_cold_sends_note(cw_cold_sends_t *sends, cw_time_us_t now)
@@ -34,9 +35,9 @@
     uint32_t     own_address;
     uint32_t    *addresses; /* sorted */
     size_t       count;
-    cw_time_us_t changed_at;
-    size_t       most; /* nodes known at once lately, this one included */
-    cw_time_us_t most_at;
+    cw_time_us_t changed_at; /* of addresses */
+    size_t       max_nodes;  /* most nodes known at once recently, including this one */
+    cw_time_us_t max_nodes_at;
 };
 
 cw_cold_rate_t *cw_cold_rate_create(uint32_t own_address)
@@ -61,13 +62,13 @@
     return a < b ? -1 : a > b;
 }
 
-static void note_most(cw_cold_rate_t *rate, cw_time_us_t now)
+static void update_max_nodes(cw_cold_rate_t *rate, cw_time_us_t now)
 {
     size_t nodes = rate->count + 1;
 
-    if (nodes >= rate->most || now - rate->most_at > CW_SECONDS(MOST_S)) {
-        rate->most = nodes;
-        rate->most_at = now;
+    if (nodes >= rate->max_nodes || now - rate->max_nodes_at > CW_SECONDS(MAX_NODES_EXPIRY_S)) {
+        rate->max_nodes = nodes;
+        rate->max_nodes_at = now;
     }
 }
 
@@ -86,7 +87,7 @@
     free(rate->addresses);
     rate->addresses = sorted;
     rate->count = count;
-    note_most(rate, now);
+    update_max_nodes(rate, now);
 }
 
 uint32_t cw_cold_rate_sharers(double per_s)
@@ -108,7 +109,8 @@
     uint32_t before = 0;
     size_t   index;
 
-    if (rate->addresses == NULL || now - rate->changed_at < CW_MS(CHANGED_MS) || 2 * (rate->count + 1) <= rate->most) {
+    if (rate->addresses == NULL || now - rate->changed_at < CW_MS(CHANGE_PAUSE_MS) ||
+        2 * (rate->count + 1) <= rate->max_nodes) {
         return false;
     }
     for (index = 0; index < rate->count && before < sharers; index++) {
--- a/src/balance/cold_rate.h
+++ b/src/balance/cold_rate.h
@@ -1,19 +1,21 @@
 /**
  * @file cold_rate.h
- * @brief How many requests a second a cold server may get, from all nodes together, and which nodes may send them.
+ * @brief Bounds how many requests a second all nodes together send to a cold server, and selects the sending nodes.
  *
- * A server is cold for a while after its start. It then bears a few requests a second and fails well above that, so the
- * bound holds for the sum over all nodes, also while these cannot talk to one another. Rules:
- *  - A few nodes send to a cold server: the first by rendezvous hashing of its id over the nodes known to run. Each has
- *    a fixed number of sends in any second; what all of them may send is what the server bears, far below the bound:
- *    so the bound holds even if twice as many nodes take themselves to be among the first.
- *  - A node sends none while it knows half or less of the nodes it has known lately: those on the other side of a
- *    partition may have chosen others.
- *  - A node sends none for a while after the nodes that it knows to run have changed: a node that was among the first
- *    before has stopped by then.
+ * A server is cold for a while after its start. A cold server can handle a few requests a second and fails at a rate
+ * well above that, so the bound applies to the sum over all nodes, also while the nodes cannot reach one another.
+ * Rules:
+ *  - Only a few nodes, the sharers, send to a cold server: the highest ranked by rendezvous hashing of the server's id
+ *    over the nodes known to run. Each sharer has a fixed number of sends in any second. All sharers together send as
+ *    many requests as the server can handle, far below the rate at which it fails. So the bound holds even if twice as
+ *    many nodes regard themselves as sharers.
+ *  - A node sends nothing while it knows half or fewer of the nodes that it knew recently: the nodes on the other side
+ *    of a partition may have selected other sharers.
+ *  - A node sends nothing for a while after its set of running nodes has changed: within that time the earlier sharers
+ *    have stopped sending.
  *
- * This is for nodes that choose servers by themselves. Where slots are handed out (slot_broker.h), the one node that
- * does so keeps the bound, and others send none.
+ * These rules are for nodes that choose servers by themselves. Where slots are handed out (slot_broker.h), the broker
+ * node keeps the bound and all others send nothing.
  *
  * No I/O; time is a parameter, microseconds of the node's steady clock.
  */
@@ -26,27 +28,30 @@
 
 #include "base/time.h"
 
-enum { CW_COLD_SENDS = 2 /**< that one node makes to one cold server in any second */ };
+enum { CW_COLD_SENDS = 2 /**< requests that one node may send to one cold server in any second */ };
 
-/** This node's latest sends to one cold server. */
+/** Times of this node's latest sends to one cold server. */
 typedef struct cw_cold_sends {
-    cw_time_us_t at[CW_COLD_SENDS]; /**< a ring; 0: none */
-    uint32_t     next;
+    cw_time_us_t at[CW_COLD_SENDS]; /**< ring buffer; 0: unused entry */
+    uint32_t     next;              /**< index of the oldest entry, which is overwritten next */
 } cw_cold_sends_t;
 
+/** True if this node may send one more request now. */
 bool cw_cold_sends_are_left(const cw_cold_sends_t *sends, cw_time_us_t now);
+/** Records a request sent now. */
 void cw_cold_sends_note(cw_cold_sends_t *sends, cw_time_us_t now);
 
+/** The nodes known to run, from which the sharers of each cold server are selected. */
 typedef struct cw_cold_rate cw_cold_rate_t;
 
-/** own_address: any number that no other node has, and that all nodes know this one by. */
+/** own_address: a number unique to this node, the same that other nodes pass to cw_cold_rate_set_nodes. */
 cw_cold_rate_t *cw_cold_rate_create(uint32_t own_address);
 void            cw_cold_rate_free(cw_cold_rate_t *rate);
-/** The other nodes known to run; in any order. Others than before: nothing is sent to cold servers for a while. */
+/** Sets the other nodes known to run, in any order. After a change this node is no sharer for a while. */
 void cw_cold_rate_set_nodes(cw_cold_rate_t *rate, const uint32_t *addresses, size_t count, cw_time_us_t now);
-/** Nodes that share a cold server that bears this many requests a second; at least one. */
+/** Number of sharers of a cold server that can handle this many requests a second; at least one. */
 uint32_t cw_cold_rate_sharers(double per_s);
-/** Is this node one of them now, for the server of this hash? */
+/** True if this node is now a sharer of the server with this hash. */
 bool cw_cold_rate_is_sharer(const cw_cold_rate_t *rate, uint32_t server, double per_s, cw_time_us_t now);
 
 #endif
--- a/src/balance/crossing_cost.c
+++ b/src/balance/crossing_cost.c
@@ -1,14 +1,14 @@
 /**
  * @file crossing_cost.c
- * @brief The arithmetic of crossing a region's border.
+ * @brief Calculates the cost of sending a request to another region.
  */
 #include "balance/crossing_cost.h"
 
-static const double bytes_a_mb = 1e6;
+static const double bytes_per_mb = 1e6;
 
 cw_time_us_t cw_crossing_cost(const cw_crossing_settings_t *settings, size_t bytes)
 {
-    return settings->way + (cw_time_us_t)((double)bytes / bytes_a_mb * settings->ms_per_mb * 1000);
+    return settings->way + (cw_time_us_t)((double)bytes / bytes_per_mb * settings->ms_per_mb * 1000);
 }
 
 bool cw_crossing_waits_here(const cw_crossing_input_t *input)
--- a/src/balance/crossing_cost.h
+++ b/src/balance/crossing_cost.h
@@ -1,9 +1,10 @@
 /**
  * @file crossing_cost.h
- * @brief How long a request may wait in its own region before it is worth sending it to another one.
+ * @brief Decides how long a request waits in its own region before it is sent to another region.
  *
- * Bytes between regions have a price, and the way there takes time. Both are told as a time: a request that would wait
- * less than that stays. A large body is worth a long wait, a short request next to none.
+ * Traffic between regions costs money and adds network delay. Both are expressed as one time, the crossing cost: a
+ * request whose wait would be shorter stays in its region. A large body justifies a long wait, a short request almost
+ * none.
  *
  * No I/O, no clock.
  */
@@ -15,25 +16,27 @@
 
 #include "base/time.h"
 
+/** Price of sending a request to another region. */
 typedef struct cw_crossing_settings {
-    double       ms_per_mb; /**< waiting, in milliseconds, that a megabyte across a border is worth */
-    cw_time_us_t way;       /**< there and back */
+    double       ms_per_mb; /**< milliseconds of waiting that equal the cost of one megabyte between regions */
+    cw_time_us_t way;       /**< network round-trip time */
 } cw_crossing_settings_t;
 
-/** bytes: of the request and its answer. */
+/** Cost of sending a request to another region, as a time. bytes: size of the request and its answer together. */
 cw_time_us_t cw_crossing_cost(const cw_crossing_settings_t *settings, size_t bytes);
 
-/** What is known of a request that could be served in its own region, later. */
+/** A request that could be served in its own region after a wait. */
 typedef struct cw_crossing_input {
-    cw_time_us_t cost;           /**< of crossing */
-    cw_time_us_t wait;           /**< for a slot in the region; CW_CROSSING_NO_SLOT: none will come */
-    cw_time_us_t usual;          /**< time of such a request at a server */
-    cw_time_us_t objective_left; /**< until its objective */
+    cw_time_us_t cost;  /**< result of cw_crossing_cost */
+    cw_time_us_t wait;  /**< expected wait for a slot in the region; CW_CROSSING_NO_SLOT: no slot is expected */
+    cw_time_us_t usual; /**< mean time that such a request takes at a server */
+    cw_time_us_t objective_left; /**< time left until its latency objective */
 } cw_crossing_input_t;
 
 #define CW_CROSSING_NO_SLOT INT64_MAX
 
-/** Does it wait here? Not for more than crossing costs; nor beyond its objective, which the other region may meet. */
+/** True if the request should wait in its region: the wait must not exceed the crossing cost, and the request must
+ * still meet its latency objective, since another region may meet it. */
 bool cw_crossing_waits_here(const cw_crossing_input_t *input);
 
 #endif
--- a/src/balance/fair_turns.c
+++ b/src/balance/fair_turns.c
@@ -1,6 +1,6 @@
 /**
  * @file fair_turns.c
- * @brief Turns by group and tenant.
+ * @brief Stores the turns by group and tenant.
  */
 #include "balance/fair_turns.h"
 
@@ -11,22 +11,22 @@
 #include "base/memory.h"
 
 typedef struct turn_tenant {
-    uint32_t       tenant; /* 0: all requests without one */
-    uint32_t       waiting;
-    uint64_t       last; /* turn of its latest request */
+    uint32_t       tenant;    /* hash of its name; 0: all requests without a tenant */
+    uint32_t       waiting;   /* number of requests */
+    uint64_t       last_turn; /* turn of its latest request */
     UT_hash_handle hh;
 } turn_tenant_t;
 
 typedef struct turn_group {
     cw_turn_group_t key;
-    uint32_t        waiting;
-    uint64_t        present; /* the latest turn that was served */
-    turn_tenant_t  *tenants; /* that wait */
+    uint32_t        waiting;      /* number of requests */
+    uint64_t        current_turn; /* greatest turn served so far */
+    turn_tenant_t  *tenants;      /* with waiting requests */
     UT_hash_handle  hh;
 } turn_group_t;
 
 struct cw_fair_turns {
-    turn_group_t *groups; /* in which something waits */
+    turn_group_t *groups; /* with waiting requests */
 };
 
 cw_fair_turns_t *cw_fair_turns_create(void)
@@ -38,7 +38,7 @@
 
 static void drop_tenant(turn_group_t *group, turn_tenant_t *tenant)
 {
-    HASH_DEL(group->tenants, tenant); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
+    HASH_DEL(group->tenants, tenant); /* NOLINT(clang-analyzer-unix.Malloc): false positive in uthash's macros */
     free(tenant);
 }
 
@@ -93,12 +93,13 @@
     return HASH_COUNT(group->tenants) > (find_tenant(group, 0) == NULL ? 0u : 1u);
 }
 
-/* Where no tenants wait, requests without one share the turn of the latest of them: none passes those before it. */
+/* Turn of a request without a tenant while no tenant's requests wait: that of the latest request without a tenant, so
+ * that none overtakes an earlier one. */
 static uint64_t turn_without_tenants(const turn_group_t *group)
 {
     const turn_tenant_t *others = find_tenant(group, 0);
 
-    return others == NULL || others->last < group->present ? group->present : others->last;
+    return others == NULL || others->last_turn < group->current_turn ? group->current_turn : others->last_turn;
 }
 
 uint64_t cw_fair_turns_next(const cw_fair_turns_t *turns, cw_turn_group_t key, uint32_t hash)
@@ -113,10 +114,10 @@
         return turn_without_tenants(group);
     }
     tenant = find_tenant(group, hash);
-    return tenant == NULL || tenant->last + 1 < group->present ? group->present : tenant->last + 1;
+    return tenant == NULL || tenant->last_turn + 1 < group->current_turn ? group->current_turn : tenant->last_turn + 1;
 }
 
-static turn_group_t *use_group(cw_fair_turns_t *turns, cw_turn_group_t key)
+static turn_group_t *get_or_add_group(cw_fair_turns_t *turns, cw_turn_group_t key)
 {
     turn_group_t *group = find_group(turns, key);
 
@@ -128,7 +129,7 @@
     return group;
 }
 
-static turn_tenant_t *use_tenant(turn_group_t *group, uint32_t hash)
+static turn_tenant_t *get_or_add_tenant(turn_group_t *group, uint32_t hash)
 {
     turn_tenant_t *tenant = find_tenant(group, hash);
 
@@ -142,12 +143,12 @@
 
 void cw_fair_turns_wait(cw_fair_turns_t *turns, cw_turn_group_t key, uint32_t hash, uint64_t turn)
 {
-    turn_group_t  *group = use_group(turns, key);
-    turn_tenant_t *tenant = use_tenant(group, hash);
+    turn_group_t  *group = get_or_add_group(turns, key);
+    turn_tenant_t *tenant = get_or_add_tenant(group, hash);
 
     group->waiting++;
     tenant->waiting++;
-    tenant->last = turn;
+    tenant->last_turn = turn;
 }
 
 static void end_wait(cw_fair_turns_t *turns, turn_group_t *group, turn_tenant_t *tenant)
@@ -165,7 +166,7 @@
     turn_group_t *group = find_group(turns, key);
 
     if (group != NULL) {
-        group->present = turn > group->present ? turn : group->present;
+        group->current_turn = turn > group->current_turn ? turn : group->current_turn;
         end_wait(turns, group, find_tenant(group, hash));
     }
 }
@@ -178,14 +179,14 @@
     if (group == NULL) {
         return;
     }
-    /* Where several share the last turn, it is still theirs. */
-    if (tenant != NULL && tenant->last > group->present && (hash != 0 || has_tenants(group))) {
-        tenant->last--;
+    /* Requests without a tenant may share the last turn while no tenants wait; then the others still hold it. */
+    if (tenant != NULL && tenant->last_turn > group->current_turn && (hash != 0 || has_tenants(group))) {
+        tenant->last_turn--;
     }
     end_wait(turns, group, tenant);
 }
 
-size_t cw_fair_turns_kept(const cw_fair_turns_t *turns)
+size_t cw_fair_turns_tenant_count(const cw_fair_turns_t *turns)
 {
     const turn_group_t *group;
     size_t              count = 0;
--- a/src/balance/fair_turns.h
+++ b/src/balance/fair_turns.h
@@ -1,14 +1,14 @@
 /**
  * @file fair_turns.h
- * @brief Turns of tenants that wait for the same thing: start-time fair queueing, each request of the same cost.
+ * @brief Start-time fair queueing between the tenants of a group of waiting requests; all requests have equal cost.
  *
- * A request's turn is the later of the group's present turn and one after its tenant's last. So a tenant of many
- * requests waits behind itself, and one of few gets its turn next, however many others wait. While tenants wait in the
- * group, all requests without one count as one more tenant. While none does, these all have the same
- * turn, and what orders them otherwise does.
- * A request that leaves without having been served gives its turn to the tenant's next one.
+ * A request's turn (its start tag) is the greater of the group's current turn and its tenant's last turn plus one. So a
+ * tenant with many requests delays only its own, and a tenant with few is served soon, however many requests of others
+ * wait. While requests of tenants wait in the group, all requests without a tenant count as those of one more tenant.
+ * While none do, requests without a tenant all have the same turn, and the caller's other criteria order them.
+ * A request that leaves without having been served gives its turn back, to the next request of its tenant.
  *
- * Only what waits is kept. No I/O, no clock.
+ * State exists only for groups and tenants with waiting requests. No I/O, no clock.
  */
 #ifndef CEDARWINCH_BALANCE_FAIR_TURNS_H
 #define CEDARWINCH_BALANCE_FAIR_TURNS_H
@@ -16,23 +16,25 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/** Turns of all groups. */
 typedef struct cw_fair_turns cw_fair_turns_t;
 
-/** What waits for the same thing: a service, and a rank within it. */
+/** Identifies requests that wait for the same resource: hash of the service, and the priority within it. */
 typedef uint64_t cw_turn_group_t;
 
 cw_fair_turns_t *cw_fair_turns_create(void);
 void             cw_fair_turns_free(cw_fair_turns_t *turns);
-cw_turn_group_t  cw_fair_turns_group(uint32_t service, uint32_t rank);
-/** The turn that a request would get now. tenant: hash of its name; 0: none. */
+/** rank: priority of the requests within the service. */
+cw_turn_group_t cw_fair_turns_group(uint32_t service, uint32_t rank);
+/** Returns the turn that a request would get now; a lower one is served first. tenant: hash of its name; 0: none. */
 uint64_t cw_fair_turns_next(const cw_fair_turns_t *turns, cw_turn_group_t group, uint32_t tenant);
-/** It waits with the turn that cw_fair_turns_next told. */
+/** Adds a waiting request with the turn that cw_fair_turns_next returned. */
 void cw_fair_turns_wait(cw_fair_turns_t *turns, cw_turn_group_t group, uint32_t tenant, uint64_t turn);
-/** It no longer waits: it was served. */
+/** Removes a waiting request that is being served. */
 void cw_fair_turns_serve(cw_fair_turns_t *turns, cw_turn_group_t group, uint32_t tenant, uint64_t turn);
-/** It no longer waits: it was refused, or left. */
+/** Removes a waiting request that was refused or cancelled. */
 void cw_fair_turns_leave(cw_fair_turns_t *turns, cw_turn_group_t group, uint32_t tenant);
-/** Tenants of which something is kept, in all groups; those without one count as one. */
-size_t cw_fair_turns_kept(const cw_fair_turns_t *turns);
+/** Number of tenants with waiting requests, summed over all groups; requests without a tenant count as one tenant. */
+size_t cw_fair_turns_tenant_count(const cw_fair_turns_t *turns);
 
 #endif
--- a/src/balance/leave_memory.c
+++ b/src/balance/leave_memory.c
@@ -1,6 +1,6 @@
 /**
  * @file leave_memory.c
- * @brief A set of servers with the time of each.
+ * @brief Hash set of leaving servers with the time at which each was added.
  */
 #include "balance/leave_memory.h"
 #include "base/memory.h"
@@ -8,77 +8,77 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-typedef struct leave {
+typedef struct leaving_server {
     uint32_t       server;
     cw_time_us_t   at;
     UT_hash_handle hh;
-} leave_t;
+} leaving_server_t;
 
-struct cw_leave_memory {
-    leave_t *by_server;
+struct cw_leaving_servers {
+    leaving_server_t *by_server;
 };
 
-cw_leave_memory_t *cw_leave_memory_create(void)
+cw_leaving_servers_t *cw_leaving_servers_create(void)
 {
-    cw_leave_memory_t *memory = cw_memory_zeroed(sizeof(*memory));
+    cw_leaving_servers_t *set = cw_memory_zeroed(sizeof(*set));
 
-    return memory;
+    return set;
 }
 
-static void drop(cw_leave_memory_t *memory, leave_t *leave)
+static void remove_entry(cw_leaving_servers_t *set, leaving_server_t *entry)
 {
-    HASH_DEL(memory->by_server, leave); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
-    free(leave);
+    HASH_DEL(set->by_server, entry); /* NOLINT(clang-analyzer-unix.Malloc): false positive in uthash's macros */
+    free(entry);
 }
 
-void cw_leave_memory_free(cw_leave_memory_t *memory)
+void cw_leaving_servers_free(cw_leaving_servers_t *set)
 {
-    leave_t *leave;
-    leave_t *next;
+    leaving_server_t *entry;
+    leaving_server_t *next;
 
-    HASH_ITER(hh, memory->by_server, leave, next)
+    HASH_ITER(hh, set->by_server, entry, next)
     {
-        drop(memory, leave);
+        remove_entry(set, entry);
     }
-    free(memory);
+    free(set);
 }
 
-bool cw_leave_memory_has(const cw_leave_memory_t *memory, uint32_t server)
+bool cw_leaving_servers_has(const cw_leaving_servers_t *set, uint32_t server)
 {
-    const leave_t *leave;
+    const leaving_server_t *entry;
 
-    HASH_FIND(hh, memory->by_server, &server, sizeof(server), leave);
-    return leave != NULL;
+    HASH_FIND(hh, set->by_server, &server, sizeof(server), entry);
+    return entry != NULL;
 }
 
-bool cw_leave_memory_add(cw_leave_memory_t *memory, uint32_t server, cw_time_us_t now)
+bool cw_leaving_servers_add(cw_leaving_servers_t *set, uint32_t server, cw_time_us_t now)
 {
-    leave_t *leave;
+    leaving_server_t *entry;
 
-    if (cw_leave_memory_has(memory, server)) {
+    if (cw_leaving_servers_has(set, server)) {
         return false;
     }
-    leave = cw_memory_zeroed(sizeof(*leave));
-    leave->server = server;
-    leave->at = now;
-    HASH_ADD(hh, memory->by_server, server, sizeof(leave->server), leave);
+    entry = cw_memory_zeroed(sizeof(*entry));
+    entry->server = server;
+    entry->at = now;
+    HASH_ADD(hh, set->by_server, server, sizeof(entry->server), entry);
     return true;
 }
 
-void cw_leave_memory_forget(cw_leave_memory_t *memory, cw_time_us_t now)
+void cw_leaving_servers_expire(cw_leaving_servers_t *set, cw_time_us_t now)
 {
-    leave_t *leave;
-    leave_t *next;
+    leaving_server_t *entry;
+    leaving_server_t *next;
 
-    HASH_ITER(hh, memory->by_server, leave, next)
+    HASH_ITER(hh, set->by_server, entry, next)
     {
-        if (now - leave->at > CW_SECONDS(CW_LEAVE_REMEMBERED_S)) {
-            drop(memory, leave);
+        if (now - entry->at > CW_SECONDS(CW_LEAVING_EXPIRY_S)) {
+            remove_entry(set, entry);
         }
     }
 }
 
-size_t cw_leave_memory_count(const cw_leave_memory_t *memory)
+size_t cw_leaving_servers_count(const cw_leaving_servers_t *set)
 {
-    return HASH_COUNT(memory->by_server);
+    return HASH_COUNT(set->by_server);
 }
--- a/src/balance/leave_memory.h
+++ b/src/balance/leave_memory.h
@@ -1,9 +1,9 @@
 /**
  * @file leave_memory.h
- * @brief Servers that have said in an answer that they leave.
+ * @brief Set of servers that have announced in an answer that they are leaving.
  *
- * An incarnation of a server that leaves never comes back: what the list says of it later, or that its entry comes and
- * goes, does not undo it. So this outlives the pool's knowledge of a server.
+ * An incarnation of a server that is leaving never returns to service, even if a later list shows it as ready or its
+ * entry disappears and reappears. So an entry of this set outlives the pool's entry of the server.
  *
  * No I/O; time is a parameter.
  */
@@ -16,17 +16,20 @@
 
 #include "base/time.h"
 
-enum { CW_LEAVE_REMEMBERED_S = 3600 /**< far longer than a server that leaves serves on */ };
+enum { CW_LEAVING_EXPIRY_S = 3600 /**< far longer than a leaving server continues to serve */ };
 
-typedef struct cw_leave_memory cw_leave_memory_t;
+/** Hashes of leaving servers, each with the time of its announcement. */
+typedef struct cw_leaving_servers cw_leaving_servers_t;
 
-cw_leave_memory_t *cw_leave_memory_create(void);
-void               cw_leave_memory_free(cw_leave_memory_t *memory);
-/** The incarnation of this hash has said so; false: that was known. */
-bool cw_leave_memory_add(cw_leave_memory_t *memory, uint32_t server, cw_time_us_t now);
-bool cw_leave_memory_has(const cw_leave_memory_t *memory, uint32_t server);
-/** Forgets those of long ago. */
-void   cw_leave_memory_forget(cw_leave_memory_t *memory, cw_time_us_t now);
-size_t cw_leave_memory_count(const cw_leave_memory_t *memory);
+cw_leaving_servers_t *cw_leaving_servers_create(void);
+void                  cw_leaving_servers_free(cw_leaving_servers_t *set);
+/** Adds the incarnation with this hash. False: it was in the set already. */
+bool cw_leaving_servers_add(cw_leaving_servers_t *set, uint32_t server, cw_time_us_t now);
+/** True if the set contains the incarnation with this hash. */
+bool cw_leaving_servers_has(const cw_leaving_servers_t *set, uint32_t server);
+/** Removes entries older than CW_LEAVING_EXPIRY_S. */
+void cw_leaving_servers_expire(cw_leaving_servers_t *set, cw_time_us_t now);
+/** Number of entries. */
+size_t cw_leaving_servers_count(const cw_leaving_servers_t *set);
 
 #endif
--- a/src/balance/limit_bucket.c
+++ b/src/balance/limit_bucket.c
@@ -1,17 +1,18 @@
 /**
  * @file limit_bucket.c
- * @brief Tokens of a server's rate limit.
+ * @brief Token bucket of a server's rate limit.
  */
 #include "balance/limit_bucket.h"
 
-enum { DEPTH_MS = 200 };
+enum { BUCKET_DEPTH_MS = 200 /* the bucket holds the tokens of this time */ };
 
-/* Rates are decimal fractions, and time comes in microseconds: a token that is nearly there is there. */
-static const double nearly_one = 1 - 1e-6;
+/* Rates are decimal fractions and time is in whole microseconds, so sums are rounded: a token counts as complete when
+ * it is this close to one. */
+static const double token_threshold = 1 - 1e-6;
 
 void cw_limit_bucket_refill(cw_limit_bucket_t *bucket, double per_s, cw_time_us_t now)
 {
-    double depth = per_s * DEPTH_MS / 1000;
+    double depth = per_s * BUCKET_DEPTH_MS / 1000;
 
     if (bucket->filled_at != 0 && now > bucket->filled_at) {
         bucket->tokens += per_s * (double)(now - bucket->filled_at) / 1e6;
@@ -23,7 +24,7 @@
 
 bool cw_limit_bucket_has_token(const cw_limit_bucket_t *bucket)
 {
-    return bucket->tokens >= nearly_one;
+    return bucket->tokens >= token_threshold;
 }
 
 void cw_limit_bucket_take(cw_limit_bucket_t *bucket)
--- a/src/balance/queue_lengths.c
+++ b/src/balance/queue_lengths.c
@@ -1,6 +1,6 @@
 /**
  * @file queue_lengths.c
- * @brief Requests that wait at other nodes; rules in queue_lengths.h.
+ * @brief Numbers of requests waiting at other nodes; queue_lengths.h has the rules.
  */
 #include "balance/queue_lengths.h"
 
--- a/src/balance/server_choice.c
+++ b/src/balance/server_choice.c
@@ -1,6 +1,6 @@
 /**
  * @file server_choice.c
- * @brief Which server of a service a request goes to.
+ * @brief Chooses the server of a service for a request.
  */
 #include <string.h>
 #include <utlist.h>
@@ -8,13 +8,13 @@
 #include "balance/server_pool_internal.h"
 
 enum {
-    PACE_FORGET_S = 6,
-    SAMPLE_FRESH_MS = 200, /* a load sample tells of requests that take about as long */
-    FAULTS_SUSPECT = 2     /* in a row: a single one may be a connection that the server had closed as idle */
+    PACE_EXPIRY_S = 6,     /* a latency factor above 1 counts half its excess when not measured for so long */
+    SAMPLE_FRESH_MS = 200, /* validity of a load sample: the requests it counts take about as long */
+    SUSPECT_FAULTS = 2     /* in a row; a single fault may be a connection that the server had closed as idle */
 };
 
-static const double busy_weight = 0.45; /* a server with all slots taken costs so much more */
-static const double cold_pace = 1.5;    /* taken on while a server has just started */
+static const double busy_weight = 0.45;  /* additional cost factor of a server with all slots in use */
+static const double min_cold_pace = 1.5; /* least latency factor assumed for a cold server */
 
 bool cw_server_is_cold(const cw_server_t *server, cw_time_us_t now)
 {
@@ -26,14 +26,14 @@
     return server->cold_per_s > 0 && cw_server_is_cold(server, now);
 }
 
-static bool shares_cold(const cw_server_pool_t *pool, const cw_server_t *server, cw_time_us_t now)
+static bool is_cold_sharer(const cw_server_pool_t *pool, const cw_server_t *server, cw_time_us_t now)
 {
     return pool->cold_rate != NULL && cw_cold_rate_is_sharer(pool->cold_rate, server->hash, server->cold_per_s, now);
 }
 
 bool cw_server_zone_allows(const cw_server_t *server, bool is_owner, cw_time_us_t now)
 {
-    return !server->zone_is_out || (is_owner && now < server->owner_until);
+    return !server->zone_is_out || (is_owner && now < server->zone_out_owner_until);
 }
 
 bool cw_server_pool_may_send(const cw_server_pool_t *pool, const cw_server_t *server, bool is_owner, cw_time_us_t now)
@@ -44,12 +44,12 @@
     if (!cw_server_is_rate_bounded(server, now)) {
         return true;
     }
-    return cw_cold_sends_are_left(&server->cold_sends, now) && shares_cold(pool, server, now);
+    return cw_cold_sends_are_left(&server->cold_sends, now) && is_cold_sharer(pool, server, now);
 }
 
-/* Requests of other nodes there: what they have reported, or what the server itself said a moment ago if that is more.
+/* Requests of other nodes at the server: as reported by them, or by a recent load sample of the server if that is more.
  */
-static uint32_t others_at(const cw_server_t *server, cw_time_us_t now)
+static uint32_t requests_of_others(const cw_server_t *server, cw_time_us_t now)
 {
     bool is_fresh = server->sampled_at != 0 && now - server->sampled_at < CW_MS(SAMPLE_FRESH_MS);
 
@@ -58,24 +58,25 @@
 
 bool cw_server_has_slot(const cw_server_t *server, double extra_slots, cw_time_us_t now)
 {
-    return server->own + others_at(server, now) < server->capacity + extra_slots;
+    return server->own + requests_of_others(server, now) < server->capacity + extra_slots;
 }
 
-static double present_pace(const cw_server_t *server, cw_time_us_t now)
+static double current_pace(const cw_server_t *server, cw_time_us_t now)
 {
     double pace = server->pace;
 
-    if (now - server->pace_at > CW_SECONDS(PACE_FORGET_S) && pace > 1) {
-        pace = 1 + (pace - 1) / 2; /* worth another look */
+    if (now - server->pace_at > CW_SECONDS(PACE_EXPIRY_S) && pace > 1) {
+        pace = 1 + (pace - 1) / 2; /* so that the server gets requests again and is measured */
     }
-    return cw_server_is_cold(server, now) && pace < cold_pace ? cold_pace : pace;
+    return cw_server_is_cold(server, now) && pace < min_cold_pace ? min_cold_pace : pace;
 }
 
 static double cost(const cw_server_pool_t *pool, const cw_server_t *server, const cw_choice_settings_t *settings,
                    cw_time_us_t now)
 {
-    double busy = (double)(server->own + others_at(server, now)) / (server->capacity == 0 ? 1 : server->capacity);
-    double value = present_pace(server, now) * (1 + busy_weight * busy) + settings->affinity * server->affinity;
+    double busy =
+        (double)(server->own + requests_of_others(server, now)) / (server->capacity == 0 ? 1 : server->capacity);
+    double value = current_pace(server, now) * (1 + busy_weight * busy) + settings->affinity * server->affinity;
 
     if (strcmp(server->zone, pool->zone) != 0) {
         value += settings->zone_penalty;
@@ -89,14 +90,14 @@
     return value;
 }
 
-static bool is_among(const cw_server_t *server, const cw_name_set_t *regions)
+static bool is_in_regions(const cw_server_t *server, const cw_name_set_t *regions)
 {
     return regions == NULL || regions->count == 0 || cw_name_set_has(regions, server->region);
 }
 
 bool cw_server_region_allows(const cw_server_t *server, const cw_region_rule_t *rule)
 {
-    return is_among(server, rule->route) && is_among(server, rule->tenant);
+    return is_in_regions(server, rule->route) && is_in_regions(server, rule->tenant);
 }
 
 bool cw_server_pool_serves(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule)
@@ -115,17 +116,18 @@
 
 bool cw_server_is_suspect(const cw_server_t *server)
 {
-    return server->faults >= FAULTS_SUSPECT;
+    return server->faults >= SUSPECT_FAULTS;
 }
 
-/* How good a server is for a request before its cost counts. Better ones come first, and what is not good is taken only
- * where a service has nothing better at all: a server that resets each request has free slots all the time, and would
- * otherwise get all requests as soon as the others are full. */
-typedef enum fitness { UNFIT, SUSPECT, FIT, FITNESSES } fitness_t;
+/* Class of a server, which takes precedence over its cost. A server of a lower class is chosen only if the service has
+ * none of a higher class, full or not: a server that resets each request always has free slots, and would otherwise get
+ * all requests as soon as the others are full. UNFIT: it has failed this request. SUSPECT: it failed repeatedly and is
+ * avoided for now. */
+typedef enum fitness { UNFIT, SUSPECT, FIT, FITNESS_COUNT } fitness_t;
 
-static bool is_zone_taken(const cw_zone_filter_t *zones, const char *zone)
+static bool is_zone_allowed(const cw_zone_filter_t *zones, const char *zone)
 {
-    return zones == NULL || zones->takes_zone(zones->context, zone);
+    return zones == NULL || zones->allows_zone(zones->context, zone);
 }
 
 static bool is_candidate(const cw_server_t *server, const char *service, const cw_choice_settings_t *settings)
@@ -133,7 +135,7 @@
     return server->listed && !server->draining && !server->ended && !server->zone_is_out &&
            strcmp(server->service, service) == 0 && cw_server_region_allows(server, &settings->regions) &&
            !(settings->stays_in_region && server->distance == CW_DISTANCE_REMOTE) &&
-           is_zone_taken(settings->zones, server->zone);
+           is_zone_allowed(settings->zones, server->zone);
 }
 
 static fitness_t fitness(const cw_server_t *server, const cw_server_t *except, cw_time_us_t now)
@@ -144,25 +146,26 @@
     return cw_server_is_suspect(server) && server->avoid_until > now ? SUSPECT : FIT;
 }
 
-/* After its pause a server that failed gets one request to show that it answers again. */
-static bool is_being_tried(const cw_server_t *server)
+/* After the time for which it was avoided, a server that failed repeatedly gets one request at a time until one is
+ * answered. */
+static bool has_probe_in_flight(const cw_server_t *server)
 {
     return cw_server_is_suspect(server) && server->own > 0;
 }
 
-static bool has_place(const cw_server_pool_t *pool, const cw_server_t *server, const cw_choice_settings_t *settings,
-                      cw_time_us_t now)
+static bool can_take_request(const cw_server_pool_t *pool, const cw_server_t *server,
+                             const cw_choice_settings_t *settings, cw_time_us_t now)
 {
-    return cw_server_has_slot(server, settings->extra_slots, now) && !is_being_tried(server) &&
+    return cw_server_has_slot(server, settings->extra_slots, now) && !has_probe_in_flight(server) &&
            !cw_server_is_held_off(server, now) && cw_server_pool_may_send(pool, server, false, now);
 }
 
 cw_server_t *cw_server_pool_choose(cw_server_pool_t *pool, const char *service, const cw_choice_settings_t *settings,
                                    const cw_server_t *except, cw_time_us_t now, bool *full)
 {
-    cw_server_t *best[FITNESSES] = {NULL};
-    double       best_cost[FITNESSES] = {0};
-    bool         any[FITNESSES] = {false};
+    cw_server_t *best[FITNESS_COUNT] = {NULL};
+    double       best_cost[FITNESS_COUNT] = {0};
+    bool         any[FITNESS_COUNT] = {false};
     cw_server_t *server;
     int          level = FIT;
 
@@ -176,7 +179,7 @@
         }
         group = fitness(server, except, now);
         any[group] = true;
-        if (!has_place(pool, server, settings, now)) {
+        if (!can_take_request(pool, server, settings, now)) {
             continue;
         }
         value = cost(pool, server, settings, now);
@@ -192,15 +195,15 @@
     return best[level];
 }
 
-/* Does it add to a service's speed? */
-static bool is_serving(const cw_server_t *server, const char *service, cw_time_us_t now)
+/* True if the server counts for its service's speed. */
+static bool adds_speed(const cw_server_t *server, const char *service, cw_time_us_t now)
 {
     return server->listed && !server->draining && !server->ended && server->avoid_until <= now &&
            !server->zone_is_out && !cw_server_is_rate_bounded(server, now) && !cw_server_is_limited(server, now) &&
            !cw_server_rests(server, now) && strcmp(server->service, service) == 0;
 }
 
-/* rule: NULL: none. */
+/* rule: NULL if there is none. */
 static double sum_speed(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                         cw_distance_t farthest, cw_time_us_t now)
 {
@@ -209,9 +212,9 @@
 
     DL_FOREACH(cw_server_pool_of_service(pool, cw_server_pool_service_hash(service)), server)
     {
-        if (server->distance <= farthest && is_serving(server, service, now) &&
+        if (server->distance <= farthest && adds_speed(server, service, now) &&
             (rule == NULL || cw_server_region_allows(server, rule))) {
-            speed += server->capacity / present_pace(server, now);
+            speed += server->capacity / current_pace(server, now);
         }
     }
     return speed;
--- a/src/balance/server_holdoff.c
+++ b/src/balance/server_holdoff.c
@@ -1,6 +1,6 @@
 /**
  * @file server_holdoff.c
- * @brief Servers that this node sends nothing to for a while: beyond their rate limits, or at rest.
+ * @brief Servers to which this node temporarily sends nothing: their rate limits are used up, or they are at rest.
  */
 #include <string.h>
 #include <utlist.h>
@@ -14,7 +14,7 @@
 
 bool cw_server_take_limit_part(cw_server_t *server, uint32_t nodes, cw_time_us_t now)
 {
-    if (nodes == 0) { /* this process is new, and does not know how many share the limit */
+    if (nodes == 0) { /* this process has just started and does not know yet how many nodes share the limit */
         return false;
     }
     cw_limit_bucket_refill(&server->limit_part, cw_server_limit_rate(&server->limit) / nodes, now);
@@ -40,7 +40,8 @@
     return now < server->rest_until;
 }
 
-/* now: it may be sent to; one with a rate limit after that moment, at the earliest. */
+/* Earliest time at which the server may be sent to; `now` if it may be at once. With a rate limit a request may still
+ * have to wait for a token then. */
 static cw_time_us_t held_off_until(const cw_server_t *server, cw_time_us_t now)
 {
     cw_time_us_t limited = cw_server_is_limited(server, now) ? server->limit_allows_at : 0;
@@ -54,7 +55,8 @@
     return held_off_until(server, now) > now;
 }
 
-static bool is_open(const cw_server_t *server, const char *service, const cw_region_rule_t *rule)
+/* True if a request under this rule may go to the server, apart from its rate limit and rest. */
+static bool is_eligible(const cw_server_t *server, const char *service, const cw_region_rule_t *rule)
 {
     return server->listed && !server->draining && !server->ended && !server->zone_is_out &&
            strcmp(server->service, service) == 0 && cw_server_region_allows(server, rule);
@@ -69,7 +71,7 @@
 
     DL_FOREACH(cw_server_pool_of_service(pool, cw_server_pool_service_hash(service)), server)
     {
-        if (!is_open(server, service, rule)) {
+        if (!is_eligible(server, service, rule)) {
             continue;
         }
         if (!cw_server_is_limited(server, now) && !cw_server_rests(server, now)) {
@@ -89,7 +91,7 @@
 
     DL_FOREACH(cw_server_pool_of_service(pool, cw_server_pool_service_hash(service)), server)
     {
-        if (!is_open(server, service, rule)) {
+        if (!is_eligible(server, service, rule)) {
             continue;
         }
         if (!cw_server_rests(server, now)) {
--- a/src/balance/server_limit.c
+++ b/src/balance/server_limit.c
@@ -1,6 +1,6 @@
 /**
  * @file server_limit.c
- * @brief When a server's rate limit begins, changes and ends.
+ * @brief Determines when a server's rate limit begins, changes and ends.
  */
 #include "balance/server_limit.h"
 
@@ -35,7 +35,7 @@
     return is_same ? CW_LIMIT_UNCHANGED : CW_LIMIT_CHANGED;
 }
 
-static cw_limit_change_t end(cw_server_limit_t *limit, cw_time_us_t at)
+static cw_limit_change_t end_limit(cw_server_limit_t *limit, cw_time_us_t at)
 {
     limit->is_named = false;
     limit->ended_at = at;
@@ -48,10 +48,10 @@
         return CW_LIMIT_UNCHANGED;
     }
     limit->unnamed++;
-    if (limit->unnamed < CW_LIMIT_UNNAMED_ENDS || now - limit->named_at < CW_MS(CW_LIMIT_UNNAMED_MS)) {
+    if (limit->unnamed < CW_LIMIT_UNNAMED_ENDS || now - limit->named_at < CW_MS(CW_LIMIT_UNNAMED_PERIOD_MS)) {
         return CW_LIMIT_UNCHANGED;
     }
-    return end(limit, now);
+    return end_limit(limit, now);
 }
 
 cw_limit_change_t cw_server_limit_note_ended(cw_server_limit_t *limit, cw_time_us_t made_at, cw_time_us_t now)
@@ -59,5 +59,5 @@
     if (!cw_server_limit_binds(limit, now) || made_at <= limit->named_at) {
         return CW_LIMIT_UNCHANGED;
     }
-    return end(limit, made_at);
+    return end_limit(limit, made_at);
 }
--- a/src/balance/server_pool.c
+++ b/src/balance/server_pool.c
@@ -1,6 +1,6 @@
 /**
  * @file server_pool.c
- * @brief Servers, and this node's requests at them.
+ * @brief Stores the servers and counts this node's requests at them.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,10 +10,13 @@
 #include "balance/server_pool_internal.h"
 #include "base/memory.h"
 
-enum { AVOID_MAX_MS = 2000, AVOID_DOUBLINGS_MAX = 3 };
+enum {
+    AVOID_MAX_MS = 2000,    /* longest time for which a failed server is avoided */
+    AVOID_DOUBLINGS_MAX = 3 /* of CW_AVOID_INITIAL_MS, one for each further fault in a row */
+};
 
-static const double pace_low = 0.25;
-static const double pace_high = 20.0;
+static const double min_pace = 0.25;
+static const double max_pace = 20.0;
 
 cw_server_pool_t *cw_server_pool_create(const char *zone, cw_server_dropped_t dropped, void *context)
 {
@@ -22,7 +25,7 @@
     pool->zone = strdup(zone);
     pool->dropped = dropped;
     pool->context = context;
-    pool->leaves = cw_leave_memory_create();
+    pool->leaving_servers = cw_leaving_servers_create();
     return pool;
 }
 
@@ -72,14 +75,14 @@
 
     HASH_ITER(hh, pool->by_service, known, next)
     {
-        HASH_DEL(pool->by_service, known); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
+        HASH_DEL(pool->by_service, known); /* NOLINT(clang-analyzer-unix.Malloc): false positive in uthash's macros */
         free(known);
     }
 }
 
-/* ---- coming and going ---- */
+/* ---- removal ---- */
 
-static void drop(cw_server_pool_t *pool, cw_server_t *server)
+static void drop_server(cw_server_pool_t *pool, cw_server_t *server)
 {
     service_servers_t *known = servers_of(pool, server->service_hash);
 
@@ -102,7 +105,7 @@
 
     HASH_ITER(hh, pool->warm_ups, known, next)
     {
-        HASH_DEL(pool->warm_ups, known); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
+        HASH_DEL(pool->warm_ups, known); /* NOLINT(clang-analyzer-unix.Malloc): false positive in uthash's macros */
         free(known->service);
         free(known);
     }
@@ -111,20 +114,20 @@
 void cw_server_pool_free(cw_server_pool_t *pool)
 {
     while (pool->by_id != NULL) {
-        drop(pool, pool->by_id);
+        drop_server(pool, pool->by_id);
     }
     free_services(pool);
     free_warm_ups(pool);
     while (pool->peers != NULL) {
         cw_server_pool_free_peer(pool, pool->peers);
     }
-    cw_leave_memory_free(pool->leaves);
+    cw_leaving_servers_free(pool->leaving_servers);
     free(pool->regions);
     free(pool->zone);
     free(pool);
 }
 
-/* ---- the list ---- */
+/* ---- list of servers ---- */
 
 cw_server_t *cw_server_pool_find(cw_server_pool_t *pool, const char *id)
 {
@@ -193,14 +196,15 @@
     }
 }
 
-/* The entry's time counts from when it was written: it is taken to be all of it from now. An entry that says cold for
- * longer than that has not been written since. */
-static void note_warmth(cw_server_t *server, const cw_server_entry_t *entry, cw_time_us_t now)
+/* An entry's cold_time counts from the time at which the entry was written, which is not known here: the full time from
+ * now is assumed. It is applied only when the entry becomes cold: an entry that still says cold later than that has not
+ * been written again. */
+static void update_cold_until(cw_server_t *server, const cw_server_entry_t *entry, cw_time_us_t now)
 {
-    if (entry->cold_time != 0 && !server->cold_by_entry) {
+    if (entry->cold_time != 0 && !server->entry_is_cold) {
         server->cold_until = now + entry->cold_time > server->cold_until ? now + entry->cold_time : server->cold_until;
     }
-    server->cold_by_entry = entry->cold_time != 0;
+    server->entry_is_cold = entry->cold_time != 0;
 }
 
 void cw_server_pool_set_zones(cw_server_pool_t *pool, const cw_zone_service_t *zones)
@@ -214,7 +218,7 @@
         cw_warm_up_t warm_up = warm_up_of(pool, server->service);
 
         server->zone_is_out = cw_zone_service_is_out(zones, server->zone);
-        server->owner_until = cw_zone_service_owners_until(zones, server->zone);
+        server->zone_out_owner_until = cw_zone_service_owners_until(zones, server->zone);
         if (warm_up.per_s > 0 && put_back_at > server->zone_put_back_at) {
             server->cold_until = put_back_at + warm_up.duration > server->cold_until ? put_back_at + warm_up.duration
                                                                                      : server->cold_until;
@@ -258,7 +262,7 @@
     return cw_region_mask(&pool->region_table, rule->route, rule->tenant);
 }
 
-static cw_server_t *add(cw_server_pool_t *pool, const cw_server_entry_t *entry)
+static cw_server_t *add_server(cw_server_pool_t *pool, const cw_server_entry_t *entry)
 {
     cw_server_t *server = cw_memory_zeroed(sizeof(*server));
 
@@ -272,7 +276,7 @@
     server->hash = (uint32_t)XXH3_64bits(entry->id, strlen(entry->id));
     server->service_hash = cw_server_pool_service_hash(entry->service);
     server->affinity = (double)(XXH3_64bits_withSeed(entry->id, strlen(entry->id), pool->node) >> 11) * 0x1.0p-53;
-    server->has_said_leaving = cw_leave_memory_has(pool->leaves, server->hash);
+    server->has_said_leaving = cw_leaving_servers_has(pool->leaving_servers, server->hash);
     server->pace = 1;
     server->cold_per_s = warm_up_of(pool, entry->service).per_s;
     HASH_ADD_KEYPTR(by_id, pool->by_id, server->id, strlen(server->id), server);
@@ -296,36 +300,36 @@
 
         server = cw_server_pool_find(pool, entry->id);
         if (server == NULL) {
-            server = add(pool, entry);
+            server = add_server(pool, entry);
             cw_server_pool_count_others(pool, server);
         }
         server->listed = true;
         server->draining = entry->draining || server->has_said_leaving;
         server->capacity = entry->capacity;
-        note_warmth(server, entry, now);
+        update_cold_until(server, entry, now);
     }
     HASH_ITER(by_id, pool->by_id, server, next)
     {
         if (!server->listed && server->own == 0) {
-            drop(pool, server);
+            drop_server(pool, server);
         }
     }
-    cw_server_pool_forget_paces(pool);
-    cw_leave_memory_forget(pool->leaves, now);
+    cw_server_pool_drop_paces(pool);
+    cw_leaving_servers_expire(pool->leaving_servers, now);
 }
 
 bool cw_server_pool_note_leaving(cw_server_pool_t *pool, uint32_t hash, cw_time_us_t owner_grace, cw_time_us_t now)
 {
     cw_server_t *server = cw_server_pool_by_hash(pool, hash);
 
-    if (!cw_leave_memory_add(pool->leaves, hash, now)) {
+    if (!cw_leaving_servers_add(pool->leaving_servers, hash, now)) {
         return false;
     }
     if (server == NULL) {
         return true;
     }
     if (!server->draining) {
-        server->leave_until = now + owner_grace;
+        server->leaving_owner_until = now + owner_grace;
     }
     server->has_said_leaving = true;
     server->draining = true;
@@ -334,7 +338,7 @@
 
 bool cw_server_takes(const cw_server_t *server, bool is_owner, cw_time_us_t now)
 {
-    return !server->draining || (is_owner && now < server->leave_until);
+    return !server->draining || (is_owner && now < server->leaving_owner_until);
 }
 
 /* ---- this node's requests ---- */
@@ -351,48 +355,48 @@
 {
     server->own--;
     if (!server->listed && server->own == 0) {
-        drop(pool, server);
+        drop_server(pool, server);
     }
 }
 
-void cw_server_learn_pace(cw_server_t *server, double ratio, double weight)
+void cw_server_update_pace(cw_server_t *server, double ratio, double weight)
 {
-    ratio = ratio < pace_low ? pace_low : ratio > pace_high ? pace_high : ratio;
+    ratio = ratio < min_pace ? min_pace : ratio > max_pace ? max_pace : ratio;
     server->pace += weight * (ratio - server->pace);
 }
 
-void cw_server_pool_sound(cw_server_t *server)
+void cw_server_pool_clear_faults(cw_server_t *server)
 {
     server->faults = 0;
     server->avoid_until = 0;
 }
 
-void cw_server_pool_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t usual, cw_time_us_t now)
+void cw_server_pool_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t mean_time, cw_time_us_t now)
 {
-    double ratio = usual <= 0 ? 1 : (double)took / (double)usual;
+    double ratio = mean_time <= 0 ? 1 : (double)took / (double)mean_time;
 
-    cw_server_learn_pace(server, ratio, CW_PACE_WEIGHT);
+    cw_server_update_pace(server, ratio, CW_PACE_WEIGHT);
     server->pace_at = now;
     server->served++;
     server->served_time += (uint64_t)(ratio * 1000);
-    cw_server_pool_sound(server);
+    cw_server_pool_clear_faults(server);
 }
 
 void cw_server_pool_note_load(cw_server_t *server, const cw_server_load_t *sample, cw_time_us_t now)
 {
     uint32_t all = sample->running + sample->waiting;
-    uint32_t own = server->own > 0 ? server->own - 1 : 0; /* the one that is answered is no longer there */
+    uint32_t own = server->own > 0 ? server->own - 1 : 0; /* the answered request is not in the sample */
 
     server->sampled_others = all > own ? all - own : 0;
     server->sampled_at = now;
 }
 
-void cw_server_pool_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t usual, cw_time_us_t now)
+void cw_server_pool_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t mean_time, cw_time_us_t now)
 {
-    double ratio = usual <= 0 ? 1 : (double)waited / (double)usual;
+    double ratio = mean_time <= 0 ? 1 : (double)waited / (double)mean_time;
 
     if (ratio > server->pace) {
-        cw_server_learn_pace(server, ratio, CW_PACE_WEIGHT);
+        cw_server_update_pace(server, ratio, CW_PACE_WEIGHT);
         server->pace_at = now;
     }
 }
@@ -400,7 +404,7 @@
 void cw_server_pool_fault(cw_server_t *server, cw_time_us_t now)
 {
     uint32_t doublings = server->faults < AVOID_DOUBLINGS_MAX ? server->faults : AVOID_DOUBLINGS_MAX;
-    int64_t  avoid_ms = (int64_t)CW_AVOID_FIRST_MS << doublings;
+    int64_t  avoid_ms = (int64_t)CW_AVOID_INITIAL_MS << doublings;
 
     server->faults++;
     server->avoid_until = now + CW_MS(avoid_ms > AVOID_MAX_MS ? AVOID_MAX_MS : avoid_ms);
--- a/src/balance/server_pool.h
+++ b/src/balance/server_pool.h
@@ -1,13 +1,13 @@
 /**
  * @file server_pool.h
- * @brief What this node knows of each server: its list entry, the requests under way there from all nodes, its speed.
+ * @brief This node's state of each server: its list entry, requests in flight from all nodes, its response speed.
  *
- * Many nodes that learn late of one another's requests would all choose the same servers at the same moment. So each
- * has an order of its own among servers that are otherwise as good (affinity): a server's requests then come mostly
- * from the few nodes that try it first, and those know their own requests.
+ * Many nodes that learn late of one another's requests would all choose the same servers at the same time. So each node
+ * has its own order of preference among otherwise equal servers (affinity): most requests of a server then come from
+ * the few nodes that prefer it, and a node knows its own requests exactly.
  *
- * Requests of other nodes are what they last reported (cw_server_pool_report); a silent node's count ends with
- * cw_server_pool_expire. Choices are made by cw_server_pool_choose.
+ * The requests of other nodes are those that they last reported (cw_server_pool_report); cw_server_pool_expire removes
+ * the counts of nodes that have stopped reporting. cw_server_pool_choose chooses a server for a request.
  */
 #ifndef CEDARWINCH_BALANCE_SERVER_POOL_H
 #define CEDARWINCH_BALANCE_SERVER_POOL_H
@@ -25,226 +25,243 @@
 #include "model/zone_region.h"
 #include "model/zone_service.h"
 
-/** One server in another node's report. */
+/** Entry for one server in another node's report. */
 typedef struct cw_server_report {
-    uint32_t hash;
-    uint32_t under_way;
-    uint32_t waiting;
-    bool     unreachable;
+    uint32_t hash;        /**< of the server's id */
+    uint32_t under_way;   /**< requests of that node in flight at the server */
+    uint32_t waiting;     /**< requests that wait at that node for keys that the server owns */
+    bool     unreachable; /**< that node avoids the server because of faults */
 } cw_server_report_t;
 
-/** One life of a server. Lives as long as it is listed or requests are under way. */
+/** One incarnation of a server. The object exists while the server is listed or requests are in flight. */
 typedef struct cw_server {
-    char              *id;
-    char              *service;
-    char              *address;
-    char              *zone;
-    char              *region;       /**< in which the zone lies; empty: not known */
-    cw_distance_t      distance;     /**< of its zone from this node's */
-    uint32_t           region_bit;   /**< of that region (region_mask.h); 0: none */
-    double             affinity;     /**< 0 to 1, another for each node: the order in which equal servers are tried */
-    uint32_t           hash;         /**< short name of the id between nodes */
-    uint32_t           service_hash; /**< and of its service */
-    uint32_t           capacity;
-    bool               listed;
-    bool               draining;       /**< as it is listed, or as it said itself */
-    bool               ended;          /**< another life answered at its address: this one is over */
-    uint32_t           own;            /**< requests of this node under way */
-    uint32_t           others;         /**< of the other nodes, as reported */
-    uint32_t           own_waiting;    /**< requests that wait at this node for keys that it owns, when last counted */
-    uint32_t           others_waiting; /**< at the other nodes, as reported */
-    double             pace;    /**< time of its answers over what is usual on the route; 1 when nothing is known */
-    cw_time_us_t       pace_at; /**< last measured */
-    uint32_t           sampled_others;     /**< requests of other nodes there by its own last load sample, */
-    cw_time_us_t       sampled_at;         /**< which came then; 0: none */
-    uint32_t           served;             /**< answers since the start, and */
-    uint64_t           served_time;        /**< their time over what is usual, in thousandths, summed */
-    uint32_t           served_sent;        /**< value of served in this node's last report to all */
-    uint32_t           served_sent_leader; /**< and in its last one to the leader */
-    cw_time_us_t       answered_others_at; /**< it surely answered another node after this moment; 0: not known */
-    cw_server_report_t sum;                /**< scratch of cw_server_pool_sum */
-    uint32_t           faults;             /**< in a row */
-    cw_time_us_t       avoid_until;        /**< not chosen while another one can be */
-    cw_time_us_t       cold_until;         /**< its warm-up takes until then; 0: it is warm */
-    bool               cold_by_entry;      /**< its entry says so */
-    cw_time_us_t       zone_put_back_at;   /**< last put-back of its zone that has been counted as a start */
-    double             cold_per_s;         /**< requests a second that it bears while it is cold; 0: no bound known */
-    cw_cold_sends_t    cold_sends;         /**< this node's, while it is cold */
-    cw_server_limit_t  limit;              /**< that it has named, */
-    bool               has_said_leaving;   /**< in an answer, to this node or to another one; */
-    cw_time_us_t       leave_until;        /**< requests for keys that it owns may still go there until then */
-    cw_time_us_t       rest_until;         /**< it has turned this node away, and wants nothing from it until then */
-    cw_time_us_t       limit_allows_at;    /**< not chosen before that: its limit has no room until then, */
-    cw_limit_bucket_t  limit_part;         /**< and this node's equal part of it, while nobody counts for all nodes */
-    bool               zone_is_out;        /**< its zone is out of service */
-    cw_time_us_t       owner_until; /**< then requests for keys that it owns may still go there until this moment */
-    void              *connections; /**< the adapter's; freed by it when the server is dropped */
-    UT_hash_handle     by_id;
-    UT_hash_handle     by_hash;
-    struct cw_server  *next; /**< of the same service */
-    struct cw_server  *prev;
+    char         *id;
+    char         *service;
+    char         *address;
+    char         *zone;
+    char         *region;       /**< of the zone; empty: not known */
+    cw_distance_t distance;     /**< from this node's zone */
+    uint32_t      region_bit;   /**< of that region (region_mask.h); 0: none */
+    double        affinity;     /**< 0 to 1, different at each node: among equal servers the lowest is preferred */
+    uint32_t      hash;         /**< of the id; identifies the server in messages between nodes */
+    uint32_t      service_hash; /**< of the service's name */
+    uint32_t      capacity;     /**< requests that the server can process at once */
+    bool          listed;       /**< in the list in force */
+    bool          draining;     /**< by its list entry, or announced by the server itself */
+    bool          ended;        /**< another incarnation has answered at its address */
+    uint32_t      own;          /**< requests of this node in flight */
+    uint32_t      others;       /**< requests of the other nodes in flight, as reported */
+    uint32_t      own_waiting;  /**< requests that wait at this node for keys that the server owns, when last counted */
+    uint32_t      others_waiting;        /**< the same at the other nodes, as reported */
+    double        pace;                  /**< latency factor: response time divided by the route's mean; 1: not known */
+    cw_time_us_t  pace_at;               /**< time of the last measurement of pace */
+    uint32_t      sampled_others;        /**< requests of other nodes by the server's last load sample */
+    cw_time_us_t  sampled_at;            /**< when that sample was received; 0: none */
+    uint32_t      served;                /**< answers to this node since its start */
+    uint64_t      served_time;           /**< sum of their latency factors, in thousandths */
+    uint32_t      served_sent;           /**< value of served in this node's last report to all nodes */
+    uint32_t      served_sent_leader;    /**< value of served in its last report to the leader */
+    cw_time_us_t  answered_others_at;    /**< it has certainly answered another node since then; 0: not known */
+    cw_server_report_t sum;              /**< temporary value of cw_server_pool_sum */
+    uint32_t           faults;           /**< failed requests in a row */
+    cw_time_us_t       avoid_until;      /**< until then chosen only if no other server can be */
+    cw_time_us_t       cold_until;       /**< end of its warm-up; 0: it is warm */
+    bool               entry_is_cold;    /**< its last list entry says that it is cold */
+    cw_time_us_t       zone_put_back_at; /**< last put-back of its zone that was treated as a start */
+    double             cold_per_s; /**< requests a second that it can handle while it is cold; 0: no bound known */
+    cw_cold_sends_t    cold_sends; /**< this node's sends while the server is cold */
+    cw_server_limit_t  limit;      /**< rate limit that the server has named */
+    bool               has_said_leaving;   /**< it announced in an answer to this or another node that it leaves */
+    cw_time_us_t      leaving_owner_until; /**< until then a leaving server still gets requests for keys that it owns */
+    cw_time_us_t      rest_until;          /**< it rejected a request and asked this node to send nothing until then */
+    cw_time_us_t      limit_allows_at;     /**< not chosen before then: its rate limit is used up */
+    cw_limit_bucket_t limit_part;  /**< this node's equal part of the limit, used while no counting node replies */
+    bool              zone_is_out; /**< its zone is out of service */
+    cw_time_us_t      zone_out_owner_until; /**< zone out: until then it still gets requests for keys that it owns */
+    void             *connections;          /**< owned by the adapter, which frees them when the server is dropped */
+    UT_hash_handle    by_id;
+    UT_hash_handle    by_hash;
+    struct cw_server *next; /**< next server of the same service */
+    struct cw_server *prev;
 } cw_server_t;
 
-/** How fast one server answered another node, counted since that node's start. */
+/** How fast one server answered another node, accumulated since that node's start. */
 typedef struct cw_server_pace {
-    uint32_t hash;
-    uint32_t served;
-    uint64_t time; /**< of the answers over what is usual, in thousandths, summed */
+    uint32_t hash;   /**< of the server's id */
+    uint32_t served; /**< number of answers */
+    uint64_t time;   /**< sum of the answers' latency factors, in thousandths */
 } cw_server_pace_t;
 
-/** How the servers of a service start, and start again when their zone is put back. */
+/** Warm-up of a service's servers after their start, and after their zone is put back into service. */
 typedef struct cw_warm_up {
-    cw_time_us_t duration; /**< a server is cold for so long after its start */
-    double       per_s;    /**< requests a second that a cold server bears; 0: no bound known */
+    cw_time_us_t duration; /**< time for which a server is cold */
+    double       per_s;    /**< requests a second that a cold server can handle; 0: no bound known */
 } cw_warm_up_t;
 
+/** All servers that this node knows. */
 typedef struct cw_server_pool cw_server_pool_t;
 
-enum { CW_POOL_REPORT_LIFE_MS = 1500 };
+enum { CW_POOL_REPORT_LIFE_MS = 1500 /**< a node's report counts for so long */ };
 
-/** Regions that a request may go to: of its route and of its tenant; both bind, an empty set does not. */
+/** Regions that a request may go to: those in both the route's and the tenant's set; an empty set allows all. */
 typedef struct cw_region_rule {
     const cw_name_set_t *route;
     const cw_name_set_t *tenant; /**< NULL: none */
 } cw_region_rule_t;
 
+/** Called before a server's object is freed. */
 typedef void (*cw_server_dropped_t)(void *context, cw_server_t *server);
 
+/** zone: this node's. */
 cw_server_pool_t *cw_server_pool_create(const char *zone, cw_server_dropped_t dropped, void *context);
-/** This node's name gives it an order of servers of its own. To be set before the first list. */
+/** Sets this node's name, from which its order of preference among servers (affinity) is derived. To be called before
+ * the first list. */
 void cw_server_pool_set_node(cw_server_pool_t *pool, const char *node);
 void cw_server_pool_free(cw_server_pool_t *pool);
-/** Who may send to cold servers; borrowed. Until it is set this node sends none to those whose rate is bounded. */
+/** Sets the rules for sending to cold servers; borrowed. Until then this node sends nothing to cold servers whose
+ * rate is bounded. */
 void cw_server_pool_set_cold_rate(cw_server_pool_t *pool, const cw_cold_rate_t *rate);
-/** As configured; counts for servers known already, and for later ones. */
+/** Sets the configured warm-up of a service, for its present and future servers. */
 void cw_server_pool_set_warm_up(cw_server_pool_t *pool, const char *service, const cw_warm_up_t *warm_up);
-/** Takes a new list over. */
+/** Applies a new list of servers. */
 void cw_server_pool_update(cw_server_pool_t *pool, const cw_server_list_t *list, cw_time_us_t now);
-/** Takes over which zones are out of service, and which have been put back. After each update, too. */
-void         cw_server_pool_set_zones(cw_server_pool_t *pool, const cw_zone_service_t *zones);
+/** Applies which zones are out of service and which have been put back. To be called after each cw_server_pool_update,
+ * too. */
+void cw_server_pool_set_zones(cw_server_pool_t *pool, const cw_zone_service_t *zones);
+/** Server with this id, listed or not; NULL: none. */
 cw_server_t *cw_server_pool_find(cw_server_pool_t *pool, const char *id);
-/** Listed server of this hash; NULL: none. */
+/** Listed server with this hash; NULL: none. */
 const cw_server_t *cw_server_pool_find_hash(cw_server_pool_t *pool, uint32_t hash);
-/** Copied. To be set before the first list. A zone that is not among them lies in no region. */
+/** Sets the regions of zones; copied. To be called before the first list. A zone that is not included has no region. */
 void cw_server_pool_set_regions(cw_server_pool_t *pool, const cw_zone_region_t *zones, size_t count);
-/** Bit of the region of a zone (region_mask.h); 0: none. */
+/** Bit of a zone's region (region_mask.h); 0: none. */
 uint32_t cw_server_pool_zone_bit(const cw_server_pool_t *pool, const char *zone);
 /** Regions that a rule allows, as a mask. */
 uint32_t cw_server_pool_region_mask(const cw_server_pool_t *pool, const cw_region_rule_t *rule);
-/** May a request under this rule go there? */
+/** True if a request under this rule may go to the server. */
 bool cw_server_region_allows(const cw_server_t *server, const cw_region_rule_t *rule);
-/** Has the service a listed server to which a request under this rule may go? */
+/** True if the service has a listed server, not draining, to which a request under this rule may go. */
 bool cw_server_pool_serves(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule);
-/** Do the settings know more than one region? */
+/** True if more than one region is configured. */
 bool cw_server_pool_has_regions(const cw_server_pool_t *pool);
 /** This node's zone. */
 const char *cw_server_pool_zone(const cw_server_pool_t *pool);
-/** All servers, by the by_id handle. */
+/** First of all servers, listed or not; iterate with the by_id handle. */
 cw_server_t *cw_server_pool_all(cw_server_pool_t *pool);
-/** Servers of the service of this hash, linked by next, in the order in which they came to be known. What is done for
- * each request walks these: a fleet has many services. NULL: none. */
+/** First server of the service with this hash, linked by next, in the order in which they were added; NULL: none. Work
+ * done for each request iterates over these rather than over all servers, since a fleet has many services. */
 cw_server_t *cw_server_pool_of_service(const cw_server_pool_t *pool, uint32_t service_hash);
 
-/** Its warm-up is not over. */
+/** True during the server's warm-up. */
 bool cw_server_is_cold(const cw_server_t *server, cw_time_us_t now);
-/** Cold, and bears only so many requests a second. */
+/** True if the server is cold and the rate of requests to it is bounded meanwhile (cold_per_s). */
 bool cw_server_is_rate_bounded(const cw_server_t *server, cw_time_us_t now);
-/** Does its zone allow a request there now, if it owns the request's key (or any server will do: false)? */
+/** True if the state of the server's zone allows a request to it now. is_owner: the server owns the request's key;
+ * false: any server can handle the request. */
 bool cw_server_zone_allows(const cw_server_t *server, bool is_owner, cw_time_us_t now);
-/** Is it not leaving? One that has just said so still serves the keys that it owns, while they move. */
+/** True if the server is not draining, or if it has just announced that it leaves and is_owner is set: it still serves
+ * the keys that it owns while they are moved. */
 bool cw_server_takes(const cw_server_t *server, bool is_owner, cw_time_us_t now);
-/** The incarnation of this hash, listed or not, has said that it leaves: from now on it counts as draining, whatever is
- * listed. False: that was known. */
+/** The incarnation with this hash, listed or not, has announced that it leaves: from now on it counts as draining,
+ * whatever its list entry says. owner_grace: time for which it still gets requests for keys that it owns. False: this
+ * was known already. */
 bool cw_server_pool_note_leaving(cw_server_pool_t *pool, uint32_t hash, cw_time_us_t owner_grace, cw_time_us_t now);
-/** May this node send a request there at all now, if it owns the request's key (or any server will do: false)? */
+/** True if the zone's state and the rules for cold servers allow this node to send a request to the server now.
+ * is_owner: as for cw_server_zone_allows. */
 bool cw_server_pool_may_send(const cw_server_pool_t *pool, const cw_server_t *server, bool is_owner, cw_time_us_t now);
 
-/** Does it name a rate limit, so that a request needs the leave of the node that counts for all? */
+/** True if the server names a rate limit, so that a request needs a grant of the counting node. */
 bool cw_server_is_limited(const cw_server_t *server, cw_time_us_t now);
-/** Takes a token of this node's equal part of a server's limit, if there is one; `nodes` share it. */
+/** Takes a token from this node's equal part of the server's limit. nodes: number of nodes that share the limit; 0: not
+ * known. False: there is no token. */
 bool cw_server_take_limit_part(cw_server_t *server, uint32_t nodes, cw_time_us_t now);
-/** Its rate limit has no room for so long: it is not chosen until then. */
+/** The server's rate limit is used up for the time `wait`: the server is not chosen until then. */
 void cw_server_note_limit_refused(cw_server_t *server, cw_time_us_t wait, cw_time_us_t now);
-/** The node that counts for all replies: the own part begins anew when it is needed again. */
+/** The counting node replies again: resets this node's equal part of the limit, which starts empty when next needed. */
 void cw_server_clear_limit_part(cw_server_t *server);
-/** Has it turned this node away, and asked for a rest that is not over? */
+/** True during a rest that the server asked for when it rejected a request of this node. */
 bool cw_server_rests(const cw_server_t *server, cw_time_us_t now);
-/** Do all servers of a service rest to which a request under this rule may go? False: there are none. */
+/** True if all servers of a service to which a request under this rule may go are at rest. False if there are none. */
 bool cw_server_pool_all_rest(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                              cw_time_us_t now);
-/** It rests, or its rate limit has no room. */
+/** True if the server is at rest or its rate limit is used up. */
 bool cw_server_is_held_off(const cw_server_t *server, cw_time_us_t now);
-/** When the first of the servers of a service to which a request under this rule may go has room again by its rate
- * limit or its rest, if all of them have one or the other; CW_NEVER: one has neither, or there are no servers. */
+/** If all servers of a service to which a request under this rule may go have a rate limit or are at rest: the earliest
+ * time at which one of them may be sent to. CW_NEVER: one has neither, or there are no servers. */
 cw_time_us_t cw_server_pool_held_off_until(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                                            cw_time_us_t now);
 
-/** A request goes there, and has come to its end. */
+/** Counts a request of this node as in flight at the server; cw_server_pool_end ends this, and may drop the server. */
 void cw_server_pool_begin(cw_server_t *server, cw_time_us_t now);
 void cw_server_pool_end(cw_server_pool_t *pool, cw_server_t *server);
-/** A whole answer took `took` where `usual` is usual. */
-void cw_server_pool_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t usual, cw_time_us_t now);
-/** The server told its load with an answer; this node's own request is over by then. */
+/** A complete answer was received after the time `took`. mean_time: of such requests. */
+void cw_server_pool_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t mean_time, cw_time_us_t now);
+/** The server sent a load sample with an answer. To be called while the answered request still counts as in flight; it
+ * is not in the sample. */
 void cw_server_pool_note_load(cw_server_t *server, const cw_server_load_t *sample, cw_time_us_t now);
-/** No whole answer after `waited`: it takes at least that long. */
-void cw_server_pool_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t usual, cw_time_us_t now);
-/** It answers: former faults count no longer. */
-void cw_server_pool_sound(cw_server_t *server);
-/** Has failed several times in a row. */
+/** No complete answer was received within `waited`: the request takes at least that long. */
+void cw_server_pool_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t mean_time, cw_time_us_t now);
+/** The server has answered: resets its count of faults. */
+void cw_server_pool_clear_faults(cw_server_t *server);
+/** True if the server has failed several times in a row. */
 bool cw_server_is_suspect(const cw_server_t *server);
-/** No connection, or no answer. */
+/** A request failed without a connection or without an answer: the server is avoided for a while. */
 void cw_server_pool_fault(cw_server_t *server, cw_time_us_t now);
 
-/** Replaces what this node (0: expired) last reported. */
+/** Replaces the last report of a node; count 0: it has none. node: its address, or the number of a zone that reports
+ * the sums of its nodes. */
 void cw_server_pool_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
                            cw_time_us_t now);
-/** Learns from what the answers came to since this node last told. */
+/** Updates latency factors by the answers that another node received since its last report. node: its address. */
 void cw_server_pool_learn(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
                           cw_time_us_t now);
-/** Whose requests are summed, and at which servers. */
+/** Selects the nodes whose requests are summed, and the servers. */
 typedef struct cw_sum_filter {
     void *context;
     bool (*takes_node)(void *context, uint64_t node);
     bool (*takes_server)(void *context, const cw_server_t *server);
 } cw_sum_filter_t;
-/** This node's own requests and those that the nodes taken have reported, by server; returns how many servers.
- * `left_out`: those that there was no room for. */
+/** Sums this node's requests and those reported by the selected nodes, by server; returns the number of servers written
+ * to `sums`, at most `room`. left_out: number of servers that did not fit. */
 size_t cw_server_pool_sum(cw_server_pool_t *pool, const cw_sum_filter_t *filter, cw_server_report_t *sums, size_t room,
                           cw_time_us_t now, size_t *left_out);
-/** Paces of servers kept, for all nodes that told them. */
+/** Number of stored paces of servers, of all reporting nodes. */
 size_t cw_server_pool_paces(const cw_server_pool_t *pool);
-/** Forgets nodes that have been silent for longer than `life`. */
+/** Removes the reports of nodes that have sent none for longer than `life`. */
 void cw_server_pool_expire(cw_server_pool_t *pool, cw_time_us_t life, cw_time_us_t now);
 
-/** Zones whose servers may be chosen. */
+/** Selects the zones whose servers may be chosen. */
 typedef struct cw_zone_filter {
     void *context;
-    bool (*takes_zone)(void *context, const char *zone);
+    bool (*allows_zone)(void *context, const char *zone);
 } cw_zone_filter_t;
 
+/** Parameters of the choice of a server. */
 typedef struct cw_choice_settings {
-    double zone_penalty;    /**< what another zone costs, as a share of a usual request's time */
-    double remote_penalty;  /**< what another region costs besides, in the same unit */
-    bool   stays_in_region; /**< servers of other regions are not taken */
-    double affinity;        /**< weight of this node's own order of servers; more where others' loads are known late */
-    double extra_slots;     /**< requests a server may have beyond its capacity */
+    double zone_penalty;    /**< cost of a server in another zone, in units of a request's mean time */
+    double remote_penalty;  /**< additional cost of a server in another region, in the same unit */
+    bool   stays_in_region; /**< servers of other regions are not chosen */
+    double affinity;    /**< weight of this node's order of preference; greater if others' requests are known late */
+    double extra_slots; /**< requests that a server may have beyond its capacity */
     cw_region_rule_t        regions;
     const cw_zone_filter_t *zones; /**< NULL: all */
 } cw_choice_settings_t;
 
-/** Best server of a service with a free slot. full: there are servers, but none has a slot. */
+/** Returns the server of least cost with a free slot; NULL: none. except: a server that has failed the request, chosen
+ * only if there is no other; NULL: none. full: set if there are servers but none has a free slot. */
 cw_server_t *cw_server_pool_choose(cw_server_pool_t *pool, const char *service, const cw_choice_settings_t *settings,
                                    const cw_server_t *except, cw_time_us_t now, bool *full);
-bool         cw_server_has_slot(const cw_server_t *server, double extra_slots, cw_time_us_t now);
-/** Slots of a service that can be used, in units of a server of usual pace. */
+/** True if fewer requests of all nodes are in flight than the server's capacity plus extra_slots. */
+bool cw_server_has_slot(const cw_server_t *server, double extra_slots, cw_time_us_t now);
+/** Slots of a service's usable servers, each divided by the server's latency factor. */
 double cw_server_pool_speed(cw_server_pool_t *pool, const char *service, cw_time_us_t now);
-/** The same for servers to which a request under this rule may go. */
+/** cw_server_pool_speed of the servers to which a request under this rule may go. */
 double cw_server_pool_speed_under(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                                   cw_time_us_t now);
-/** The same for those of them that lie in this node's region. */
+/** cw_server_pool_speed_under of the servers in this node's region. */
 double cw_server_pool_speed_near(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                                  cw_time_us_t now);
-/** Requests under way at a service's servers. */
+/** Requests of all nodes in flight at a service's listed servers. */
 uint32_t cw_server_pool_under_way(cw_server_pool_t *pool, const char *service);
 
 #endif
--- a/src/balance/server_reports.c
+++ b/src/balance/server_reports.c
@@ -1,6 +1,6 @@
 /**
  * @file server_reports.c
- * @brief What other nodes report of the servers: their requests there, and how fast these answered.
+ * @brief Reports of other nodes about servers: their requests in flight, and how fast the servers answered.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,11 +8,11 @@
 #include "balance/server_pool_internal.h"
 #include "base/memory.h"
 
-enum { LEARN_AT_ONCE = 4 /* answers of one report that count for the latency factor */ };
+enum { ANSWERS_PER_REPORT_MAX = 4 /* most answers of one report that count for the latency factor */ };
 
 void cw_server_pool_free_peer(cw_server_pool_t *pool, peer_report_t *peer)
 {
-    HASH_DEL(pool->peers, peer); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
+    HASH_DEL(pool->peers, peer); /* NOLINT(clang-analyzer-unix.Malloc): false positive in uthash's macros */
     free(peer->reports);
     free(peer->paces);
     free(peer);
@@ -35,7 +35,7 @@
     }
 }
 
-void cw_server_pool_forget_paces(cw_server_pool_t *pool)
+void cw_server_pool_drop_paces(cw_server_pool_t *pool)
 {
     peer_report_t *peer;
     peer_report_t *next;
@@ -65,12 +65,12 @@
     return count;
 }
 
-static uint32_t less(uint32_t sum, uint32_t part)
+static uint32_t subtract(uint32_t sum, uint32_t part)
 {
     return part < sum ? sum - part : 0;
 }
 
-static void take_back(cw_server_pool_t *pool, const peer_report_t *peer)
+static void subtract_report(cw_server_pool_t *pool, const peer_report_t *peer)
 {
     size_t index;
 
@@ -78,13 +78,13 @@
         cw_server_t *server = cw_server_pool_by_hash(pool, peer->reports[index].hash);
 
         if (server != NULL) {
-            server->others = less(server->others, peer->reports[index].under_way);
-            server->others_waiting = less(server->others_waiting, peer->reports[index].waiting);
+            server->others = subtract(server->others, peer->reports[index].under_way);
+            server->others_waiting = subtract(server->others_waiting, peer->reports[index].waiting);
         }
     }
 }
 
-static peer_report_t *peer_of(cw_server_pool_t *pool, uint64_t node)
+static peer_report_t *get_or_add_peer(cw_server_pool_t *pool, uint64_t node)
 {
     peer_report_t *peer;
 
@@ -97,7 +97,7 @@
     return peer;
 }
 
-static cw_server_pace_t *last_pace(peer_report_t *peer, uint32_t hash)
+static cw_server_pace_t *get_or_add_pace(peer_report_t *peer, uint32_t hash)
 {
     size_t index;
 
@@ -114,21 +114,23 @@
 void cw_server_pool_learn(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
                           cw_time_us_t now)
 {
-    peer_report_t *peer = peer_of(pool, node);
+    peer_report_t *peer = get_or_add_peer(pool, node);
     size_t         index;
 
     for (index = 0; index < count; index++) {
-        cw_server_pace_t *last = last_pace(peer, paces[index].hash);
+        cw_server_pace_t *last = get_or_add_pace(peer, paces[index].hash);
         cw_server_t      *server = cw_server_pool_by_hash(pool, paces[index].hash);
 
         if (server != NULL && paces[index].served > last->served && paces[index].time >= last->time) {
             uint32_t answers = paces[index].served - last->served;
 
             if (peer->paces_at > server->answered_others_at) {
-                server->answered_others_at = peer->paces_at; /* the answers came since its last report */
+                server->answered_others_at =
+                    peer->paces_at; /* the new answers were received after its previous report */
             }
-            cw_server_learn_pace(server, (double)(paces[index].time - last->time) / answers / 1000,
-                                 CW_PACE_WEIGHT * (answers > LEARN_AT_ONCE ? LEARN_AT_ONCE : answers));
+            cw_server_update_pace(server, (double)(paces[index].time - last->time) / answers / 1000,
+                                  CW_PACE_WEIGHT *
+                                      (answers > ANSWERS_PER_REPORT_MAX ? ANSWERS_PER_REPORT_MAX : answers));
         }
         *last = paces[index];
     }
@@ -138,10 +140,10 @@
 void cw_server_pool_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
                            cw_time_us_t now)
 {
-    peer_report_t *peer = peer_of(pool, node);
+    peer_report_t *peer = get_or_add_peer(pool, node);
     size_t         index;
 
-    take_back(pool, peer);
+    subtract_report(pool, peer);
     for (index = 0; index < count; index++) {
         cw_server_t *server = cw_server_pool_by_hash(pool, reports[index].hash);
 
@@ -150,8 +152,8 @@
         }
         server->others += reports[index].under_way;
         server->others_waiting += reports[index].waiting;
-        if (reports[index].unreachable && server->avoid_until < now + CW_MS(CW_AVOID_FIRST_MS)) {
-            server->avoid_until = now + CW_MS(CW_AVOID_FIRST_MS);
+        if (reports[index].unreachable && server->avoid_until < now + CW_MS(CW_AVOID_INITIAL_MS)) {
+            server->avoid_until = now + CW_MS(CW_AVOID_INITIAL_MS);
         }
     }
     peer->at = now;
@@ -172,7 +174,7 @@
     HASH_ITER(hh, pool->peers, peer, next)
     {
         if (now - peer->at > life) {
-            take_back(pool, peer);
+            subtract_report(pool, peer);
             cw_server_pool_free_peer(pool, peer);
         }
     }
--- a/src/balance/server_signals.h
+++ b/src/balance/server_signals.h
@@ -1,8 +1,8 @@
 /**
  * @file server_signals.h
- * @brief What a server says of itself with an answer.
+ * @brief State that a server reports about itself in the header fields of an answer.
  *
- * Each answer states all of it anew: what is not named in an answer does not hold at its moment.
+ * Each answer reports the complete state: a signal missing from an answer does not apply at the time of that answer.
  */
 #ifndef CEDARWINCH_BALANCE_SERVER_SIGNALS_H
 #define CEDARWINCH_BALANCE_SERVER_SIGNALS_H
@@ -15,24 +15,25 @@
 struct cw_http_fields;
 
 enum {
-    CW_SERVER_LIMIT_MOST = 1000000, /**< requests a second: a limit above it is taken for this one */
-    CW_SERVER_REST_MOST_S = 600     /**< a longer rest is taken for this one */
+    CW_SERVER_LIMIT_MOST = 1000000, /**< requests a second; a greater limit is lowered to this */
+    CW_SERVER_REST_MOST_S = 600     /**< a longer rest is shortened to this */
 };
 
+/** Signals decoded from one answer. */
 typedef struct cw_server_signals {
-    bool             has_run; /**< the request; an answer to one that did not may leave the rest out */
+    bool             has_run; /**< the request ran; an answer to one that did not may omit the other signals */
     bool             has_load;
     cw_server_load_t load;
     bool             has_limit;
-    double           limit_per_s; /**< requests a second that it takes from all nodes together; 0: none */
+    double           limit_per_s; /**< requests a second that the server accepts from all nodes together; 0: none */
     bool             is_leaving;
     bool             has_rest;
-    cw_time_us_t     rest;            /**< it turned the request away, and wants nothing from this node for so long */
-    const char      *malformed_name;  /**< first field that could not be decoded, or is out of bounds; NULL: none */
-    const char      *malformed_value; /**< its value, as long as the answer's fields live */
+    cw_time_us_t     rest; /**< the server rejected the request and asks for no more for this time (Retry-After) */
+    const char      *malformed_name;  /**< first field that could not be decoded or is out of bounds; NULL: none */
+    const char      *malformed_value; /**< value of that field; borrowed from the answer's fields */
 } cw_server_signals_t;
 
-/** Decodes the fields of an answer of this status. */
+/** Decodes the header fields of an answer with this status. */
 typedef void (*cw_server_signals_decoder_t)(int status, const struct cw_http_fields *fields,
                                             cw_server_signals_t *signals);
 
--- a/src/balance/server_sums.c
+++ b/src/balance/server_sums.c
@@ -1,6 +1,6 @@
 /**
  * @file server_sums.c
- * @brief What the nodes of one zone have under way at each server, summed for the other zones.
+ * @brief Sums the requests in flight of one zone's nodes at each server, for the summary sent to other zones.
  */
 #include "balance/server_pool_internal.h"
 
@@ -52,9 +52,9 @@
     }
     HASH_ITER(by_id, pool->by_id, server, next)
     {
-        bool is_told = server->sum.under_way > 0 || server->sum.waiting > 0 || server->sum.unreachable;
+        bool is_reported = server->sum.under_way > 0 || server->sum.waiting > 0 || server->sum.unreachable;
 
-        if (!is_told || !filter->takes_server(filter->context, server)) {
+        if (!is_reported || !filter->takes_server(filter->context, server)) {
             continue;
         }
         if (count < room) {
--- a/src/balance/slot_broker.c
+++ b/src/balance/slot_broker.c
@@ -1,6 +1,6 @@
 /**
  * @file slot_broker.c
- * @brief Slots granted, and asks that wait.
+ * @brief Grants slots and keeps the asks that wait.
  */
 #include "balance/slot_broker.h"
 
@@ -11,7 +11,7 @@
 #include "balance/slot_broker_internal.h"
 #include "base/memory.h"
 
-enum { FORGET_EVERY_S = 5 /* servers that are gone; what is kept of one takes some 250 bytes */ };
+enum { CLEANUP_INTERVAL_S = 5 /* interval for removing state of unlisted servers, some 250 bytes each */ };
 
 cw_slot_broker_t *cw_slot_broker_create(cw_server_pool_t *pool, const char *zone, cw_slot_replied_t replied,
                                         void *context)
@@ -34,7 +34,7 @@
 
 static void drop_lease(cw_slot_broker_t *broker, cw_slot_lease_t *lease)
 {
-    HASH_DEL(broker->leases, lease); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
+    HASH_DEL(broker->leases, lease); /* NOLINT(clang-analyzer-unix.Malloc): false positive in uthash's macros */
     free(lease);
 }
 
@@ -69,14 +69,14 @@
     return broker->waiting;
 }
 
-size_t cw_slot_broker_servers(const cw_slot_broker_t *broker)
+size_t cw_slot_broker_server_count(const cw_slot_broker_t *broker)
 {
     return HASH_COUNT(broker->servers);
 }
 
 /* ---- servers ---- */
 
-static cw_slot_server_t *state_of(cw_slot_broker_t *broker, uint32_t hash)
+static cw_slot_server_t *get_or_add_state(cw_slot_broker_t *broker, uint32_t hash)
 {
     cw_slot_server_t *state;
 
@@ -89,7 +89,8 @@
     return state;
 }
 
-/* A server with a rate limit that is asked for by itself may lie in a zone without nodes. */
+/* True if this broker counts the server's slots: those of its own zone, and a server with a rate limit that is the only
+ * acceptable one of an ask, since that server may be in a zone without nodes. */
 static bool is_counted_here(const cw_slot_broker_t *broker, const cw_server_t *server, bool is_only, cw_time_us_t now)
 {
     return strcmp(server->zone, broker->zone) == 0 || (is_only && cw_server_is_limited(server, now));
@@ -101,20 +102,20 @@
            cw_server_zone_allows(server, is_only, now) && is_counted_here(broker, server, is_only, now);
 }
 
-/* Servers that an ask may go to, and the best of them with a free slot. */
+/* Summary of the servers acceptable for an ask, and the best of them with a free slot. */
 typedef struct survey {
     cw_slot_server_t *best;
     double            best_cost;
     bool              best_is_suspect;
-    bool              any_sound;
+    bool              any_healthy; /* a server that is not suspect, with or without a free slot */
     bool              any;
-    double            per_s;    /* slots that the servers give back a second */
-    double            held_sum; /* times for which slots of sound servers are taken, for the mean */
-    uint32_t          sound;
-    cw_time_us_t      limit_wait; /* of the only server wanted, until its rate limit allows one request more */
+    double            per_s;         /* slots a second that become free at the servers */
+    double            held_sum;      /* sum of the mean times for which slots of the counted servers are held */
+    uint32_t          healthy_count; /* number of servers counted in per_s and held_sum */
+    cw_time_us_t      limit_wait;    /* with only one acceptable server: time until its rate limit allows the request */
 } survey_t;
 
-static bool is_wanted(const cw_slot_ask_t *ask, const cw_server_t *server)
+static bool is_acceptable(const cw_slot_ask_t *ask, const cw_server_t *server)
 {
     if (ask->server != 0) {
         return server->hash == ask->server;
@@ -122,7 +123,7 @@
     return server->service_hash == ask->service && server->hash != ask->except;
 }
 
-/* Slots that a server gives back a second, as far as its rate limit lets them be used. */
+/* Slots a second that become free at a server, at most as many as its rate limit allows. */
 static double slots_per_s(const cw_slot_broker_t *broker, const cw_server_t *server, cw_time_us_t held,
                           cw_time_us_t now)
 {
@@ -135,18 +136,18 @@
 static void survey_server(cw_slot_broker_t *broker, const cw_slot_lease_t *lease, const cw_server_t *server,
                           survey_t *survey, cw_time_us_t now)
 {
-    cw_slot_server_t *state = state_of(broker, server->hash);
-    cw_time_us_t      held = cw_slot_server_held(state, server, lease->usual);
+    cw_slot_server_t *state = get_or_add_state(broker, server->hash);
+    cw_time_us_t      held = cw_slot_server_held(state, server, lease->mean_time);
     bool              is_suspect = cw_server_is_suspect(server) && server->avoid_until > now;
-    double            cost = cw_slot_server_cost(state, server, lease->usual, now);
+    double            cost = cw_slot_server_cost(state, server, lease->mean_time, now);
 
     cw_slot_server_refill(state, server, broker->share, now);
     survey->any = true;
-    survey->any_sound = survey->any_sound || !is_suspect;
+    survey->any_healthy = survey->any_healthy || !is_suspect;
     if (!is_suspect && !cw_server_is_rate_bounded(server, now)) {
         survey->per_s += slots_per_s(broker, server, held, now);
         survey->held_sum += (double)held;
-        survey->sound++;
+        survey->healthy_count++;
     }
     if (!cw_slot_server_has_slot(state, server, now)) {
         return;
@@ -170,19 +171,19 @@
 
         if (owner != NULL && is_usable(broker, owner, true, now)) {
             survey_server(broker, lease, owner, &survey, now);
-            survey.limit_wait = cw_slot_server_limit_wait(state_of(broker, owner->hash), owner, broker->share,
+            survey.limit_wait = cw_slot_server_limit_wait(get_or_add_state(broker, owner->hash), owner, broker->share,
                                                           cw_slot_queue_ahead(broker, lease), now);
         }
         return survey;
     }
     DL_FOREACH(cw_server_pool_of_service(broker->pool, lease->ask.service), server)
     {
-        if (is_wanted(&lease->ask, server) && is_usable(broker, server, false, now)) {
+        if (is_acceptable(&lease->ask, server) && is_usable(broker, server, false, now)) {
             survey_server(broker, lease, server, &survey, now);
         }
     }
-    if (survey.best_is_suspect && survey.any_sound) {
-        survey.best = NULL; /* a sound one is full: it is waited for */
+    if (survey.best_is_suspect && survey.any_healthy) {
+        survey.best = NULL; /* a server that is not suspect is full: the ask waits for it */
     }
     return survey;
 }
@@ -220,13 +221,13 @@
 
 /* ---- asks ---- */
 
-/* Mean time from a grant to the answer. */
+/* Mean time from a grant to the answer; 0: not known. */
 static cw_time_us_t held_mean(const survey_t *survey)
 {
-    return survey->sound == 0 ? 0 : (cw_time_us_t)(survey->held_sum / survey->sound);
+    return survey->healthy_count == 0 ? 0 : (cw_time_us_t)(survey->held_sum / survey->healthy_count);
 }
 
-static cw_time_us_t wait_for(const survey_t *survey, uint32_t ahead)
+static cw_time_us_t expected_wait(const survey_t *survey, uint32_t ahead)
 {
     if (survey->limit_wait > 0) {
         return survey->limit_wait;
@@ -234,16 +235,16 @@
     return survey->per_s > 0 ? (cw_time_us_t)((ahead + 1) * 1e6 / survey->per_s) : INT64_MAX / 2;
 }
 
-static void take_ask(cw_slot_broker_t *broker, cw_slot_lease_t *lease, cw_time_us_t now)
+static void handle_ask(cw_slot_broker_t *broker, cw_slot_lease_t *lease, cw_time_us_t now)
 {
     survey_t     survey;
     uint32_t     ahead;
     cw_time_us_t wait;
 
-    cw_slot_queue_give_turn(broker, lease);
+    cw_slot_queue_assign_turn(broker, lease);
     survey = survey_servers(broker, lease, now);
     ahead = cw_slot_queue_ahead(broker, lease);
-    wait = wait_for(&survey, ahead);
+    wait = expected_wait(&survey, ahead);
 
     if (survey.best != NULL && ahead == 0) {
         grant(broker, lease, survey.best, now);
@@ -270,21 +271,21 @@
     return lease;
 }
 
-void cw_slot_broker_ask(cw_slot_broker_t *broker, const cw_slot_ask_t *ask, cw_time_us_t usual, cw_time_us_t now)
+void cw_slot_broker_ask(cw_slot_broker_t *broker, const cw_slot_ask_t *ask, cw_time_us_t mean_time, cw_time_us_t now)
 {
     cw_slot_lease_t *lease = find_lease(broker, key_of(ask->node, ask->ticket));
 
-    if (lease != NULL) { /* asked again, since the reply did not arrive */
+    if (lease != NULL) { /* the node repeated the ask, since the reply was lost */
         reply(broker, lease, lease->granted_at != 0 ? CW_SLOT_GRANTED : CW_SLOT_QUEUED, 0);
         return;
     }
     lease = cw_memory_zeroed(sizeof(*lease));
     lease->key = key_of(ask->node, ask->ticket);
     lease->ask = *ask;
-    lease->usual = usual;
+    lease->mean_time = mean_time;
     lease->objective_at = now + ask->objective;
     HASH_ADD(hh, broker->leases, key, sizeof(lease->key), lease);
-    take_ask(broker, lease, now);
+    handle_ask(broker, lease, now);
 }
 
 uint32_t cw_slot_broker_server_of(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket)
@@ -294,8 +295,8 @@
     return lease == NULL || lease->granted_at == 0 ? 0 : lease->server;
 }
 
-/* A slot of this server is free: the first in order that wants it gets it. */
-static void offer(cw_slot_broker_t *broker, cw_slot_server_t *state, cw_time_us_t now)
+/* Grants free slots of this server to the waiting asks that accept it, in the order of the queue. */
+static void grant_free_slots(cw_slot_broker_t *broker, cw_slot_server_t *state, cw_time_us_t now)
 {
     const cw_server_t *server = cw_server_pool_find_hash(broker->pool, state->hash);
     cw_slot_lease_t   *lease;
@@ -310,17 +311,17 @@
         if (!cw_slot_server_has_slot(state, server, now)) {
             return;
         }
-        if (is_wanted(&lease->ask, server) && is_usable(broker, server, lease->ask.server != 0, now)) {
+        if (is_acceptable(&lease->ask, server) && is_usable(broker, server, lease->ask.server != 0, now)) {
             cw_slot_queue_serve(broker, lease);
             grant(broker, lease, state, now);
         }
     }
 }
 
-/* ---- slots given back ---- */
+/* ---- returned slots ---- */
 
-static void note_end(cw_slot_broker_t *broker, const cw_slot_lease_t *lease, const cw_slot_return_t *returned,
-                     cw_slot_server_t *state, cw_time_us_t now)
+static void record_end(cw_slot_broker_t *broker, const cw_slot_lease_t *lease, const cw_slot_return_t *returned,
+                       cw_slot_server_t *state, cw_time_us_t now)
 {
     cw_server_t *server = (cw_server_t *)cw_server_pool_find_hash(broker->pool, lease->server);
 
@@ -333,13 +334,13 @@
     if (server != NULL && returned->end == CW_SLOT_FAILED) {
         cw_server_pool_fault(server, now);
     } else if (server != NULL && returned->end == CW_SLOT_ANSWERED) {
-        cw_server_pool_sound(server);
+        cw_server_pool_clear_faults(server);
     }
 }
 
 static void end_grant(cw_slot_broker_t *broker, cw_slot_lease_t *lease)
 {
-    cw_slot_server_t *state = state_of(broker, lease->server);
+    cw_slot_server_t *state = get_or_add_state(broker, lease->server);
 
     state->granted--;
     DL_DELETE(broker->granted, lease);
@@ -359,30 +360,30 @@
         drop_lease(broker, lease);
         return;
     }
-    state = state_of(broker, lease->server);
+    state = get_or_add_state(broker, lease->server);
     end_grant(broker, lease);
-    note_end(broker, lease, returned, state, now);
+    record_end(broker, lease, returned, state, now);
     drop_lease(broker, lease);
-    offer(broker, state, now);
+    grant_free_slots(broker, state, now);
 }
 
-/* What waits and can no longer be answered in time is refused; what a slot is free for now, though none was given back
- * (a server came, a lease ended, a load sample is old), is granted. */
-static void look_again(cw_slot_broker_t *broker, cw_slot_lease_t *lease, cw_time_us_t now)
+/* Refuses a waiting ask that can no longer be answered in time. Grants a slot that has become free without a return: a
+ * server was added, a lease ended, or a load sample expired. */
+static void recheck_ask(cw_slot_broker_t *broker, cw_slot_lease_t *lease, cw_time_us_t now)
 {
     survey_t survey = survey_servers(broker, lease, now);
 
     if (!survey.any || now + held_mean(&survey) > lease->objective_at) {
         cw_slot_queue_leave(broker, lease);
-        refuse(broker, lease, survey.any ? wait_for(&survey, cw_slot_queue_ahead(broker, lease)) : 0);
+        refuse(broker, lease, survey.any ? expected_wait(&survey, cw_slot_queue_ahead(broker, lease)) : 0);
     } else if (survey.best != NULL) {
         cw_slot_queue_serve(broker, lease);
         grant(broker, lease, survey.best, now);
     }
 }
 
-/* Servers come and go for as long as the process runs. */
-static void forget_servers(cw_slot_broker_t *broker)
+/* Removes the state of unlisted servers, which would otherwise accumulate while the process runs. */
+static void drop_unlisted_servers(cw_slot_broker_t *broker)
 {
     cw_slot_server_t *state;
     cw_slot_server_t *next;
@@ -410,10 +411,10 @@
     }
     DL_FOREACH_SAFE(broker->queue, lease, next)
     {
-        look_again(broker, lease, now);
+        recheck_ask(broker, lease, now);
     }
-    if (now - broker->forgotten_at >= CW_SECONDS(FORGET_EVERY_S)) {
-        broker->forgotten_at = now;
-        forget_servers(broker);
+    if (now - broker->cleaned_up_at >= CW_SECONDS(CLEANUP_INTERVAL_S)) {
+        broker->cleaned_up_at = now;
+        drop_unlisted_servers(broker);
     }
 }
--- a/src/balance/slot_queue.c
+++ b/src/balance/slot_queue.c
@@ -1,6 +1,6 @@
 /**
  * @file slot_queue.c
- * @brief Asks that wait for a slot: by priority, then by their tenants' turns, then by objective.
+ * @brief Queue of asks for slots, ordered by priority, then by their tenants' turns, then by objective.
  */
 #include <utlist.h>
 
@@ -22,19 +22,20 @@
     return left->objective_at < right->objective_at ? -1 : left->objective_at > right->objective_at;
 }
 
-/* Where a newcomer belongs: behind those that are its equals. */
-static int compare_with_newcomer(const cw_slot_lease_t *waiting, const cw_slot_lease_t *newcomer)
+/* Order for inserting a new ask: behind those that are equal to it. */
+static int compare_with_added(const cw_slot_lease_t *waiting, const cw_slot_lease_t *added)
 {
-    return compare_leases(waiting, newcomer) <= 0 ? -1 : 1;
+    return compare_leases(waiting, added) <= 0 ? -1 : 1;
 }
 
+/* True if a waiting ask is for the same slots as `lease`. */
 static bool competes(const cw_slot_lease_t *waiting, const cw_slot_lease_t *lease)
 {
     return lease->ask.server != 0 ? waiting->ask.server == lease->ask.server
                                   : waiting->ask.server == 0 && waiting->ask.service == lease->ask.service;
 }
 
-void cw_slot_queue_give_turn(const cw_slot_broker_t *broker, cw_slot_lease_t *lease)
+void cw_slot_queue_assign_turn(const cw_slot_broker_t *broker, cw_slot_lease_t *lease)
 {
     lease->turn = cw_fair_turns_next(broker->turns, group_of(lease), lease->ask.tenant);
 }
@@ -56,7 +57,7 @@
 
 void cw_slot_queue_join(cw_slot_broker_t *broker, cw_slot_lease_t *lease)
 {
-    DL_INSERT_INORDER(broker->queue, lease, compare_with_newcomer);
+    DL_INSERT_INORDER(broker->queue, lease, compare_with_added);
     broker->waiting++;
     cw_fair_turns_wait(broker->turns, group_of(lease), lease->ask.tenant, lease->turn);
 }
--- a/src/balance/slot_server.c
+++ b/src/balance/slot_server.c
@@ -1,41 +1,42 @@
 /**
  * @file slot_server.c
- * @brief One server, as the node that hands out its slots knows it.
+ * @brief The slot broker's state of one server: free slots, cost and load.
  */
 #include "balance/slot_server.h"
 
 enum {
-    OUTSIDE_FRESH_MS = 300, /* so long a load sample tells of requests that were not granted here */
-    WORK_FRESH_MS = 400,    /* and of how long work takes there: it changes many times a second */
-    HELD_WEIGHT_PART = 8,   /* of a slot's time in the mean of its server */
-    REQUESTS_A_SLOT = 2,    /* one runs, one waits at the server: else its slot rests until the next one has come.
-                             * Measured: docs/design/shifted-work.md */
+    OUTSIDE_FRESH_MS = 300,  /* validity of a load sample's count of requests that this broker did not grant */
+    WORK_FRESH_MS = 400,     /* validity of a load sample's processing time, which changes many times a second */
+    HELD_WEIGHT_DIVISOR = 8, /* a new holding time has a weight of 1/8 in the server's mean */
+    REQUESTS_PER_SLOT = 2,   /* one is processed and one waits at the server; otherwise the slot would be idle until
+                              * the next request arrives. Measurements: docs/design/shifted-work.md */
     PERCENT = 100,
-    COLD_WINDOW_MS = 1100,   /* the bound's second, and what the ways to the server differ by */
-    WORK_MOST_PERCENT = 1000 /* beyond it a server in trouble looks no worse */
+    COLD_WINDOW_MS = 1100,  /* one second, plus the differences in network delay to the server */
+    WORK_PERCENT_MAX = 1000 /* upper limit of the processing time in a sample; a slower server costs no more */
 };
 
-static const double busy_weight = 0.45; /* as in server_choice.c: a server with all slots taken costs so much more */
+static const double busy_weight =
+    0.45; /* as in server_choice.c: additional cost factor of a server with all slots in use */
 
-static const double cold_factor = 2; /* a cold server takes about twice as long */
+static const double cold_factor = 2; /* a cold server takes about twice as long to answer */
 
-static uint32_t taken(const cw_slot_server_t *state, cw_time_us_t now)
+static uint32_t requests_at_server(const cw_slot_server_t *state, cw_time_us_t now)
 {
     bool is_fresh = state->outside_at != 0 && now - state->outside_at < CW_MS(OUTSIDE_FRESH_MS);
 
     return state->granted + (is_fresh ? state->outside : 0);
 }
 
-/* Requests in any second that a cold server is given here: what it bears. Its bound is more than twice that, so it
- * holds if two nodes count for the zone for a moment. */
-static uint32_t cold_share(const cw_server_t *server)
+/* Requests that this broker grants to a cold server in any second: as many as it can handle. The rate at
+ * which it fails is more than twice that, so it is not reached if two nodes act as the zone's broker for a moment. */
+static uint32_t cold_grants_per_s(const cw_server_t *server)
 {
-    return server->cold_per_s >= CW_COLD_GRANTS_MOST ? CW_COLD_GRANTS_MOST : (uint32_t)server->cold_per_s;
+    return server->cold_per_s >= CW_COLD_GRANTS_MAX ? CW_COLD_GRANTS_MAX : (uint32_t)server->cold_per_s;
 }
 
-static bool cold_allows(const cw_server_t *server, const cw_slot_server_t *state, cw_time_us_t now)
+static bool cold_rate_allows(const cw_server_t *server, const cw_slot_server_t *state, cw_time_us_t now)
 {
-    uint32_t     share = cold_share(server);
+    uint32_t     share = cold_grants_per_s(server);
     cw_time_us_t oldest;
 
     if (!cw_server_is_rate_bounded(server, now)) {
@@ -44,7 +45,7 @@
     if (share == 0) {
         return false;
     }
-    oldest = state->cold_grants[(state->next_cold + CW_COLD_GRANTS_MOST - share) % CW_COLD_GRANTS_MOST];
+    oldest = state->cold_grants[(state->next_cold + CW_COLD_GRANTS_MAX - share) % CW_COLD_GRANTS_MAX];
     return oldest == 0 || now - oldest >= CW_MS(COLD_WINDOW_MS);
 }
 
@@ -76,7 +77,7 @@
     state->granted++;
     if (server != NULL && cw_server_is_rate_bounded(server, now)) {
         state->cold_grants[state->next_cold] = now;
-        state->next_cold = (state->next_cold + 1) % CW_COLD_GRANTS_MOST;
+        state->next_cold = (state->next_cold + 1) % CW_COLD_GRANTS_MAX;
     }
     if (server != NULL && cw_server_limit_binds(&server->limit, now)) {
         cw_limit_bucket_take(&state->limit_bucket);
@@ -85,36 +86,37 @@
 
 bool cw_slot_server_has_slot(const cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t now)
 {
-    return taken(state, now) < server->capacity * REQUESTS_A_SLOT && cold_allows(server, state, now) &&
-           limit_allows(state, server, now) && !(cw_server_is_suspect(server) && state->granted > 0);
+    return requests_at_server(state, now) < server->capacity * REQUESTS_PER_SLOT &&
+           cold_rate_allows(server, state, now) && limit_allows(state, server, now) &&
+           !(cw_server_is_suspect(server) && state->granted > 0);
 }
 
-cw_time_us_t cw_slot_server_held(const cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t usual)
+cw_time_us_t cw_slot_server_held(const cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t mean_time)
 {
-    return state->held != 0 ? state->held : (cw_time_us_t)((double)usual * server->pace);
+    return state->held != 0 ? state->held : (cw_time_us_t)((double)mean_time * server->pace);
 }
 
-/* How long work takes there now against what is usual, as far as a sample tells. */
+/* Present processing time relative to the normal one, by a recent load sample; 1: not known. */
 static double work_factor(const cw_slot_server_t *state, cw_time_us_t now)
 {
     bool     is_fresh = state->work_at != 0 && now - state->work_at < CW_MS(WORK_FRESH_MS);
-    uint32_t percent = state->work_percent > WORK_MOST_PERCENT ? WORK_MOST_PERCENT : state->work_percent;
+    uint32_t percent = state->work_percent > WORK_PERCENT_MAX ? WORK_PERCENT_MAX : state->work_percent;
 
     return is_fresh && percent != 0 ? (double)percent / PERCENT : 1;
 }
 
-double cw_slot_server_cost(const cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t usual,
+double cw_slot_server_cost(const cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t mean_time,
                            cw_time_us_t now)
 {
-    double busy = (double)taken(state, now) / (server->capacity == 0 ? 1 : server->capacity);
+    double busy = (double)requests_at_server(state, now) / (server->capacity == 0 ? 1 : server->capacity);
 
-    return (double)cw_slot_server_held(state, server, usual) * work_factor(state, now) * (1 + busy_weight * busy) *
+    return (double)cw_slot_server_held(state, server, mean_time) * work_factor(state, now) * (1 + busy_weight * busy) *
            (cw_server_is_cold(server, now) ? cold_factor : 1);
 }
 
 void cw_slot_server_note_held(cw_slot_server_t *state, cw_time_us_t held)
 {
-    state->held = state->held == 0 ? held : state->held + (held - state->held) / HELD_WEIGHT_PART;
+    state->held = state->held == 0 ? held : state->held + (held - state->held) / HELD_WEIGHT_DIVISOR;
 }
 
 void cw_slot_server_note_load(cw_slot_server_t *state, const cw_server_load_t *load, cw_time_us_t now)
--- a/tests/test_fair_turns.c
+++ b/tests/test_fair_turns.c
@@ -13,7 +13,7 @@
 
 /* ---- the order ---- */
 
-static uint64_t wait_in(cw_fair_turns_t *turns, cw_turn_group_t group, uint32_t tenant)
+static uint64_t add_waiting(cw_fair_turns_t *turns, cw_turn_group_t group, uint32_t tenant)
 {
     uint64_t turn = cw_fair_turns_next(turns, group, tenant);
 
@@ -25,17 +25,17 @@
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 0);
-    uint64_t         first = wait_in(turns, group, 7);
-    uint64_t         second = wait_in(turns, group, 7);
-    uint64_t         third = wait_in(turns, group, 7);
-    uint64_t         others = wait_in(turns, group, 8);
+    uint64_t         first = add_waiting(turns, group, 7);
+    uint64_t         second = add_waiting(turns, group, 7);
+    uint64_t         third = add_waiting(turns, group, 7);
+    uint64_t         others = add_waiting(turns, group, 8);
 
     ck_assert_uint_lt(first, second);
     ck_assert_uint_lt(second, third);
     ck_assert_uint_lt(others, second);
     cw_fair_turns_serve(turns, group, 7, first);
     cw_fair_turns_serve(turns, group, 7, second);
-    ck_assert_uint_ge(wait_in(turns, group, 9), second); /* nobody gets turns that are over */
+    ck_assert_uint_ge(add_waiting(turns, group, 9), second); /* nobody gets turns that are over */
     cw_fair_turns_free(turns);
 }
 END_TEST
@@ -44,11 +44,11 @@
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 0);
-    uint64_t         first = wait_in(turns, group, 0);
+    uint64_t         first = add_waiting(turns, group, 0);
     int              index;
 
     for (index = 0; index < 10; index++) {
-        ck_assert_uint_eq(wait_in(turns, group, 0), first);
+        ck_assert_uint_eq(add_waiting(turns, group, 0), first);
         cw_fair_turns_serve(turns, group, 0, first);
     }
     cw_fair_turns_free(turns);
@@ -59,20 +59,20 @@
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 0);
-    uint64_t         first = wait_in(turns, group, 7);
-    uint64_t         second = wait_in(turns, group, 7);
+    uint64_t         first = add_waiting(turns, group, 7);
+    uint64_t         second = add_waiting(turns, group, 7);
     uint64_t         last = 0;
     int              index;
 
-    ck_assert_uint_eq(wait_in(turns, group, 0), first);
+    ck_assert_uint_eq(add_waiting(turns, group, 0), first);
     for (index = 0; index < 10; index++) {
-        last = wait_in(turns, group, 0);
+        last = add_waiting(turns, group, 0);
         ck_assert_uint_ge(last, second);
     }
     ck_assert_uint_ge(last, second + 9); /* a flood waits behind itself, */
-    ck_assert_uint_lt(wait_in(turns, group, 7), last);
+    ck_assert_uint_lt(add_waiting(turns, group, 7), last);
     cw_fair_turns_leave(turns, group, 0);
-    ck_assert_uint_eq(wait_in(turns, group, 0), last); /* and what leaves gives its turn to the next one */
+    ck_assert_uint_eq(add_waiting(turns, group, 0), last); /* and what leaves gives its turn to the next one */
     cw_fair_turns_free(turns);
 }
 END_TEST
@@ -84,13 +84,13 @@
     uint64_t         last = 0;
     int              index;
 
-    (void)wait_in(turns, group, 7);
+    (void)add_waiting(turns, group, 7);
     for (index = 0; index < 10; index++) {
-        last = wait_in(turns, group, 0);
+        last = add_waiting(turns, group, 0);
     }
     cw_fair_turns_leave(turns, group, 7);
     ck_assert_uint_gt(last, 0);
-    ck_assert_uint_eq(wait_in(turns, group, 0), last);
+    ck_assert_uint_eq(add_waiting(turns, group, 0), last);
     cw_fair_turns_free(turns);
 }
 END_TEST
@@ -119,14 +119,14 @@
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 0);
-    uint64_t         first = wait_in(turns, group, 7);
+    uint64_t         first = add_waiting(turns, group, 7);
     int              index;
 
     for (index = 0; index < 1000; index++) {
-        (void)wait_in(turns, group, 7);
+        (void)add_waiting(turns, group, 7);
         cw_fair_turns_leave(turns, group, 7);
     }
-    ck_assert_uint_eq(wait_in(turns, group, 7), first + 1);
+    ck_assert_uint_eq(add_waiting(turns, group, 7), first + 1);
     cw_fair_turns_free(turns);
 }
 END_TEST
@@ -137,14 +137,14 @@
     cw_turn_group_t  urgent = cw_fair_turns_group(1, 0);
     cw_turn_group_t  later = cw_fair_turns_group(1, 1);
 
-    (void)wait_in(turns, urgent, 7);
-    (void)wait_in(turns, urgent, 7);
-    ck_assert_uint_eq(wait_in(turns, later, 7), 0);
-    ck_assert_uint_eq(cw_fair_turns_kept(turns), 2);
+    (void)add_waiting(turns, urgent, 7);
+    (void)add_waiting(turns, urgent, 7);
+    ck_assert_uint_eq(add_waiting(turns, later, 7), 0);
+    ck_assert_uint_eq(cw_fair_turns_tenant_count(turns), 2);
     cw_fair_turns_serve(turns, urgent, 7, 0);
     cw_fair_turns_leave(turns, urgent, 7);
     cw_fair_turns_leave(turns, later, 7);
-    ck_assert_uint_eq(cw_fair_turns_kept(turns), 0);
+    ck_assert_uint_eq(cw_fair_turns_tenant_count(turns), 0);
     cw_fair_turns_free(turns);
 }
 END_TEST
@@ -155,15 +155,15 @@
     NODES = 81,
     TENANTS = 20,
     SERVERS = 20,
-    WORKERS = 2, /* of a server: it works on so many requests at once */
+    WORKERS_PER_SERVER = 2, /* of a server: it works on so many requests at once */
     WORK_MS = 100,
-    PLAY_MS = 20000,
+    LOAD_MS = 20000,
     RUNNING_MAX = 1024,
     TICK_MS = 5
 };
 
-static const double usual_per_s = 18; /* of each tenant; all together 0.9 of what the servers can do */
-static const double hot_times = 7.5;
+static const double normal_per_s = 18; /* of each tenant; all together 0.9 of what the servers can do */
+static const double hot_factor = 7.5;
 
 typedef struct running {
     cw_slot_return_t returned;
@@ -173,28 +173,28 @@
 typedef struct asked {
     uint32_t     tenant;
     cw_time_us_t at;
-} asked_t;
+} ask_record_t;
 
-typedef struct load_world {
+typedef struct load_fixture {
     cw_server_pool_t *pool;
     cw_slot_broker_t *broker;
     cw_time_us_t      now;
     uint64_t          random;
     uint32_t          servers[SERVERS];
-    cw_time_us_t      busy_until[SERVERS][WORKERS];
+    cw_time_us_t      busy_until[SERVERS][WORKERS_PER_SERVER];
     running_t         running[RUNNING_MAX];
     size_t            running_count;
-    asked_t          *asked; /* by ticket */
+    ask_record_t     *asked; /* by ticket */
     uint32_t          tickets;
-    uint32_t          came[TENANTS + 1]; /* tenants are numbered from 1 */
+    uint32_t          asked_count[TENANTS + 1]; /* tenants are numbered from 1 */
     uint32_t          served[TENANTS + 1];
     double            waited_ms[TENANTS + 1];
-} load_world_t;
+} load_fixture_t;
 
-static double draw(load_world_t *world)
+static double next_random(load_fixture_t *fixture)
 {
-    world->random = world->random * 6364136223846793005ULL + 1442695040888963407ULL;
-    return (double)(world->random >> 11) / (double)(1ULL << 53);
+    fixture->random = fixture->random * 6364136223846793005ULL + 1442695040888963407ULL;
+    return (double)(fixture->random >> 11) / (double)(1ULL << 53);
 }
 
 static void on_dropped(void *context, cw_server_t *server)
@@ -204,48 +204,48 @@
 }
 
 /* The server begins with it when one of its workers is free. */
-static void run(load_world_t *world, const cw_slot_reply_t *reply)
+static void process_request(load_fixture_t *fixture, const cw_slot_reply_t *reply)
 {
     cw_time_us_t *worker = NULL;
     size_t        server;
     size_t        index;
 
-    for (server = 0; world->servers[server] != reply->server; server++) {
+    for (server = 0; fixture->servers[server] != reply->server; server++) {
     }
-    for (index = 0; index < WORKERS; index++) {
-        if (worker == NULL || world->busy_until[server][index] < *worker) {
-            worker = &world->busy_until[server][index];
+    for (index = 0; index < WORKERS_PER_SERVER; index++) {
+        if (worker == NULL || fixture->busy_until[server][index] < *worker) {
+            worker = &fixture->busy_until[server][index];
         }
     }
-    *worker = (*worker > world->now ? *worker : world->now) + CW_MS(WORK_MS);
-    ck_assert_uint_lt(world->running_count, RUNNING_MAX);
-    world->running[world->running_count++] = (running_t){
+    *worker = (*worker > fixture->now ? *worker : fixture->now) + CW_MS(WORK_MS);
+    ck_assert_uint_lt(fixture->running_count, RUNNING_MAX);
+    fixture->running[fixture->running_count++] = (running_t){
         .returned = {.node = reply->node, .ticket = reply->ticket, .end = CW_SLOT_ANSWERED}, .ends_at = *worker};
 }
 
 static void on_replied(void *context, const cw_slot_reply_t *reply)
 {
-    load_world_t  *world = context;
-    const asked_t *asked = &world->asked[reply->ticket];
+    load_fixture_t     *fixture = context;
+    const ask_record_t *asked = &fixture->asked[reply->ticket];
 
     if (reply->outcome == CW_SLOT_GRANTED) {
-        world->served[asked->tenant]++;
-        world->waited_ms[asked->tenant] += (double)(world->now - asked->at) / 1000;
-        run(world, reply);
+        fixture->served[asked->tenant]++;
+        fixture->waited_ms[asked->tenant] += (double)(fixture->now - asked->at) / 1000;
+        process_request(fixture, reply);
     }
 }
 
-static void init(load_world_t *world)
+static void init(load_fixture_t *fixture)
 {
     cw_server_list_t *list = cw_server_list_create();
     size_t            index;
 
-    memset(world, 0, sizeof(*world));
-    world->now = CW_SECONDS(10);
-    world->random = 12345;
-    world->asked = calloc(100000, sizeof(*world->asked));
-    ck_assert_ptr_nonnull(world->asked);
-    world->pool = cw_server_pool_create("z1", on_dropped, NULL);
+    memset(fixture, 0, sizeof(*fixture));
+    fixture->now = CW_SECONDS(10);
+    fixture->random = 12345;
+    fixture->asked = calloc(100000, sizeof(*fixture->asked));
+    ck_assert_ptr_nonnull(fixture->asked);
+    fixture->pool = cw_server_pool_create("z1", on_dropped, NULL);
     for (index = 0; index < SERVERS; index++) {
         cw_server_entry_t *entry = cw_server_list_add(list);
         char               id[16];
@@ -255,117 +255,117 @@
         entry->service = strdup("docks");
         entry->address = strdup(id);
         entry->zone = strdup("z1");
-        entry->capacity = WORKERS;
+        entry->capacity = WORKERS_PER_SERVER;
     }
     cw_server_list_seal(list);
-    cw_server_pool_update(world->pool, list, world->now);
+    cw_server_pool_update(fixture->pool, list, fixture->now);
     cw_server_list_release(list);
     for (index = 0; index < SERVERS; index++) {
         char id[16];
 
         snprintf(id, sizeof(id), "s%zu", index);
-        world->servers[index] = cw_server_pool_find(world->pool, id)->hash;
+        fixture->servers[index] = cw_server_pool_find(fixture->pool, id)->hash;
     }
-    world->broker = cw_slot_broker_create(world->pool, "z1", on_replied, world);
+    fixture->broker = cw_slot_broker_create(fixture->pool, "z1", on_replied, fixture);
 }
 
-static void come(load_world_t *world, uint32_t tenant)
+static void send_ask(load_fixture_t *fixture, uint32_t tenant)
 {
-    cw_slot_ask_t ask = {.node = 1 + (uint32_t)(draw(world) * NODES),
-                         .ticket = ++world->tickets,
-                         .service = cw_server_pool_find(world->pool, "s0")->service_hash,
+    cw_slot_ask_t ask = {.node = 1 + (uint32_t)(next_random(fixture) * NODES),
+                         .ticket = ++fixture->tickets,
+                         .service = cw_server_pool_find(fixture->pool, "s0")->service_hash,
                          .tenant = tenant,
                          .objective = CW_MS(600),
                          .lease = CW_SECONDS(4),
                          .wait_most = CW_SECONDS(4)};
 
-    world->came[tenant]++;
-    world->asked[ask.ticket] = (asked_t){.tenant = tenant, .at = world->now};
-    cw_slot_broker_ask(world->broker, &ask, CW_MS(WORK_MS), world->now);
+    fixture->asked_count[tenant]++;
+    fixture->asked[ask.ticket] = (ask_record_t){.tenant = tenant, .at = fixture->now};
+    cw_slot_broker_ask(fixture->broker, &ask, CW_MS(WORK_MS), fixture->now);
 }
 
-static void give_back_done(load_world_t *world)
+static void return_finished(load_fixture_t *fixture)
 {
     size_t index = 0;
 
-    while (index < world->running_count) {
-        running_t done = world->running[index];
+    while (index < fixture->running_count) {
+        running_t done = fixture->running[index];
 
-        if (done.ends_at > world->now) {
+        if (done.ends_at > fixture->now) {
             index++;
             continue;
         }
-        world->running[index] = world->running[--world->running_count];
-        cw_slot_broker_return(world->broker, &done.returned, world->now);
+        fixture->running[index] = fixture->running[--fixture->running_count];
+        cw_slot_broker_return(fixture->broker, &done.returned, fixture->now);
     }
 }
 
 /* Tenant 1 sends so many times the usual. */
-static void play(load_world_t *world, double times)
+static void run_load(load_fixture_t *fixture, double times)
 {
     int ms;
 
-    for (ms = 0; ms < PLAY_MS; ms++) {
+    for (ms = 0; ms < LOAD_MS; ms++) {
         uint32_t tenant;
 
-        give_back_done(world);
+        return_finished(fixture);
         for (tenant = 1; tenant <= TENANTS; tenant++) {
-            if (draw(world) < usual_per_s * (tenant == 1 ? times : 1) / 1000) {
-                come(world, tenant);
+            if (next_random(fixture) < normal_per_s * (tenant == 1 ? times : 1) / 1000) {
+                send_ask(fixture, tenant);
             }
         }
         if (ms % TICK_MS == 0) {
-            cw_slot_broker_tick(world->broker, world->now);
+            cw_slot_broker_tick(fixture->broker, fixture->now);
         }
-        world->now += CW_MS(1);
+        fixture->now += CW_MS(1);
     }
 }
 
-static void clear(load_world_t *world)
+static void clear(load_fixture_t *fixture)
 {
-    cw_slot_broker_free(world->broker);
-    cw_server_pool_free(world->pool);
-    free(world->asked);
+    cw_slot_broker_free(fixture->broker);
+    cw_server_pool_free(fixture->pool);
+    free(fixture->asked);
 }
 
 /* Of all but the first tenant. */
-static double mean_wait_ms(const load_world_t *world)
+static double mean_wait_ms(const load_fixture_t *fixture)
 {
     double   waited = 0;
     uint32_t served = 0;
     uint32_t tenant;
 
     for (tenant = 2; tenant <= TENANTS; tenant++) {
-        waited += world->waited_ms[tenant];
-        served += world->served[tenant];
+        waited += fixture->waited_ms[tenant];
+        served += fixture->served[tenant];
     }
     return waited / served;
 }
 
-static double share_served(const load_world_t *world, uint32_t first, uint32_t last)
+static double share_served(const load_fixture_t *fixture, uint32_t first, uint32_t last)
 {
-    double   came = 0;
+    double   asked_count = 0;
     double   served = 0;
     uint32_t tenant;
 
     for (tenant = first; tenant <= last; tenant++) {
-        came += world->came[tenant];
-        served += world->served[tenant];
+        asked_count += fixture->asked_count[tenant];
+        served += fixture->served[tenant];
     }
-    return served / came;
+    return served / asked_count;
 }
 
 START_TEST(one_tenant_at_many_times_its_usual_does_not_take_the_others_slots)
 {
-    load_world_t before;
-    load_world_t hot;
-    double       least = 1;
-    uint32_t     tenant;
+    load_fixture_t before;
+    load_fixture_t hot;
+    double         least = 1;
+    uint32_t       tenant;
 
     init(&before);
-    play(&before, 1);
+    run_load(&before, 1);
     init(&hot);
-    play(&hot, hot_times);
+    run_load(&hot, hot_factor);
     for (tenant = 1; tenant <= TENANTS; tenant++) {
         double share = share_served(&hot, tenant, tenant);
 
--- a/tests/test_server_leave.c
+++ b/tests/test_server_leave.c
@@ -117,15 +117,15 @@
 
 START_TEST(leaves_of_servers_that_are_gone_are_forgotten_in_the_end)
 {
-    cw_leave_memory_t *memory = cw_leave_memory_create();
-
-    ck_assert(cw_leave_memory_add(memory, 1, start));
-    ck_assert(!cw_leave_memory_add(memory, 1, start));
-    cw_leave_memory_forget(memory, start + CW_SECONDS(CW_LEAVE_REMEMBERED_S));
-    ck_assert(cw_leave_memory_has(memory, 1));
-    cw_leave_memory_forget(memory, start + CW_SECONDS(CW_LEAVE_REMEMBERED_S) + 1);
-    ck_assert_uint_eq(cw_leave_memory_count(memory), 0);
-    cw_leave_memory_free(memory);
+    cw_leaving_servers_t *set = cw_leaving_servers_create();
+
+    ck_assert(cw_leaving_servers_add(set, 1, start));
+    ck_assert(!cw_leaving_servers_add(set, 1, start));
+    cw_leaving_servers_expire(set, start + CW_SECONDS(CW_LEAVING_EXPIRY_S));
+    ck_assert(cw_leaving_servers_has(set, 1));
+    cw_leaving_servers_expire(set, start + CW_SECONDS(CW_LEAVING_EXPIRY_S) + 1);
+    ck_assert_uint_eq(cw_leaving_servers_count(set), 0);
+    cw_leaving_servers_free(set);
 }
 END_TEST
 
--- a/tests/test_slot_limits.c
+++ b/tests/test_slot_limits.c
@@ -11,10 +11,10 @@
 enum { GRANTS_MAX = 1024, ASK_EVERY_MS = 20, WINDOW_S = 4, WORK_MS = 10 };
 
 static const cw_time_us_t start = CW_SECONDS(10);
-static const cw_time_us_t usual = CW_MS(WORK_MS);
+static const cw_time_us_t mean_time = CW_MS(WORK_MS);
 
 /** A node that counts, and one that asks for slots of server a all the time. */
-typedef struct limit_world {
+typedef struct limit_fixture {
     cw_server_pool_t *pool;
     cw_slot_broker_t *broker;
     cw_server_t      *server;
@@ -22,7 +22,7 @@
     cw_slot_reply_t   reply;
     cw_time_us_t      granted[GRANTS_MAX];
     size_t            count;
-} limit_world_t;
+} limit_fixture_t;
 
 static void on_dropped(void *context, cw_server_t *server)
 {
@@ -32,94 +32,94 @@
 
 static void on_replied(void *context, const cw_slot_reply_t *reply)
 {
-    ((limit_world_t *)context)->reply = *reply;
+    ((limit_fixture_t *)context)->reply = *reply;
 }
 
-static void init(limit_world_t *world, const char *zone)
+static void init(limit_fixture_t *fixture, const char *zone)
 {
     cw_server_list_t  *list = cw_server_list_create();
     cw_server_entry_t *entry = cw_server_list_add(list);
 
-    memset(world, 0, sizeof(*world));
-    world->pool = cw_server_pool_create("z1", on_dropped, NULL);
+    memset(fixture, 0, sizeof(*fixture));
+    fixture->pool = cw_server_pool_create("z1", on_dropped, NULL);
     entry->id = strdup("a");
     entry->service = strdup("docks");
     entry->address = strdup("a");
     entry->zone = strdup(zone);
     entry->capacity = 4;
     cw_server_list_seal(list);
-    cw_server_pool_update(world->pool, list, start);
+    cw_server_pool_update(fixture->pool, list, start);
     cw_server_list_release(list);
-    world->broker = cw_slot_broker_create(world->pool, "z1", on_replied, world);
-    world->server = cw_server_pool_find(world->pool, "a");
+    fixture->broker = cw_slot_broker_create(fixture->pool, "z1", on_replied, fixture);
+    fixture->server = cw_server_pool_find(fixture->pool, "a");
 }
 
-static void clear(limit_world_t *world)
+static void clear(limit_fixture_t *fixture)
 {
-    cw_slot_broker_free(world->broker);
-    cw_server_pool_free(world->pool);
+    cw_slot_broker_free(fixture->broker);
+    cw_server_pool_free(fixture->pool);
 }
 
 /* Another node counts from now on. */
-static void replace_broker(limit_world_t *world)
+static void replace_broker(limit_fixture_t *fixture)
 {
-    cw_slot_broker_free(world->broker);
-    world->broker = cw_slot_broker_create(world->pool, "z1", on_replied, world);
+    cw_slot_broker_free(fixture->broker);
+    fixture->broker = cw_slot_broker_create(fixture->pool, "z1", on_replied, fixture);
 }
 
-static void name_limit(limit_world_t *world, double per_s, cw_time_us_t now)
+static void name_limit(limit_fixture_t *fixture, double per_s, cw_time_us_t now)
 {
-    (void)cw_server_limit_note_named(&world->server->limit, per_s, now, now);
+    (void)cw_server_limit_note_named(&fixture->server->limit, per_s, now, now);
 }
 
-static cw_slot_outcome_t ask(limit_world_t *world, cw_time_us_t now)
+static cw_slot_outcome_t ask(limit_fixture_t *fixture, cw_time_us_t now)
 {
     cw_slot_ask_t asked = {.node = 1,
-                           .ticket = ++world->ticket,
-                           .service = world->server->service_hash,
-                           .server = world->server->hash,
+                           .ticket = ++fixture->ticket,
+                           .service = fixture->server->service_hash,
+                           .server = fixture->server->hash,
                            .objective = CW_MS(WORK_MS),
                            .lease = CW_SECONDS(1),
                            .wait_most = 0};
 
-    cw_slot_broker_ask(world->broker, &asked, usual, now);
-    return world->reply.outcome;
+    cw_slot_broker_ask(fixture->broker, &asked, mean_time, now);
+    return fixture->reply.outcome;
 }
 
 /* One ask; a slot that is granted is given back at once, with an answer that names the limit. */
-static void ask_once(limit_world_t *world, cw_time_us_t now)
+static void ask_once(limit_fixture_t *fixture, cw_time_us_t now)
 {
     cw_slot_return_t returned = {.node = 1, .end = CW_SLOT_ANSWERED};
 
-    cw_slot_broker_tick(world->broker, now);
-    if (ask(world, now) != CW_SLOT_GRANTED) {
+    cw_slot_broker_tick(fixture->broker, now);
+    if (ask(fixture, now) != CW_SLOT_GRANTED) {
         return;
     }
-    ck_assert_uint_lt(world->count, GRANTS_MAX);
-    world->granted[world->count++] = now;
-    returned.ticket = world->ticket;
-    cw_slot_broker_return(world->broker, &returned, now);
-    name_limit(world, world->server->limit.per_s, now);
+    ck_assert_uint_lt(fixture->count, GRANTS_MAX);
+    fixture->granted[fixture->count++] = now;
+    returned.ticket = fixture->ticket;
+    cw_slot_broker_return(fixture->broker, &returned, now);
+    name_limit(fixture, fixture->server->limit.per_s, now);
 }
 
-static cw_time_us_t ask_for(limit_world_t *world, cw_time_us_t from, cw_time_us_t time)
+static cw_time_us_t ask_for(limit_fixture_t *fixture, cw_time_us_t from, cw_time_us_t time)
 {
     cw_time_us_t now;
 
     for (now = from; now < from + time; now += CW_MS(ASK_EVERY_MS)) {
-        ask_once(world, now);
+        ask_once(fixture, now);
     }
     return now;
 }
 
-static size_t most_in_a_window(const limit_world_t *world)
+static size_t max_grants_in_window(const limit_fixture_t *fixture)
 {
     size_t most = 0;
     size_t first = 0;
     size_t index;
 
-    for (index = 0; index < world->count; index++) {
-        while (world->granted[first] + CW_SECONDS(WINDOW_S) <= world->granted[index]) {
+    for (index = 0; index < fixture->count; index++) {
+        while (fixture->granted[first] + CW_SECONDS(WINDOW_S) <= fixture->granted[index]) {
             first++;
         }
         most = index + 1 - first > most ? index + 1 - first : most;
@@ -129,10 +129,10 @@
 
 /* What the server's terms allow is half as much again, and five; that is left for requests that cross the first
  * answers. */
-static void check_bound(const limit_world_t *world, double per_s)
+static void check_bound(const limit_fixture_t *fixture, double per_s)
 {
-    ck_assert_msg((double)most_in_a_window(world) <= per_s * WINDOW_S + 1 + per_s / 5, "%zu in a window at %g a second",
-                  most_in_a_window(world), per_s);
+    ck_assert_msg((double)max_grants_in_window(fixture) <= per_s * WINDOW_S + 1 + per_s / 5,
+                  "%zu in a window at %g a second", max_grants_in_window(fixture), per_s);
 }
 
 START_TEST(a_limited_server_gets_what_its_limit_allows_and_not_more)
@@ -141,109 +141,109 @@
     size_t              index;
 
     for (index = 0; index < sizeof(limits) / sizeof(limits[0]); index++) {
-        limit_world_t world;
+        limit_fixture_t fixture;
 
-        init(&world, "z1");
-        name_limit(&world, limits[index], start);
-        (void)ask_for(&world, start, CW_SECONDS(20));
-        check_bound(&world, limits[index]);
-        ck_assert_msg((double)world.count >= limits[index] * 20 * 0.9 - 1, "%zu of %g a second", world.count,
+        init(&fixture, "z1");
+        name_limit(&fixture, limits[index], start);
+        (void)ask_for(&fixture, start, CW_SECONDS(20));
+        check_bound(&fixture, limits[index]);
+        ck_assert_msg((double)fixture.count >= limits[index] * 20 * 0.9 - 1, "%zu of %g a second", fixture.count,
                       limits[index]);
-        clear(&world);
+        clear(&fixture);
     }
 }
 END_TEST
 
 START_TEST(a_server_that_wants_nothing_gets_a_request_now_and_then)
 {
-    limit_world_t world;
-
-    init(&world, "z1");
-    name_limit(&world, 0, start);
-    (void)ask_for(&world, start, CW_SECONDS(30));
-    ck_assert_uint_ge(world.count, 4); /* else nobody would learn that it wants some again */
-    ck_assert_uint_le(world.count, 6);
-    clear(&world);
+    limit_fixture_t fixture;
+
+    init(&fixture, "z1");
+    name_limit(&fixture, 0, start);
+    (void)ask_for(&fixture, start, CW_SECONDS(30));
+    ck_assert_uint_ge(fixture.count, 4); /* else nobody would learn that it wants some again */
+    ck_assert_uint_le(fixture.count, 6);
+    clear(&fixture);
 }
 END_TEST
 
 START_TEST(a_limit_holds_while_one_node_after_another_counts)
 {
-    limit_world_t world;
-    cw_time_us_t  now = start;
-    int           round;
+    limit_fixture_t fixture;
+    cw_time_us_t    now = start;
+    int             round;
 
-    init(&world, "z1");
-    name_limit(&world, 6, start);
+    init(&fixture, "z1");
+    name_limit(&fixture, 6, start);
     for (round = 0; round < 20; round++) {
-        now = ask_for(&world, now, CW_MS(700));
-        replace_broker(&world);
+        now = ask_for(&fixture, now, CW_MS(700));
+        replace_broker(&fixture);
     }
-    check_bound(&world, 6);
-    clear(&world);
+    check_bound(&fixture, 6);
+    clear(&fixture);
 }
 END_TEST
 
 START_TEST(a_node_that_reaches_half_of_the_others_gives_out_half_of_a_limit)
 {
-    limit_world_t world;
-
-    init(&world, "z1");
-    cw_slot_broker_set_share(world.broker, 0.5);
-    name_limit(&world, 8, start);
-    (void)ask_for(&world, start, CW_SECONDS(20));
-    check_bound(&world, 4);
-    ck_assert_uint_ge(world.count, 70);
-    clear(&world);
+    limit_fixture_t fixture;
+
+    init(&fixture, "z1");
+    cw_slot_broker_set_share(fixture.broker, 0.5);
+    name_limit(&fixture, 8, start);
+    (void)ask_for(&fixture, start, CW_SECONDS(20));
+    check_bound(&fixture, 4);
+    ck_assert_uint_ge(fixture.count, 70);
+    clear(&fixture);
 }
 END_TEST
 
 START_TEST(a_limit_that_is_lowered_or_raised_binds_from_then_on)
 {
-    limit_world_t world;
-    cw_time_us_t  now;
-
-    init(&world, "z1");
-    name_limit(&world, 20, start);
-    now = ask_for(&world, start, CW_SECONDS(5));
-    name_limit(&world, 2, now);
-    world.count = 0;
-    now = ask_for(&world, now, CW_SECONDS(10));
-    check_bound(&world, 2);
-    name_limit(&world, 20, now);
-    world.count = 0;
-    (void)ask_for(&world, now, CW_SECONDS(5));
-    ck_assert_uint_ge(world.count, 90);
-    clear(&world);
+    limit_fixture_t fixture;
+    cw_time_us_t    now;
+
+    init(&fixture, "z1");
+    name_limit(&fixture, 20, start);
+    now = ask_for(&fixture, start, CW_SECONDS(5));
+    name_limit(&fixture, 2, now);
+    fixture.count = 0;
+    now = ask_for(&fixture, now, CW_SECONDS(10));
+    check_bound(&fixture, 2);
+    name_limit(&fixture, 20, now);
+    fixture.count = 0;
+    (void)ask_for(&fixture, now, CW_SECONDS(5));
+    ck_assert_uint_ge(fixture.count, 90);
+    clear(&fixture);
 }
 END_TEST
 
 START_TEST(what_is_beyond_the_limit_is_told_when_there_is_room)
 {
-    limit_world_t world;
-
-    init(&world, "z1");
-    name_limit(&world, 2, start);
-    ck_assert_int_eq(ask(&world, start), CW_SLOT_REFUSED);
-    ck_assert_int_eq(world.reply.free_after, CW_MS(500));
-    ck_assert_int_eq(ask(&world, start + CW_MS(400)), CW_SLOT_REFUSED);
-    ck_assert_int_eq(world.reply.free_after, CW_MS(100));
-    ck_assert_int_eq(ask(&world, start + CW_MS(500)), CW_SLOT_GRANTED);
-    clear(&world);
+    limit_fixture_t fixture;
+
+    init(&fixture, "z1");
+    name_limit(&fixture, 2, start);
+    ck_assert_int_eq(ask(&fixture, start), CW_SLOT_REFUSED);
+    ck_assert_int_eq(fixture.reply.free_after, CW_MS(500));
+    ck_assert_int_eq(ask(&fixture, start + CW_MS(400)), CW_SLOT_REFUSED);
+    ck_assert_int_eq(fixture.reply.free_after, CW_MS(100));
+    ck_assert_int_eq(ask(&fixture, start + CW_MS(500)), CW_SLOT_GRANTED);
+    clear(&fixture);
 }
 END_TEST
 
 START_TEST(a_limited_server_of_a_zone_without_nodes_is_counted_elsewhere)
 {
-    limit_world_t world;
-
-    init(&world, "z2");
-    ck_assert_int_eq(ask(&world, start), CW_SLOT_REFUSED);
-    name_limit(&world, 6, start);
-    (void)ask_for(&world, start, CW_SECONDS(10));
-    check_bound(&world, 6);
-    ck_assert_uint_ge(world.count, 50);
-    clear(&world);
+    limit_fixture_t fixture;
+
+    init(&fixture, "z2");
+    ck_assert_int_eq(ask(&fixture, start), CW_SLOT_REFUSED);
+    name_limit(&fixture, 6, start);
+    (void)ask_for(&fixture, start, CW_SECONDS(10));
+    check_bound(&fixture, 6);
+    ck_assert_uint_ge(fixture.count, 50);
+    clear(&fixture);
 }
 END_TEST
 
