--- a/tests/process/server_leaving.sh
+++ b/tests/process/server_leaving.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Servers that say in their answers that they leave, while their entries go on saying that they are ready, get requests later
-# than two seconds after a node has passed on such an answer; with the store up, and while it does not answer.
+# Guards against requests to leaving servers: servers announce in their answers that they leave, while their list entries
+# still say that they are ready. Two seconds after a node has passed on such an answer they must get no more requests,
+# with the store up and while it does not answer.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 4
 for i in 1 2 3; do
@@ -11,12 +12,12 @@
 cluster_wait_ready
 cluster_wait_served
 leave() { kill -USR1 "${SERVER_PIDS[m$1]}" "${SERVER_PIDS[h$1]}"; } # NUMBER
-now_ns() { awk '{printf "%d000000", $1 * 1000}' /proc/uptime; } # of records' clock
+now_ns() { awk '{printf "%d000000", $1 * 1000}' /proc/uptime; } # on the clock of the records
 served_after() { # METHOD NS
     jq -rs --arg m "$1" --argjson t "$2" '[.[]|select(.event=="end" and .method==$m and .ns>=$t)]|[(map(select(.status==200))|length)*100/length]|.[0]|floor' "$WORK/callers-day.json"
 }
-# Requests at a server later than a second after the first answer that says so.
-arrivals_once_told() {
+# Number of requests that arrive at a server more than a second after its first answer that announces that it leaves.
+arrivals_after_notice() { # NAME
     jq -rs '[.[]|select(.event=="arrive").ns]|sort|if length == 0 then 0 else .[0] as $told|map(select(. >= $told + 1000000000))|length end' "$WORK/server-$1.json"
 }
 slow_refusals() { jq -rs '[.[]|select(.event=="end" and .status==503 and (.id|test("-0$")) and .ms>400)]|length' "$WORK/callers-day.json"; }
@@ -31,10 +32,10 @@
 second=$(now_ns)
 leave 2
 wait "$callers"
-check "none gets a request that was sent two seconds after its leave was passed on" cluster_check
-check "all nodes know the first leave from a few answers" at_most "$(arrivals_once_told h1)" 0
-check "and the second, without the store" at_most "$(arrivals_once_told h2)" 0
-check "requests that any server will do for are served" at_least "$(served_after POST "$first")" 97
-check "keys move while the store answers, and once it is back" at_least "$(served_after GET $((second + 9000000000)))" 95
-check "what has no owner meanwhile is refused soon" at_most "$(slow_refusals)" 36
+check "no server gets a request sent two seconds after its leaving was passed on" cluster_check
+check "all nodes know from a few answers that the first server leaves" at_most "$(arrivals_after_notice h1)" 0
+check "and that the second leaves, without the store" at_most "$(arrivals_after_notice h2)" 0
+check "requests without a key are served" at_least "$(served_after POST "$first")" 97
+check "keys move while the store answers and after it is back" at_least "$(served_after GET $((second + 9000000000)))" 95
+check "requests for keys without an owner are refused soon" at_most "$(slow_refusals)" 36
 finish_test
--- a/tests/process/server_limit.sh
+++ b/tests/process/server_limit.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Servers that name a rate limit in their answers go on getting what they got before, from all nodes together: from three
-# seconds later they must get no more than it allows, and still what it allows where that is asked for.
+# Guards against servers that name a rate limit in their answers and get more requests than that from all nodes together.
+# From three seconds after naming it they must get no more than it allows, and as much as it allows if there are enough
+# requests.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-LIMITED_S=10 # seconds with limits, after three in which they come to be known
+LIMITED_S=10 # seconds with limits, after three seconds in which the nodes learn of them
 cluster_start "${LIMIT_NODES:-4}"
 for i in 1 2 3; do
     cluster_server "m$i" --service maps --zone "z$i" --keyed --work-ms 15 --signals "$([ "$i" = 1 ] && echo limit=6 || echo none),none"
@@ -13,12 +14,12 @@
 cluster_wait_served
 next_limits() { kill -USR1 "${SERVER_PIDS[m1]}" "${SERVER_PIDS[h1]}" "${SERVER_PIDS[h2]}" "${SERVER_PIDS[h3]}"; }
 named_ns() { jq -s '[.[]|select(.event=="limit").ns]|min' "$WORK/server-h1.json"; }
-# Ends of attempts from so many seconds after the limits were named, for so long, by METHOD and status.
+# Number of attempts with this method and status that ended within FOR_S seconds, from AFTER_S seconds after the limits were named.
 ends() { # NAME METHOD STATUS AFTER_S FOR_S
     jq -rs --arg m "$2" --argjson s "$3" --argjson t "$(named_ns)" --argjson a "$4" --argjson l "$5" \
         '[.[]|select(.event=="end" and .method==$m and .status==$s and .ns>=$t+$a*1e9 and .ns<$t+($a+$l)*1e9)]|length' "$WORK/callers-$1.json"
 }
-slow_refusals() { # of first attempts: those that came back count their wait
+slow_refusals() { # NAME; only of first attempts, since the times of later ones include the wait before them
     jq -rs '[.[]|select(.event=="end" and .status==503 and (.id|test("-0$")) and .ms>250)]|length' "$WORK/callers-$1.json"
 }
 
@@ -27,15 +28,15 @@
 sleep 1
 next_limits
 wait "$callers"
-check "no server gets more than its limit allows" cluster_check
-check "three servers of 5 a second serve what that allows" at_least "$(ends limited POST 200 3 "$LIMITED_S")" $((LIMITED_S * 15 * 7 / 10))
-check "what they do not is refused soon" at_most "$(slow_refusals limited)" $((120 * LIMITED_S / 50))
-check "keys of the limited owner are served in the end" at_least "$(ends limited GET 200 $((LIMITED_S - 1)) 4)" $((60 * 4 * 9 / 10))
+check "no server gets more requests than its limit allows" cluster_check
+check "three servers with a limit of 5 a second serve as many requests as that allows" at_least "$(ends limited POST 200 3 "$LIMITED_S")" $((LIMITED_S * 15 * 7 / 10))
+check "requests beyond the limits are refused soon" at_most "$(slow_refusals limited)" $((120 * LIMITED_S / 50))
+check "requests for keys of the limited owner are served in the end" at_least "$(ends limited GET 200 $((LIMITED_S - 1)) 4)" $((60 * 4 * 9 / 10))
 
-next_limits # none
+next_limits # the servers name no limit
 sleep 2
-cluster_callers after --rate 60 --count 300 # three unnamed answers each, and a second
+cluster_callers after --rate 60 --count 300 # a limit ends after three answers without it and a second
 sleep 1
 cluster_callers later --rate 120 --count 480
-check "all are served once no limit is named" at_least "$(sum_of later s200)" 460
+check "all requests are served after limits are no longer named" at_least "$(sum_of later s200)" 460
 finish_test
--- a/tests/process/server_limit_many.sh
+++ b/tests/process/server_limit_many.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# As server_limit.sh, where so many nodes run that slots of all servers are handed out: the node that hands them out must
-# keep the limits that others are told.
+# As server_limit.sh, with so many nodes that slots of all servers are handed out by a broker: it must keep the limits
+# that servers name to other nodes.
 LIMIT_NODES=16
 . "$(dirname "$0")/server_limit.sh"
--- a/tests/process/server_limit_restart_all.sh
+++ b/tests/process/server_limit_restart_all.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Guards against servers' rate limits that are broken once all nodes have lost power and started anew at once: from four
-# seconds after that, when machines are held to their bounds again, servers get no more than they name.
+# Guards against exceeding servers' rate limits after all nodes have lost power and restarted at the same time: from four
+# seconds after that, when the bounds apply again, servers must get no more than the limits that they name.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-COUNT=16 # slots of all servers are handed out
+COUNT=16 # so many that a broker hands out the slots of all servers
 BOUND_AGAIN_S=4
-monotonic_ms() { awk '{printf "%d", $1 * 1000}' /proc/uptime; } # the clock of servers' records
-note_nodes() { # trouble, calm
+monotonic_ms() { awk '{printf "%d", $1 * 1000}' /proc/uptime; } # on the clock of the servers' records
+note_nodes() { # EVENT: trouble or calm; records it for all nodes
     local n
     for n in $(seq 1 "$COUNT"); do
         echo "{\"ns\":$(monotonic_ms)000000,\"event\":\"$1\",\"node\":\"$NET.$n:8080\"}" >>"$WORK/troubles.json"
@@ -22,7 +22,7 @@
 (KINDS=(--kind "maps.example,/hire/,POST,2000,0"); cluster_callers limited --rate 100 --count 2000) &
 callers=$!
 sleep 1
-kill -USR1 "${SERVER_PIDS[h1]}" "${SERVER_PIDS[h2]}" "${SERVER_PIDS[h3]}" # they name 5 a second
+kill -USR1 "${SERVER_PIDS[h1]}" "${SERVER_PIDS[h2]}" "${SERVER_PIDS[h3]}" # they now name a limit of 5 a second
 sleep 5
 note_nodes trouble
 for n in $(seq 1 "$COUNT"); do kill -KILL "${NODE_PIDS[$n]}"; done
@@ -35,6 +35,6 @@
 served_after() {
     jq -rs --argjson t "$calm_ns" '[.[]|select(.event=="end" and .status==200 and .ns>=$t)]|length' "$WORK/callers-limited.json"
 }
-check "no server gets more than its limit allows" cluster_check
-check "their limits are used again" at_least "$(served_after)" $((8 * 15 / 2))
+check "no server gets more requests than its limit allows" cluster_check
+check "the limits are used again" at_least "$(served_after)" $((8 * 15 / 2))
 finish_test
--- a/tests/process/server_rest_many.sh
+++ b/tests/process/server_rest_many.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# As server_rest.sh, where so many nodes run that slots are handed out: the node that hands them out does not know whom a
-# server has turned away, and what is granted there must be declined.
+# As server_rest.sh, with so many nodes that slots are handed out by a broker: it does not know which nodes a server has
+# asked for a rest, so these nodes must decline slots granted at that server.
 REST_NODES=16
 . "$(dirname "$0")/server_rest.sh"
--- a/tests/test_crossing.c
+++ b/tests/test_crossing.c
@@ -1,6 +1,6 @@
 /**
  * @file test_crossing.c
- * @brief When a request leaves its region: what crossing costs, in which order zones are asked, which server is taken.
+ * @brief Requests that may leave their region: crossing cost, order in which zones are asked for a slot, server choice.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,9 +14,9 @@
 static const cw_crossing_settings_t crossing = {.ms_per_mb = 30000, .way = CW_MS(16)};
 static const cw_zone_region_t       regions[] = {{"z1", "r1"}, {"z2", "r1"}, {"z3", "r2"}, {"z4", "r3"}};
 
-/* ---- what it costs ---- */
+/* ---- crossing cost ---- */
 
-START_TEST(a_large_body_is_worth_a_long_wait_and_a_short_request_next_to_none)
+START_TEST(crossing_cost_grows_with_the_size_of_the_body)
 {
     ck_assert_int_eq(cw_crossing_cost(&crossing, 60000), CW_MS(1816));
     ck_assert_int_eq(cw_crossing_cost(&crossing, 1000), CW_MS(46));
@@ -24,7 +24,7 @@
 }
 END_TEST
 
-START_TEST(it_waits_here_while_that_costs_less_and_meets_its_objective)
+START_TEST(request_waits_in_its_region_if_cheaper_and_within_its_objective)
 {
     cw_crossing_input_t input = {
         .cost = CW_MS(1800), .wait = CW_MS(900), .usual = CW_MS(200), .objective_left = CW_MS(1500)};
@@ -33,7 +33,7 @@
     input.cost = CW_MS(46); /* a short request */
     ck_assert(!cw_crossing_waits_here(&input));
     input.cost = CW_MS(1800);
-    input.objective_left = CW_MS(1000); /* the other region may still meet it */
+    input.objective_left = CW_MS(1000); /* another region may still meet it */
     ck_assert(!cw_crossing_waits_here(&input));
     input.objective_left = CW_MS(9000);
     input.wait = CW_CROSSING_NO_SLOT;
@@ -60,7 +60,7 @@
     ck_assert_str_eq(text, expected);
 }
 
-START_TEST(zones_of_one_region_are_asked_for_what_is_free_and_the_own_one_at_last)
+START_TEST(zones_of_one_region_are_asked_for_free_slots_and_the_own_one_again_at_last)
 {
     cw_slot_zone_t zones[] = {{"z1", CW_DISTANCE_ZONE}, {"z2", CW_DISTANCE_REGION}, {"z5", CW_DISTANCE_REGION}};
 
@@ -70,18 +70,19 @@
 }
 END_TEST
 
-START_TEST(other_regions_are_asked_after_a_wait_that_crossing_is_worth)
+START_TEST(other_regions_are_asked_after_waiting_for_the_crossing_cost)
 {
     cw_slot_zone_t zones[] = {
         {"z1", CW_DISTANCE_ZONE}, {"z3", CW_DISTANCE_REMOTE}, {"z2", CW_DISTANCE_REGION}, {"z4", CW_DISTANCE_REMOTE}};
 
     check_stages(zones, 4, CW_MS(500), "z1 30, z2 0, z1 500, z2 500, z3 0, z4 0, z1 1000");
-    check_stages(zones, 4, CW_MS(20), "z1 30, z2 0, z3 0, z4 0, z1 1000"); /* it has waited as long already */
+    check_stages(zones, 4, CW_MS(20),
+                 "z1 30, z2 0, z3 0, z4 0, z1 1000"); /* the first stage waits longer than crossing costs already */
     check_stages(zones, 4, CW_MS(9000), "z1 30, z2 0, z1 1000, z2 1000, z3 0, z4 0, z1 1000");
 }
 END_TEST
 
-START_TEST(of_more_zones_than_can_be_asked_the_nearest_are_kept)
+START_TEST(nearest_zones_are_kept_if_there_are_too_many)
 {
     cw_slot_zone_t zones[CW_SLOT_ZONES_MAX];
     cw_slot_zone_t far = {"far", CW_DISTANCE_REMOTE};
@@ -104,7 +105,7 @@
 }
 END_TEST
 
-START_TEST(a_region_without_servers_is_left_at_once)
+START_TEST(own_region_without_servers_is_skipped)
 {
     cw_slot_zone_t zones[] = {{"z3", CW_DISTANCE_REMOTE}, {"z4", CW_DISTANCE_REMOTE}};
 
@@ -112,7 +113,7 @@
 }
 END_TEST
 
-START_TEST(as_many_zones_as_there_may_be_have_room)
+START_TEST(stages_of_the_greatest_number_of_zones_fit)
 {
     cw_slot_zone_t  zones[CW_SLOT_ZONES_MAX];
     cw_slot_waits_t waits = {.near = 1, .crossing = 2, .longest = 3};
@@ -129,7 +130,7 @@
 }
 END_TEST
 
-/* ---- the server that is taken ---- */
+/* ---- server choice ---- */
 
 static void on_dropped(void *context, cw_server_t *server)
 {
@@ -179,13 +180,13 @@
     return server == NULL ? "none" : server->id;
 }
 
-START_TEST(another_zone_of_the_region_comes_before_other_regions)
+START_TEST(another_zone_of_the_region_is_preferred_to_other_regions)
 {
     cw_server_pool_t *pool = new_pool();
     bool              full;
 
     fill(pool, "a");
-    cw_server_pool_begin(cw_server_pool_find(pool, "b"), start); /* busier than those of other regions */
+    cw_server_pool_begin(cw_server_pool_find(pool, "b"), start); /* busier than the servers of other regions */
     ck_assert_str_eq(chosen(pool, 0.3, false, &full), "b");
     ck_assert_str_eq(chosen(pool, 0, false, &full), "c");
     fill(pool, "b");
@@ -196,7 +197,7 @@
 }
 END_TEST
 
-START_TEST(speed_of_the_region_is_that_of_its_servers_that_answer)
+START_TEST(speed_of_the_region_counts_only_servers_that_answer)
 {
     cw_server_pool_t *pool = new_pool();
     cw_name_set_t     none = {0};
@@ -219,15 +220,15 @@
     Suite *suite = suite_create("crossing");
     TCase *cases = tcase_create("regions and requests without a key");
 
-    tcase_add_test(cases, a_large_body_is_worth_a_long_wait_and_a_short_request_next_to_none);
-    tcase_add_test(cases, it_waits_here_while_that_costs_less_and_meets_its_objective);
-    tcase_add_test(cases, zones_of_one_region_are_asked_for_what_is_free_and_the_own_one_at_last);
-    tcase_add_test(cases, other_regions_are_asked_after_a_wait_that_crossing_is_worth);
-    tcase_add_test(cases, a_region_without_servers_is_left_at_once);
-    tcase_add_test(cases, of_more_zones_than_can_be_asked_the_nearest_are_kept);
-    tcase_add_test(cases, as_many_zones_as_there_may_be_have_room);
-    tcase_add_test(cases, another_zone_of_the_region_comes_before_other_regions);
-    tcase_add_test(cases, speed_of_the_region_is_that_of_its_servers_that_answer);
+    tcase_add_test(cases, crossing_cost_grows_with_the_size_of_the_body);
+    tcase_add_test(cases, request_waits_in_its_region_if_cheaper_and_within_its_objective);
+    tcase_add_test(cases, zones_of_one_region_are_asked_for_free_slots_and_the_own_one_again_at_last);
+    tcase_add_test(cases, other_regions_are_asked_after_waiting_for_the_crossing_cost);
+    tcase_add_test(cases, own_region_without_servers_is_skipped);
+    tcase_add_test(cases, nearest_zones_are_kept_if_there_are_too_many);
+    tcase_add_test(cases, stages_of_the_greatest_number_of_zones_fit);
+    tcase_add_test(cases, another_zone_of_the_region_is_preferred_to_other_regions);
+    tcase_add_test(cases, speed_of_the_region_counts_only_servers_that_answer);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_fair_turns.c
+++ b/tests/test_fair_turns.c
@@ -1,7 +1,7 @@
 /**
  * @file test_fair_turns.c
- * @brief Tenants take turns: in the order itself, and at a slot broker that many nodes ask while one tenant sends many
- * times its usual.
+ * @brief Fair queueing between tenants: the order of turns, and a slot broker under load from many nodes while one
+ * tenant sends many times its normal rate.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 #include "balance/slot_broker.h"
 #include "loop_fixture.h"
 
-/* ---- the order ---- */
+/* ---- order of turns ---- */
 
 static uint64_t add_waiting(cw_fair_turns_t *turns, cw_turn_group_t group, uint32_t tenant)
 {
@@ -21,7 +21,7 @@
     return turn;
 }
 
-START_TEST(a_tenant_of_many_requests_waits_behind_itself)
+START_TEST(tenant_with_many_requests_delays_only_its_own)
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 0);
@@ -35,12 +35,12 @@
     ck_assert_uint_lt(others, second);
     cw_fair_turns_serve(turns, group, 7, first);
     cw_fair_turns_serve(turns, group, 7, second);
-    ck_assert_uint_ge(add_waiting(turns, group, 9), second); /* nobody gets turns that are over */
+    ck_assert_uint_ge(add_waiting(turns, group, 9), second); /* no request gets a turn before the current one */
     cw_fair_turns_free(turns);
 }
 END_TEST
 
-START_TEST(without_tenants_all_have_the_same_turn)
+START_TEST(requests_without_tenants_all_have_the_same_turn)
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 0);
@@ -69,15 +69,15 @@
         last = add_waiting(turns, group, 0);
         ck_assert_uint_ge(last, second);
     }
-    ck_assert_uint_ge(last, second + 9); /* a flood waits behind itself, */
+    ck_assert_uint_ge(last, second + 9); /* many requests without a tenant delay only one another */
     ck_assert_uint_lt(add_waiting(turns, group, 7), last);
     cw_fair_turns_leave(turns, group, 0);
-    ck_assert_uint_eq(add_waiting(turns, group, 0), last); /* and what leaves gives its turn to the next one */
+    ck_assert_uint_eq(add_waiting(turns, group, 0), last); /* a request that leaves gives its turn to the next one */
     cw_fair_turns_free(turns);
 }
 END_TEST
 
-START_TEST(when_the_last_tenant_has_left_no_request_passes_those_before_it)
+START_TEST(no_request_overtakes_earlier_ones_after_the_last_tenant_has_left)
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 0);
@@ -95,7 +95,7 @@
 }
 END_TEST
 
-START_TEST(what_leaves_among_requests_of_the_same_turn_lets_no_later_one_pass_the_others)
+START_TEST(leaving_among_requests_of_one_turn_lets_no_later_one_overtake)
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 1);
@@ -103,7 +103,7 @@
     int              index;
 
     cw_fair_turns_wait(turns, group, 7, cw_fair_turns_next(turns, group, 7));
-    for (index = 0; index < 3; index++) { /* turns 0, 1, 2, beside a tenant's */
+    for (index = 0; index < 3; index++) { /* they get turns 0, 1 and 2, since a tenant's request waits */
         cw_fair_turns_wait(turns, group, 0, cw_fair_turns_next(turns, group, 0));
     }
     cw_fair_turns_serve(turns, group, 7, 0);
@@ -115,7 +115,7 @@
 }
 END_TEST
 
-START_TEST(what_leaves_unserved_costs_its_tenant_no_turn)
+START_TEST(request_that_leaves_unserved_costs_its_tenant_no_turn)
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  group = cw_fair_turns_group(1, 0);
@@ -131,7 +131,7 @@
 }
 END_TEST
 
-START_TEST(groups_do_not_touch_each_other_and_only_what_waits_is_kept)
+START_TEST(groups_are_independent_and_state_exists_only_for_waiting_requests)
 {
     cw_fair_turns_t *turns = cw_fair_turns_create();
     cw_turn_group_t  urgent = cw_fair_turns_group(1, 0);
@@ -155,15 +155,15 @@
     NODES = 81,
     TENANTS = 20,
     SERVERS = 20,
-    WORKERS_PER_SERVER = 2, /* of a server: it works on so many requests at once */
+    WORKERS_PER_SERVER = 2, /* requests that a server processes at once */
     WORK_MS = 100,
     LOAD_MS = 20000,
     RUNNING_MAX = 1024,
     TICK_MS = 5
 };
 
-static const double normal_per_s = 18; /* of each tenant; all together 0.9 of what the servers can do */
-static const double hot_factor = 7.5;
+static const double normal_per_s = 18; /* rate of each tenant; all together 0.9 of the servers' capacity */
+static const double hot_factor = 7.5;  /* of the normal rate, for the hot tenant */
 
 typedef struct running {
     cw_slot_return_t returned;
@@ -184,9 +184,9 @@
     cw_time_us_t      busy_until[SERVERS][WORKERS_PER_SERVER];
     running_t         running[RUNNING_MAX];
     size_t            running_count;
-    ask_record_t     *asked; /* by ticket */
+    ask_record_t     *asked; /* indexed by ticket */
     uint32_t          tickets;
-    uint32_t          asked_count[TENANTS + 1]; /* tenants are numbered from 1 */
+    uint32_t          asked_count[TENANTS + 1]; /* indexed by tenant, from 1 */
     uint32_t          served[TENANTS + 1];
     double            waited_ms[TENANTS + 1];
 } load_fixture_t;
@@ -203,7 +203,7 @@
     (void)server;
 }
 
-/* The server begins with it when one of its workers is free. */
+/* Lets the granted server process a request as soon as one of its workers is free. */
 static void process_request(load_fixture_t *fixture, const cw_slot_reply_t *reply)
 {
     cw_time_us_t *worker = NULL;
@@ -300,7 +300,7 @@
     }
 }
 
-/* Tenant 1 sends so many times the usual. */
+/* Runs the load for LOAD_MS; tenant 1 sends at `times` the normal rate. */
 static void run_load(load_fixture_t *fixture, double times)
 {
     int ms;
@@ -328,7 +328,7 @@
     free(fixture->asked);
 }
 
-/* Of all but the first tenant. */
+/* Mean wait for a slot, over the requests of all tenants but the first. */
 static double mean_wait_ms(const load_fixture_t *fixture)
 {
     double   waited = 0;
@@ -342,6 +342,7 @@
     return waited / served;
 }
 
+/* Share of requests that were granted a slot, of tenants `first` to `last`. */
 static double share_served(const load_fixture_t *fixture, uint32_t first, uint32_t last)
 {
     double   asked_count = 0;
@@ -355,7 +356,7 @@
     return served / asked_count;
 }
 
-START_TEST(one_tenant_at_many_times_its_usual_does_not_take_the_others_slots)
+START_TEST(tenant_at_many_times_its_normal_rate_does_not_take_the_others_slots)
 {
     load_fixture_t before;
     load_fixture_t hot;
@@ -378,7 +379,8 @@
     fflush(stdout);
     ck_assert_double_ge(least, share_served(&hot, 1, TENANTS) / 4);
     ck_assert_double_ge(share_served(&hot, 2, TENANTS), share_served(&before, 2, TENANTS) - 0.01);
-    /* Each waits for a slot at most: servers have twice as many as workers, and one is given back each 2.5 ms. */
+    /* Each waits for one slot at most: servers have twice as many slots as workers, and one is returned every 2.5 ms.
+     */
     ck_assert_double_le(mean_wait_ms(&hot), mean_wait_ms(&before) + WORK_MS / 2.0);
     clear(&before);
     clear(&hot);
@@ -391,14 +393,14 @@
     TCase *cases = tcase_create("turns");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, a_tenant_of_many_requests_waits_behind_itself);
-    tcase_add_test(cases, without_tenants_all_have_the_same_turn);
+    tcase_add_test(cases, tenant_with_many_requests_delays_only_its_own);
+    tcase_add_test(cases, requests_without_tenants_all_have_the_same_turn);
     tcase_add_test(cases, requests_without_a_tenant_take_turns_with_tenants_that_wait);
-    tcase_add_test(cases, when_the_last_tenant_has_left_no_request_passes_those_before_it);
-    tcase_add_test(cases, what_leaves_among_requests_of_the_same_turn_lets_no_later_one_pass_the_others);
-    tcase_add_test(cases, what_leaves_unserved_costs_its_tenant_no_turn);
-    tcase_add_test(cases, groups_do_not_touch_each_other_and_only_what_waits_is_kept);
-    tcase_add_test(cases, one_tenant_at_many_times_its_usual_does_not_take_the_others_slots);
+    tcase_add_test(cases, no_request_overtakes_earlier_ones_after_the_last_tenant_has_left);
+    tcase_add_test(cases, leaving_among_requests_of_one_turn_lets_no_later_one_overtake);
+    tcase_add_test(cases, request_that_leaves_unserved_costs_its_tenant_no_turn);
+    tcase_add_test(cases, groups_are_independent_and_state_exists_only_for_waiting_requests);
+    tcase_add_test(cases, tenant_at_many_times_its_normal_rate_does_not_take_the_others_slots);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_queue_lengths.c
+++ b/tests/test_queue_lengths.c
@@ -1,6 +1,6 @@
 /**
  * @file test_queue_lengths.c
- * @brief Requests that wait at other nodes: replaced by each report, expired, summed, and bounded.
+ * @brief Numbers of requests waiting at other nodes: replacement by reports, expiry, sums and the bound on entries.
  */
 #include <check.h>
 
@@ -9,7 +9,7 @@
 
 enum { START_S = 100, VALIDITY_MS = 600, NODE = 1, OTHER_NODE = 2, ZONE = 3, MAPS = 11, TILES = 12 };
 
-/* One report with one entry, as the node does it. */
+/* Receives a report with one entry, in the way the node does. */
 static bool report(cw_queue_lengths_t *lengths, cw_queue_sender_t sender, uint32_t service, uint32_t queued,
                    cw_time_us_t now)
 {
@@ -31,7 +31,7 @@
     *sum += length->queued;
 }
 
-START_TEST(entries_of_several_senders_are_summed_by_service)
+START_TEST(sums_entries_of_several_senders_by_service)
 {
     cw_queue_lengths_t lengths = {0};
     cw_time_us_t       now = CW_SECONDS(START_S);
@@ -43,7 +43,7 @@
 }
 END_TEST
 
-START_TEST(a_report_replaces_the_one_before)
+START_TEST(report_replaces_the_earlier_one_of_its_sender)
 {
     cw_queue_lengths_t lengths = {0};
     cw_time_us_t       now = CW_SECONDS(START_S);
@@ -55,7 +55,7 @@
 }
 END_TEST
 
-START_TEST(an_empty_report_says_whether_there_was_something_before)
+START_TEST(beginning_a_report_returns_whether_there_were_entries)
 {
     cw_queue_lengths_t lengths = {0};
     cw_time_us_t       now = CW_SECONDS(START_S);
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(an_entry_that_is_too_old_is_dropped_by_another_senders_report)
+START_TEST(report_of_another_sender_removes_expired_entries)
 {
     cw_queue_lengths_t lengths = {0};
     cw_time_us_t       now = CW_SECONDS(START_S);
@@ -80,7 +80,7 @@
 }
 END_TEST
 
-START_TEST(only_near_and_fresh_entries_are_given_out)
+START_TEST(each_near_visits_only_near_and_valid_entries)
 {
     cw_queue_lengths_t lengths = {0};
     cw_queue_sender_t  zone = {.id = ZONE, .is_near = false};
@@ -95,7 +95,7 @@
 }
 END_TEST
 
-START_TEST(what_does_not_fit_is_refused_and_the_rest_stays)
+START_TEST(entry_that_does_not_fit_is_refused_and_others_stay)
 {
     cw_queue_lengths_t lengths = {0};
     cw_time_us_t       now = CW_SECONDS(START_S);
@@ -114,12 +114,12 @@
     Suite *suite = suite_create("queue lengths");
     TCase *cases = tcase_create("lengths");
 
-    tcase_add_test(cases, entries_of_several_senders_are_summed_by_service);
-    tcase_add_test(cases, a_report_replaces_the_one_before);
-    tcase_add_test(cases, an_empty_report_says_whether_there_was_something_before);
-    tcase_add_test(cases, an_entry_that_is_too_old_is_dropped_by_another_senders_report);
-    tcase_add_test(cases, only_near_and_fresh_entries_are_given_out);
-    tcase_add_test(cases, what_does_not_fit_is_refused_and_the_rest_stays);
+    tcase_add_test(cases, sums_entries_of_several_senders_by_service);
+    tcase_add_test(cases, report_replaces_the_earlier_one_of_its_sender);
+    tcase_add_test(cases, beginning_a_report_returns_whether_there_were_entries);
+    tcase_add_test(cases, report_of_another_sender_removes_expired_entries);
+    tcase_add_test(cases, each_near_visits_only_near_and_valid_entries);
+    tcase_add_test(cases, entry_that_does_not_fit_is_refused_and_others_stay);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_server_choice.c
+++ b/tests/test_server_choice.c
@@ -1,6 +1,6 @@
 /**
  * @file test_server_choice.c
- * @brief Which server a request goes to: servers that failed, and what servers tell of their load.
+ * @brief Choice of a server for a request: servers that failed, and load samples of servers.
  */
 #include <string.h>
 
@@ -17,7 +17,7 @@
     (void)server;
 }
 
-/* Servers a, b and c with two slots each. */
+/* Creates a pool of servers a, b and c with two slots each. */
 static cw_server_pool_t *new_pool(void)
 {
     static const char *const ids[] = {"a", "b", "c"};
@@ -57,7 +57,7 @@
     }
 }
 
-START_TEST(a_second_attempt_waits_for_another_server_rather_than_take_the_same_one)
+START_TEST(second_attempt_waits_for_another_server)
 {
     cw_server_pool_t *pool = new_pool();
     bool              full;
@@ -71,7 +71,7 @@
 }
 END_TEST
 
-START_TEST(where_there_is_no_other_server_the_same_one_is_taken_again)
+START_TEST(second_attempt_uses_the_same_server_if_there_is_no_other)
 {
     cw_server_pool_t *pool = new_pool();
     cw_server_list_t *list = cw_server_list_create();
@@ -86,7 +86,7 @@
 }
 END_TEST
 
-START_TEST(a_server_that_fails_again_and_again_is_passed_over_though_the_others_are_full)
+START_TEST(server_that_fails_repeatedly_is_avoided_even_if_others_are_full)
 {
     cw_server_pool_t *pool = new_pool();
     cw_server_t      *server = cw_server_pool_find(pool, "a");
@@ -95,11 +95,12 @@
     fill(pool, "b");
     fill(pool, "c");
     cw_server_pool_fault(server, start);
-    ck_assert_str_eq(chosen(pool, NULL, start, &full), "a"); /* once: its connection may have been closed as idle */
+    ck_assert_str_eq(chosen(pool, NULL, start, &full),
+                     "a"); /* one fault: its connection may have been closed as idle */
     cw_server_pool_fault(server, start);
     ck_assert_str_eq(chosen(pool, NULL, start, &full), "none");
     ck_assert(full);
-    /* its pause is over: one request shows whether it answers again */
+    /* it is no longer avoided: a single request tests whether it answers again */
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(3), &full), "a");
     cw_server_pool_begin(server, start + CW_SECONDS(3));
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(3), &full), "none");
@@ -109,7 +110,7 @@
 }
 END_TEST
 
-START_TEST(when_all_servers_have_failed_one_of_them_is_taken)
+START_TEST(one_of_the_servers_is_chosen_when_all_have_failed)
 {
     cw_server_pool_t *pool = new_pool();
     const char       *ids[] = {"a", "b", "c"};
@@ -124,7 +125,7 @@
 }
 END_TEST
 
-START_TEST(what_a_server_tells_of_others_requests_counts_for_a_moment)
+START_TEST(load_sample_counts_until_it_expires)
 {
     cw_server_pool_t *pool = new_pool();
     cw_server_load_t  load = {.running = 2, .waiting = 3, .slots = 2};
@@ -139,7 +140,7 @@
 }
 END_TEST
 
-START_TEST(a_servers_load_is_decoded_and_what_is_no_load_is_refused)
+START_TEST(decodes_load_samples_and_rejects_malformed_ones)
 {
     static const char *const wrong[] = {"",       "3",           "3,0",    "a,0,8",        "3,0,0", "3,,8",
                                         "3,0,8,", "3,0,8,100,1", "-3,0,8", "99999999,0,8", " 3,0,8"};
@@ -165,12 +166,12 @@
     Suite *suite = suite_create("server choice");
     TCase *cases = tcase_create("choice");
 
-    tcase_add_test(cases, a_second_attempt_waits_for_another_server_rather_than_take_the_same_one);
-    tcase_add_test(cases, where_there_is_no_other_server_the_same_one_is_taken_again);
-    tcase_add_test(cases, a_server_that_fails_again_and_again_is_passed_over_though_the_others_are_full);
-    tcase_add_test(cases, when_all_servers_have_failed_one_of_them_is_taken);
-    tcase_add_test(cases, what_a_server_tells_of_others_requests_counts_for_a_moment);
-    tcase_add_test(cases, a_servers_load_is_decoded_and_what_is_no_load_is_refused);
+    tcase_add_test(cases, second_attempt_waits_for_another_server);
+    tcase_add_test(cases, second_attempt_uses_the_same_server_if_there_is_no_other);
+    tcase_add_test(cases, server_that_fails_repeatedly_is_avoided_even_if_others_are_full);
+    tcase_add_test(cases, one_of_the_servers_is_chosen_when_all_have_failed);
+    tcase_add_test(cases, load_sample_counts_until_it_expires);
+    tcase_add_test(cases, decodes_load_samples_and_rejects_malformed_ones);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_server_leave.c
+++ b/tests/test_server_leave.c
@@ -1,6 +1,6 @@
 /**
  * @file test_server_leave.c
- * @brief A server that has said in an answer that it leaves gets nothing more, whatever the list says of it.
+ * @brief A server that announced in an answer that it leaves gets no more requests, whatever its list entry says.
  */
 #include <string.h>
 
@@ -17,7 +17,7 @@
     (void)server;
 }
 
-/* A list with these servers, all of them ready. */
+/* Applies a list with these servers, all of them ready. */
 static void list(cw_server_pool_t *pool, const char *const *ids, size_t count, cw_time_us_t now)
 {
     cw_server_list_t *servers = cw_server_list_create();
@@ -51,7 +51,7 @@
     return cw_server_pool_find(pool, id)->hash;
 }
 
-START_TEST(a_list_that_says_ready_does_not_undo_a_leave)
+START_TEST(list_entry_that_says_ready_does_not_undo_leaving)
 {
     static const char *const ids[] = {"a@1"};
     cw_server_pool_t        *pool = cw_server_pool_create("z1", on_dropped, NULL);
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(an_entry_that_goes_and_comes_back_does_not_undo_a_leave)
+START_TEST(list_entry_that_reappears_does_not_undo_leaving)
 {
     static const char *const ids[] = {"a@1", "b@1"};
     cw_server_pool_t        *pool = cw_server_pool_create("z1", on_dropped, NULL);
@@ -83,7 +83,7 @@
 }
 END_TEST
 
-START_TEST(a_later_incarnation_of_the_same_server_is_used)
+START_TEST(later_incarnation_of_the_same_server_is_used)
 {
     static const char *const former[] = {"a@1"};
     static const char *const later[] = {"a@2"};
@@ -97,7 +97,7 @@
 }
 END_TEST
 
-START_TEST(an_owner_that_leaves_serves_its_keys_while_they_move_and_no_longer)
+START_TEST(leaving_owner_serves_its_keys_only_during_the_grace_period)
 {
     static const char *const ids[] = {"a@1"};
     cw_server_pool_t        *pool = cw_server_pool_create("z1", on_dropped, NULL);
@@ -115,7 +115,7 @@
 }
 END_TEST
 
-START_TEST(leaves_of_servers_that_are_gone_are_forgotten_in_the_end)
+START_TEST(entries_of_leaving_servers_expire)
 {
     cw_leaving_servers_t *set = cw_leaving_servers_create();
 
@@ -134,11 +134,11 @@
     Suite *suite = suite_create("server leave");
     TCase *cases = tcase_create("leave");
 
-    tcase_add_test(cases, a_list_that_says_ready_does_not_undo_a_leave);
-    tcase_add_test(cases, an_entry_that_goes_and_comes_back_does_not_undo_a_leave);
-    tcase_add_test(cases, a_later_incarnation_of_the_same_server_is_used);
-    tcase_add_test(cases, an_owner_that_leaves_serves_its_keys_while_they_move_and_no_longer);
-    tcase_add_test(cases, leaves_of_servers_that_are_gone_are_forgotten_in_the_end);
+    tcase_add_test(cases, list_entry_that_says_ready_does_not_undo_leaving);
+    tcase_add_test(cases, list_entry_that_reappears_does_not_undo_leaving);
+    tcase_add_test(cases, later_incarnation_of_the_same_server_is_used);
+    tcase_add_test(cases, leaving_owner_serves_its_keys_only_during_the_grace_period);
+    tcase_add_test(cases, entries_of_leaving_servers_expire);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_server_signals.c
+++ b/tests/test_server_signals.c
@@ -1,6 +1,6 @@
 /**
  * @file test_server_signals.c
- * @brief What servers say of themselves with their answers: decoded, and when a rate limit begins and ends.
+ * @brief Signals of servers in answers: decoding, and when a rate limit begins and ends.
  */
 #include <string.h>
 
@@ -20,7 +20,7 @@
     cw_http_field_builder_name(&builder, &fields, name, strlen(name));
     cw_http_field_builder_value(&builder, &fields, value, strlen(value));
     cw_platform_decode_signals(status, &fields, &signals);
-    signals.malformed_value = NULL; /* it ends with the fields */
+    signals.malformed_value = NULL; /* it is freed with the fields */
     cw_http_fields_clear(&fields);
     return signals;
 }
@@ -30,7 +30,7 @@
     return decoded_of(200, name, value);
 }
 
-START_TEST(a_rest_is_the_seconds_of_a_503_and_bounded)
+START_TEST(rest_is_decoded_from_retry_after_of_a_503_and_bounded)
 {
     static const char *const wrong[] = {"", "-1", "soon", "1e9", "Thu, 03 Dec 2026 08:00:00 GMT", "3 s"};
     size_t                   index;
@@ -50,14 +50,14 @@
 }
 END_TEST
 
-START_TEST(an_answer_to_a_request_that_did_not_run_is_told_apart)
+START_TEST(recognises_answers_to_requests_that_did_not_run)
 {
     ck_assert(decoded("Server-Limit", "6").has_run);
     ck_assert(!decoded_of(421, "X-Not-Executed", "1").has_run);
 }
 END_TEST
 
-START_TEST(a_server_leaves_that_says_so_and_no_other)
+START_TEST(server_is_leaving_only_if_it_says_so)
 {
     ck_assert(decoded("Server-Leaving", "1").is_leaving);
     ck_assert(decoded_of(503, "server-leaving", "1").is_leaving);
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_is_a_decimal_number_and_nothing_else)
+START_TEST(decodes_limits_that_are_decimal_numbers_only)
 {
     static const char *const wrong[] = {"",    "-1",  "six", "6,5", "6.",    ".5",
                                         "1e3", "0x6", "nan", "inf", "+6",    " 6",
@@ -88,7 +88,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_begins_changes_and_is_renewed)
+START_TEST(limit_begins_changes_and_is_renewed)
 {
     cw_server_limit_t limit = {0};
 
@@ -101,7 +101,7 @@
 }
 END_TEST
 
-START_TEST(what_was_said_earlier_changes_nothing)
+START_TEST(statements_older_than_the_known_state_are_ignored)
 {
     cw_server_limit_t limit = {0};
 
@@ -115,7 +115,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_named_by_some_answers_only_goes_on)
+START_TEST(limit_named_by_only_some_answers_continues)
 {
     cw_server_limit_t limit = {0};
     int               round;
@@ -131,7 +131,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_that_is_no_longer_named_ends)
+START_TEST(limit_that_is_no_longer_named_ends)
 {
     cw_server_limit_t limit = {0};
 
@@ -144,7 +144,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_of_a_silent_server_is_forgotten)
+START_TEST(limit_of_a_server_without_answers_expires)
 {
     cw_server_limit_t limit = {0};
 
@@ -161,15 +161,15 @@
     Suite *suite = suite_create("server signals");
     TCase *cases = tcase_create("all");
 
-    tcase_add_test(cases, a_rest_is_the_seconds_of_a_503_and_bounded);
-    tcase_add_test(cases, an_answer_to_a_request_that_did_not_run_is_told_apart);
-    tcase_add_test(cases, a_server_leaves_that_says_so_and_no_other);
-    tcase_add_test(cases, a_limit_is_a_decimal_number_and_nothing_else);
-    tcase_add_test(cases, a_limit_begins_changes_and_is_renewed);
-    tcase_add_test(cases, what_was_said_earlier_changes_nothing);
-    tcase_add_test(cases, a_limit_named_by_some_answers_only_goes_on);
-    tcase_add_test(cases, a_limit_that_is_no_longer_named_ends);
-    tcase_add_test(cases, a_limit_of_a_silent_server_is_forgotten);
+    tcase_add_test(cases, rest_is_decoded_from_retry_after_of_a_503_and_bounded);
+    tcase_add_test(cases, recognises_answers_to_requests_that_did_not_run);
+    tcase_add_test(cases, server_is_leaving_only_if_it_says_so);
+    tcase_add_test(cases, decodes_limits_that_are_decimal_numbers_only);
+    tcase_add_test(cases, limit_begins_changes_and_is_renewed);
+    tcase_add_test(cases, statements_older_than_the_known_state_are_ignored);
+    tcase_add_test(cases, limit_named_by_only_some_answers_continues);
+    tcase_add_test(cases, limit_that_is_no_longer_named_ends);
+    tcase_add_test(cases, limit_of_a_server_without_answers_expires);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_slot_broker.c
+++ b/tests/test_slot_broker.c
@@ -1,6 +1,6 @@
 /**
  * @file test_slot_broker.c
- * @brief Slots handed out with an exact count: who gets one, who waits, who is refused, and what comes back.
+ * @brief Slot broker: asks that are granted, queued or refused, their order, and returned slots.
  */
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "loop_fixture.h"
 #include "router/broker_choice.h"
 
-enum { REPLIES_MAX = 256, SLOTS = 4 /* requests that a server of two slots is given */ };
+enum { REPLIES_MAX = 256, SLOTS = 4 /* requests granted to a server that can process two at once */ };
 
 static const cw_time_us_t start = CW_SECONDS(10);
 static const cw_time_us_t mean_time = CW_MS(100);
@@ -45,7 +45,7 @@
     entry->capacity = SLOTS / 2;
 }
 
-/* Servers a and b in this zone, c in another. */
+/* Creates a broker for servers a and b in this zone and c in another one. */
 static void init(broker_fixture_t *fixture)
 {
     cw_server_list_t *list = cw_server_list_create();
@@ -101,7 +101,7 @@
     cw_slot_broker_return(fixture->broker, &returned, now);
 }
 
-/* Takes all slots of the zone, with tickets from 1. */
+/* Takes all slots of the zone with tickets from 1; returns the next ticket. */
 static uint32_t fill(broker_fixture_t *fixture)
 {
     uint32_t ticket;
@@ -114,7 +114,7 @@
     return ticket;
 }
 
-START_TEST(slots_are_granted_up_to_their_number_and_only_in_this_zone)
+START_TEST(grants_all_slots_of_this_zone_and_no_others)
 {
     broker_fixture_t fixture;
     uint32_t         next;
@@ -135,7 +135,7 @@
 }
 END_TEST
 
-START_TEST(a_slot_given_back_goes_to_the_most_urgent_that_waits)
+START_TEST(returned_slot_goes_to_the_most_urgent_waiting_ask)
 {
     broker_fixture_t fixture;
     uint32_t         next;
@@ -164,7 +164,7 @@
 }
 END_TEST
 
-START_TEST(of_asks_that_are_equal_the_first_to_come_is_the_first_to_be_served)
+START_TEST(equal_asks_are_served_in_order_of_arrival)
 {
     broker_fixture_t fixture;
     uint32_t         next;
@@ -186,7 +186,7 @@
 }
 END_TEST
 
-START_TEST(what_would_come_too_late_is_refused_at_once_and_told_when_a_slot_is_free)
+START_TEST(ask_that_would_be_late_is_refused_with_the_time_until_a_slot_is_free)
 {
     broker_fixture_t       fixture;
     uint32_t               next;
@@ -211,7 +211,7 @@
 }
 END_TEST
 
-START_TEST(an_ask_that_may_not_wait_is_refused_when_no_slot_is_free)
+START_TEST(ask_that_may_not_wait_is_refused_if_no_slot_is_free)
 {
     broker_fixture_t fixture;
     cw_slot_ask_t    asked;
@@ -224,7 +224,7 @@
 }
 END_TEST
 
-START_TEST(what_waits_too_long_is_refused_by_the_tick)
+START_TEST(tick_refuses_asks_that_wait_too_long)
 {
     broker_fixture_t fixture;
     cw_slot_ask_t    asked;
@@ -241,7 +241,7 @@
 }
 END_TEST
 
-START_TEST(only_the_owner_will_do_for_a_key)
+START_TEST(ask_for_a_key_gets_only_slots_of_its_owner)
 {
     broker_fixture_t fixture;
     cw_slot_ask_t    asked;
@@ -254,17 +254,17 @@
         ck_assert_uint_eq(ask(&fixture, &asked, start)->server, hash_of(&fixture, "b"));
     }
     asked.ticket = ticket;
-    ck_assert_int_eq(ask(&fixture, &asked, start)->outcome, CW_SLOT_QUEUED); /* though a is free */
+    ck_assert_int_eq(ask(&fixture, &asked, start)->outcome, CW_SLOT_QUEUED); /* although a has free slots */
     asked = ask_of(&fixture, ticket + 1);
     ck_assert_uint_eq(ask(&fixture, &asked, start)->server, hash_of(&fixture, "a"));
     asked.ticket = ticket + 2;
-    asked.server = hash_of(&fixture, "c"); /* of another zone: its slots are counted there */
+    asked.server = hash_of(&fixture, "c"); /* in another zone, whose broker counts its slots */
     ck_assert_int_eq(ask(&fixture, &asked, start)->outcome, CW_SLOT_REFUSED);
     clear(&fixture);
 }
 END_TEST
 
-START_TEST(an_ask_repeated_gets_the_same_reply_and_no_second_slot)
+START_TEST(repeated_ask_gets_the_same_reply_and_no_second_slot)
 {
     broker_fixture_t fixture;
     cw_slot_ask_t    asked;
@@ -280,7 +280,7 @@
 }
 END_TEST
 
-START_TEST(a_slot_that_is_not_given_back_is_free_after_its_lease)
+START_TEST(slot_that_is_not_returned_is_free_after_its_lease)
 {
     broker_fixture_t fixture;
 
@@ -296,7 +296,7 @@
 }
 END_TEST
 
-START_TEST(requests_from_elsewhere_count_by_the_servers_own_load)
+START_TEST(requests_not_granted_here_count_by_the_servers_load_sample)
 {
     broker_fixture_t fixture;
     cw_slot_ask_t    asked;
@@ -309,13 +309,13 @@
     give_back(&fixture, 1, CW_SLOT_ANSWERED, &load, start + CW_MS(50));
     asked.ticket = 2;
     ck_assert_int_eq(ask(&fixture, &asked, start + CW_MS(60))->outcome, CW_SLOT_QUEUED);
-    cw_slot_broker_tick(fixture.broker, start + CW_MS(360)); /* the sample is old: it says nothing any more */
+    cw_slot_broker_tick(fixture.broker, start + CW_MS(360)); /* the sample has expired */
     ck_assert_int_eq(fixture.replies[fixture.count - 1].outcome, CW_SLOT_GRANTED);
     clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_server_whose_work_takes_longer_now_comes_last)
+START_TEST(server_with_longer_processing_time_is_chosen_last)
 {
     broker_fixture_t fixture;
     cw_slot_ask_t    asked;
@@ -332,7 +332,7 @@
 }
 END_TEST
 
-START_TEST(a_server_that_fails_requests_of_all_nodes_is_passed_over)
+START_TEST(server_that_fails_repeatedly_is_avoided)
 {
     broker_fixture_t fixture;
     cw_slot_ask_t    asked;
@@ -355,7 +355,7 @@
 }
 END_TEST
 
-START_TEST(a_cold_server_is_given_what_it_bears_in_any_second)
+START_TEST(cold_server_is_granted_no_more_than_it_can_handle_a_second)
 {
     broker_fixture_t fixture;
     cw_warm_up_t     warm_up = {.duration = CW_SECONDS(3), .per_s = 6.7};
@@ -382,7 +382,7 @@
 }
 END_TEST
 
-START_TEST(what_is_known_of_servers_that_are_gone_goes_too)
+START_TEST(state_of_unlisted_servers_is_removed)
 {
     broker_fixture_t  fixture;
     cw_server_list_t *list = cw_server_list_create();
@@ -395,14 +395,14 @@
     add_server(list, "c", "z2");
     cw_server_list_seal(list);
     cw_server_pool_update(fixture.pool, list, start);
-    cw_slot_broker_tick(fixture.broker, start + CW_SECONDS(10)); /* the slot's lease is over, too */
+    cw_slot_broker_tick(fixture.broker, start + CW_SECONDS(10)); /* the slot's lease has ended, too */
     ck_assert_uint_eq(cw_slot_broker_server_count(fixture.broker), 0);
     cw_server_list_release(list);
     clear(&fixture);
 }
 END_TEST
 
-START_TEST(the_one_that_counts_is_among_the_most_capable_of_the_zone)
+START_TEST(broker_is_among_the_most_capable_nodes_of_the_zone)
 {
     cw_broker_candidate_t candidates[] = {
         {1, 100, "z1"}, {2, 500, "z1"}, {3, 500, "z1"}, {4, 900, "z2"}, {5, 100, "z1"}};
@@ -426,21 +426,21 @@
     Suite *suite = suite_create("slot broker");
     TCase *cases = tcase_create("slots");
 
-    tcase_add_test(cases, slots_are_granted_up_to_their_number_and_only_in_this_zone);
-    tcase_add_test(cases, a_slot_given_back_goes_to_the_most_urgent_that_waits);
-    tcase_add_test(cases, of_asks_that_are_equal_the_first_to_come_is_the_first_to_be_served);
-    tcase_add_test(cases, what_would_come_too_late_is_refused_at_once_and_told_when_a_slot_is_free);
-    tcase_add_test(cases, an_ask_that_may_not_wait_is_refused_when_no_slot_is_free);
-    tcase_add_test(cases, what_waits_too_long_is_refused_by_the_tick);
-    tcase_add_test(cases, only_the_owner_will_do_for_a_key);
-    tcase_add_test(cases, an_ask_repeated_gets_the_same_reply_and_no_second_slot);
-    tcase_add_test(cases, a_slot_that_is_not_given_back_is_free_after_its_lease);
-    tcase_add_test(cases, requests_from_elsewhere_count_by_the_servers_own_load);
-    tcase_add_test(cases, a_server_whose_work_takes_longer_now_comes_last);
-    tcase_add_test(cases, a_server_that_fails_requests_of_all_nodes_is_passed_over);
-    tcase_add_test(cases, a_cold_server_is_given_what_it_bears_in_any_second);
-    tcase_add_test(cases, what_is_known_of_servers_that_are_gone_goes_too);
-    tcase_add_test(cases, the_one_that_counts_is_among_the_most_capable_of_the_zone);
+    tcase_add_test(cases, grants_all_slots_of_this_zone_and_no_others);
+    tcase_add_test(cases, returned_slot_goes_to_the_most_urgent_waiting_ask);
+    tcase_add_test(cases, equal_asks_are_served_in_order_of_arrival);
+    tcase_add_test(cases, ask_that_would_be_late_is_refused_with_the_time_until_a_slot_is_free);
+    tcase_add_test(cases, ask_that_may_not_wait_is_refused_if_no_slot_is_free);
+    tcase_add_test(cases, tick_refuses_asks_that_wait_too_long);
+    tcase_add_test(cases, ask_for_a_key_gets_only_slots_of_its_owner);
+    tcase_add_test(cases, repeated_ask_gets_the_same_reply_and_no_second_slot);
+    tcase_add_test(cases, slot_that_is_not_returned_is_free_after_its_lease);
+    tcase_add_test(cases, requests_not_granted_here_count_by_the_servers_load_sample);
+    tcase_add_test(cases, server_with_longer_processing_time_is_chosen_last);
+    tcase_add_test(cases, server_that_fails_repeatedly_is_avoided);
+    tcase_add_test(cases, cold_server_is_granted_no_more_than_it_can_handle_a_second);
+    tcase_add_test(cases, state_of_unlisted_servers_is_removed);
+    tcase_add_test(cases, broker_is_among_the_most_capable_nodes_of_the_zone);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_slot_limits.c
+++ b/tests/test_slot_limits.c
@@ -1,7 +1,7 @@
 /**
  * @file test_slot_limits.c
- * @brief Slots of servers that name a rate limit: never more than it allows from all nodes together, and as many where
- * so many are asked for.
+ * @brief Slots of servers that name a rate limit: the grants of all nodes together stay within the limit, and use it up
+ * when enough slots are asked for.
  */
 #include <string.h>
 
@@ -13,7 +13,7 @@
 static const cw_time_us_t start = CW_SECONDS(10);
 static const cw_time_us_t mean_time = CW_MS(WORK_MS);
 
-/** A node that counts, and one that asks for slots of server a all the time. */
+/** A counting node, and a node that continuously asks for slots of server a. */
 typedef struct limit_fixture {
     cw_server_pool_t *pool;
     cw_slot_broker_t *broker;
@@ -60,7 +60,7 @@
     cw_server_pool_free(fixture->pool);
 }
 
-/* Another node counts from now on. */
+/* Another node becomes the counting node. */
 static void replace_broker(limit_fixture_t *fixture)
 {
     cw_slot_broker_free(fixture->broker);
@@ -86,7 +86,7 @@
     return fixture->reply.outcome;
 }
 
-/* One ask; a slot that is granted is given back at once, with an answer that names the limit. */
+/* Asks once; a granted slot is returned at once with an answer that names the limit. */
 static void ask_once(limit_fixture_t *fixture, cw_time_us_t now)
 {
     cw_slot_return_t returned = {.node = 1, .end = CW_SLOT_ANSWERED};
@@ -127,15 +127,15 @@
     return most;
 }
 
-/* What the server's terms allow is half as much again, and five; that is left for requests that cross the first
- * answers. */
+/* Servers accept half as many requests again as this bound, plus five: that tolerance is reserved for requests that
+ * were sent before the first answers arrived. */
 static void check_bound(const limit_fixture_t *fixture, double per_s)
 {
     ck_assert_msg((double)max_grants_in_window(fixture) <= per_s * WINDOW_S + 1 + per_s / 5,
                   "%zu in a window at %g a second", max_grants_in_window(fixture), per_s);
 }
 
-START_TEST(a_limited_server_gets_what_its_limit_allows_and_not_more)
+START_TEST(limited_server_gets_as_many_requests_as_its_limit_allows)
 {
     static const double limits[] = {0.5, 1, 6, 6.6, 10, 30};
     size_t              index;
@@ -154,20 +154,20 @@
 }
 END_TEST
 
-START_TEST(a_server_that_wants_nothing_gets_a_request_now_and_then)
+START_TEST(server_with_a_limit_of_zero_gets_probe_requests)
 {
     limit_fixture_t fixture;
 
     init(&fixture, "z1");
     name_limit(&fixture, 0, start);
     (void)ask_for(&fixture, start, CW_SECONDS(30));
-    ck_assert_uint_ge(fixture.count, 4); /* else nobody would learn that it wants some again */
+    ck_assert_uint_ge(fixture.count, 4); /* otherwise no node would learn that it accepts requests again */
     ck_assert_uint_le(fixture.count, 6);
     clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_limit_holds_while_one_node_after_another_counts)
+START_TEST(limit_is_kept_while_the_counting_node_changes)
 {
     limit_fixture_t fixture;
     cw_time_us_t    now = start;
@@ -184,7 +184,7 @@
 }
 END_TEST
 
-START_TEST(a_node_that_reaches_half_of_the_others_gives_out_half_of_a_limit)
+START_TEST(counting_node_that_reaches_half_of_the_nodes_grants_half_of_a_limit)
 {
     limit_fixture_t fixture;
 
@@ -198,7 +198,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_that_is_lowered_or_raised_binds_from_then_on)
+START_TEST(changed_limit_applies_at_once)
 {
     limit_fixture_t fixture;
     cw_time_us_t    now;
@@ -218,7 +218,7 @@
 }
 END_TEST
 
-START_TEST(what_is_beyond_the_limit_is_told_when_there_is_room)
+START_TEST(ask_beyond_the_limit_is_refused_with_the_time_until_a_token)
 {
     limit_fixture_t fixture;
 
@@ -233,7 +233,7 @@
 }
 END_TEST
 
-START_TEST(a_limited_server_of_a_zone_without_nodes_is_counted_elsewhere)
+START_TEST(limited_server_of_a_zone_without_nodes_is_counted_in_another_zone)
 {
     limit_fixture_t fixture;
 
@@ -252,13 +252,13 @@
     Suite *suite = suite_create("slots of limited servers");
     TCase *cases = tcase_create("limits");
 
-    tcase_add_test(cases, a_limited_server_gets_what_its_limit_allows_and_not_more);
-    tcase_add_test(cases, a_server_that_wants_nothing_gets_a_request_now_and_then);
-    tcase_add_test(cases, a_limit_holds_while_one_node_after_another_counts);
-    tcase_add_test(cases, a_node_that_reaches_half_of_the_others_gives_out_half_of_a_limit);
-    tcase_add_test(cases, a_limit_that_is_lowered_or_raised_binds_from_then_on);
-    tcase_add_test(cases, what_is_beyond_the_limit_is_told_when_there_is_room);
-    tcase_add_test(cases, a_limited_server_of_a_zone_without_nodes_is_counted_elsewhere);
+    tcase_add_test(cases, limited_server_gets_as_many_requests_as_its_limit_allows);
+    tcase_add_test(cases, server_with_a_limit_of_zero_gets_probe_requests);
+    tcase_add_test(cases, limit_is_kept_while_the_counting_node_changes);
+    tcase_add_test(cases, counting_node_that_reaches_half_of_the_nodes_grants_half_of_a_limit);
+    tcase_add_test(cases, changed_limit_applies_at_once);
+    tcase_add_test(cases, ask_beyond_the_limit_is_refused_with_the_time_until_a_token);
+    tcase_add_test(cases, limited_server_of_a_zone_without_nodes_is_counted_in_another_zone);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
