--- a/tests/test_platform_bodies.c
+++ b/tests/test_platform_bodies.c
@@ -1,6 +1,6 @@
 /**
  * @file test_platform_bodies.c
- * @brief Answers of the platform's store: what is read, and what is a problem with its place.
+ * @brief Decoding of answers of the platform's store: accepted bodies, and the place and reason of each refusal.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -23,7 +23,7 @@
 #define SPEC     "{" SERVICE ADDRESS ZONE CAPACITY STATE COLD SEQUENCE "}"
 #define OBJECT   "{" METADATA ",\"spec\":" SPEC "}"
 
-/** A body that is refused, and the place and reason given. */
+/** A body that is refused, and the place and reason that the problem names. */
 typedef struct refusal {
     const char *body;
     const char *problem;
@@ -39,7 +39,7 @@
 
 /* ---- servers ---- */
 
-/* The list with the one server of an entry; NULL: refused. */
+/* Returns a list with the one server that an entry describes; NULL: the entry is refused. */
 static cw_server_list_t *read_server(const char *text, cw_platform_problem_t *problem)
 {
     cw_server_list_t  *list = cw_server_list_create();
@@ -57,7 +57,7 @@
     return list;
 }
 
-START_TEST(an_entry_is_read_whole)
+START_TEST(decodes_all_fields_of_an_entry)
 {
     cw_platform_problem_t    problem;
     cw_server_list_t        *list = read_server("{" METADATA ",\"spec\":{" SERVICE ADDRESS ZONE CAPACITY
@@ -131,7 +131,7 @@
      "spec: the name of its object is too long"},
 };
 
-START_TEST(an_entry_with_a_field_missing_or_of_another_type_is_refused_with_its_place)
+START_TEST(refuses_an_entry_with_a_malformed_field_and_names_its_place)
 {
     cw_platform_problem_t problem;
 
@@ -140,7 +140,7 @@
 }
 END_TEST
 
-START_TEST(the_time_of_a_servers_start_is_part_of_its_id)
+START_TEST(start_time_of_a_server_is_part_of_its_id)
 {
     cw_platform_problem_t problem;
     cw_server_list_t *list = read_server("{" METADATA ",\"spec\":{" SERVICE ADDRESS ZONE CAPACITY STATE COLD SEQUENCE
@@ -155,7 +155,7 @@
 
 /* ---- listings ---- */
 
-START_TEST(a_page_of_a_listing_is_read)
+START_TEST(decodes_a_page_of_a_listing)
 {
     json_t               *body = load("{\"items\":[" OBJECT "],\"has-more\":true,\"at\":530}");
     cw_platform_problem_t problem;
@@ -186,7 +186,7 @@
     {"{\"items\":[],\"has-more\":false,\"at\":3.5}", "at: not a whole number"},
 };
 
-START_TEST(a_page_with_a_field_missing_or_of_another_type_is_refused)
+START_TEST(refuses_a_page_with_a_malformed_field)
 {
     json_t               *body = load(page_refusals[_i].body);
     cw_platform_problem_t problem;
@@ -198,7 +198,7 @@
 }
 END_TEST
 
-START_TEST(a_listed_object_that_is_none_is_refused_with_its_position)
+START_TEST(refuses_a_malformed_listed_object_with_its_position)
 {
     json_t               *body = load("{\"items\":[" OBJECT ",{\"metadata\":{}},7],\"has-more\":false,\"at\":530}");
     cw_platform_problem_t problem;
@@ -208,19 +208,19 @@
     ck_assert_str_eq(problem.text, "items[1].metadata.name: missing");
     ck_assert(!cw_platform_decode_listed(&object, body, 2, &problem));
     ck_assert_str_eq(problem.text, "items[2]: not an object");
-    ck_assert(cw_platform_decode_listed(&object, body, 0, &problem)); /* no problem stays from before */
+    ck_assert(cw_platform_decode_listed(&object, body, 0, &problem)); /* the earlier problem is cleared */
     json_decref(body);
 }
 END_TEST
 
 /* ---- watches ---- */
 
-START_TEST(changes_are_read)
+START_TEST(decodes_changes)
 {
     json_t               *body = load("{\"events\":[{\"gone\":true,\"object\":" OBJECT "}],\"at\":533}");
     cw_platform_problem_t problem;
     cw_store_changes_t    changes;
-    cw_store_change_t     change;
+    cw_object_change_t    change;
 
     ck_assert(cw_platform_decode_changes(&changes, body, &problem));
     ck_assert_uint_eq(json_array_size(changes.events), 1);
@@ -239,7 +239,7 @@
     {"{\"events\":[],\"at\":true}", "at: not a whole number"},
 };
 
-START_TEST(changes_with_a_field_missing_or_of_another_type_are_refused)
+START_TEST(refuses_changes_with_a_malformed_field)
 {
     json_t               *body = load(changes_refusals[_i].body);
     cw_platform_problem_t problem;
@@ -261,11 +261,11 @@
      "events[0].object.metadata.name: not a text"},
 };
 
-START_TEST(a_change_with_a_field_missing_or_of_another_type_is_refused)
+START_TEST(refuses_a_change_with_a_malformed_field)
 {
     json_t               *body = load(change_refusals[_i].body);
     cw_platform_problem_t problem;
-    cw_store_change_t     change;
+    cw_object_change_t    change;
 
     ck_assert(!cw_platform_decode_change(&change, body, 0, &problem));
     ck_assert_str_eq(problem.text, change_refusals[_i].problem);
@@ -288,7 +288,7 @@
 
 #define EVENT(gone, object) "{\"gone\":" gone ",\"object\":" object "}"
 
-START_TEST(a_change_that_cannot_be_read_is_about_no_server_and_the_others_hold)
+START_TEST(skips_malformed_changes_and_applies_the_others)
 {
     cw_server_list_t *empty = cw_server_list_create();
     cw_server_list_t *list =
@@ -302,7 +302,7 @@
 }
 END_TEST
 
-START_TEST(of_several_changes_of_one_server_the_last_counts)
+START_TEST(last_of_several_changes_of_a_server_counts)
 {
     cw_server_list_t *empty = cw_server_list_create();
     cw_server_list_t *list =
@@ -320,7 +320,7 @@
 }
 END_TEST
 
-START_TEST(a_server_that_starts_again_under_its_name_replaces_its_former_incarnation)
+START_TEST(restarted_server_replaces_its_former_incarnation)
 {
     cw_server_list_t *empty = cw_server_list_create();
     cw_server_list_t *list =
@@ -338,17 +338,17 @@
 }
 END_TEST
 
-/* ---- entries whose bytes cannot be read ---- */
+/* ---- entries with invalid bytes ---- */
 
 static const char *const unreadable[] = {
-    "{\"metadata\":{\"name\":\"i-x\"},\"spec\":{\"service\":\"\xff\xfe\"}}",          /* no UTF-8 */
-    "{\"metadata\":{\"name\":\"i-x\"},\"spec\":{\"sequence\":99999999999999999999}}", /* beyond all integers */
-    "{\"metadata\":{\"name\":\"i-\\u0000x\"},\"spec\":{}}",                           /* a zero in a text */
+    "{\"metadata\":{\"name\":\"i-x\"},\"spec\":{\"service\":\"\xff\xfe\"}}",          /* invalid UTF-8 */
+    "{\"metadata\":{\"name\":\"i-x\"},\"spec\":{\"sequence\":99999999999999999999}}", /* beyond the range of integers */
+    "{\"metadata\":{\"name\":\"i-\\u0000x\"},\"spec\":{}}",                           /* a zero byte in a text */
     "nonsense",
     "{\"a\":}",
 };
 
-START_TEST(an_entry_whose_bytes_cannot_be_read_leaves_the_others)
+START_TEST(entry_with_invalid_bytes_does_not_affect_the_others)
 {
     char                  text[2048];
     json_t               *body;
@@ -373,13 +373,13 @@
 
 static const char *const broken[] = {"", "[]", "{", "{\"items\":[", "{\"items\":[{]}", "{\"items", "{\"items\"}"};
 
-START_TEST(a_body_whose_own_structure_is_broken_is_none)
+START_TEST(body_with_a_broken_structure_is_refused)
 {
     ck_assert_ptr_null(cw_platform_salvage(broken[_i], strlen(broken[_i])));
 }
 END_TEST
 
-START_TEST(a_malformed_entry_is_logged_once_and_counted_each_time)
+START_TEST(logs_a_malformed_entry_once_and_counts_each_reading)
 {
     cw_platform_problem_t problem = {.text = "items[0].spec.born: not a whole number"};
     uint64_t              before = cw_metric_value(CW_METRIC_STORE_BODIES_MALFORMED);
@@ -405,13 +405,14 @@
 
 #define COUNT(list) ((int)(sizeof(list) / sizeof((list)[0])))
 
-START_TEST(changes_that_an_answer_may_not_have_held_are_asked_for_at_once)
+START_TEST(requests_further_changes_at_once_after_a_truncated_answer)
 {
     ck_assert_int_eq(cw_platform_changes_step(1, 1), CW_CHANGES_ALL);
     ck_assert_int_eq(cw_platform_changes_step(500, 1), CW_CHANGES_CONTINUE);
-    ck_assert_int_eq(cw_platform_changes_step(500, 20), CW_CHANGES_CONTINUE); /* 10,000 servers start at once */
+    ck_assert_int_eq(cw_platform_changes_step(500, 20),
+                     CW_CHANGES_CONTINUE); /* 10,000 servers that start at once: 20 answers */
     ck_assert_int_eq(cw_platform_changes_step(3, 20), CW_CHANGES_ALL);
-    ck_assert_int_eq(cw_platform_changes_step(500, CW_CHANGES_ANSWERS), CW_CHANGES_TOO_MANY);
+    ck_assert_int_eq(cw_platform_changes_step(500, CW_CHANGES_ANSWERS_MAX), CW_CHANGES_TOO_MANY);
 }
 END_TEST
 
@@ -420,23 +421,22 @@
     Suite *suite = suite_create("platform bodies");
     TCase *cases = tcase_create("bodies");
 
-    tcase_add_test(cases, an_entry_is_read_whole);
-    tcase_add_loop_test(cases, an_entry_with_a_field_missing_or_of_another_type_is_refused_with_its_place, 0,
-                        COUNT(server_refusals));
-    tcase_add_test(cases, a_page_of_a_listing_is_read);
-    tcase_add_loop_test(cases, a_page_with_a_field_missing_or_of_another_type_is_refused, 0, COUNT(page_refusals));
-    tcase_add_test(cases, a_listed_object_that_is_none_is_refused_with_its_position);
-    tcase_add_test(cases, changes_are_read);
-    tcase_add_loop_test(cases, changes_with_a_field_missing_or_of_another_type_are_refused, 0, COUNT(changes_refusals));
-    tcase_add_loop_test(cases, a_change_with_a_field_missing_or_of_another_type_is_refused, 0, COUNT(change_refusals));
-    tcase_add_test(cases, the_time_of_a_servers_start_is_part_of_its_id);
-    tcase_add_test(cases, a_change_that_cannot_be_read_is_about_no_server_and_the_others_hold);
-    tcase_add_test(cases, of_several_changes_of_one_server_the_last_counts);
-    tcase_add_test(cases, a_server_that_starts_again_under_its_name_replaces_its_former_incarnation);
-    tcase_add_loop_test(cases, an_entry_whose_bytes_cannot_be_read_leaves_the_others, 0, COUNT(unreadable));
-    tcase_add_loop_test(cases, a_body_whose_own_structure_is_broken_is_none, 0, COUNT(broken));
-    tcase_add_test(cases, a_malformed_entry_is_logged_once_and_counted_each_time);
-    tcase_add_test(cases, changes_that_an_answer_may_not_have_held_are_asked_for_at_once);
+    tcase_add_test(cases, decodes_all_fields_of_an_entry);
+    tcase_add_loop_test(cases, refuses_an_entry_with_a_malformed_field_and_names_its_place, 0, COUNT(server_refusals));
+    tcase_add_test(cases, decodes_a_page_of_a_listing);
+    tcase_add_loop_test(cases, refuses_a_page_with_a_malformed_field, 0, COUNT(page_refusals));
+    tcase_add_test(cases, refuses_a_malformed_listed_object_with_its_position);
+    tcase_add_test(cases, decodes_changes);
+    tcase_add_loop_test(cases, refuses_changes_with_a_malformed_field, 0, COUNT(changes_refusals));
+    tcase_add_loop_test(cases, refuses_a_change_with_a_malformed_field, 0, COUNT(change_refusals));
+    tcase_add_test(cases, start_time_of_a_server_is_part_of_its_id);
+    tcase_add_test(cases, skips_malformed_changes_and_applies_the_others);
+    tcase_add_test(cases, last_of_several_changes_of_a_server_counts);
+    tcase_add_test(cases, restarted_server_replaces_its_former_incarnation);
+    tcase_add_loop_test(cases, entry_with_invalid_bytes_does_not_affect_the_others, 0, COUNT(unreadable));
+    tcase_add_loop_test(cases, body_with_a_broken_structure_is_refused, 0, COUNT(broken));
+    tcase_add_test(cases, logs_a_malformed_entry_once_and_counts_each_reading);
+    tcase_add_test(cases, requests_further_changes_at_once_after_a_truncated_answer);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_platform_configuration.c
+++ b/tests/test_platform_configuration.c
@@ -1,6 +1,6 @@
 /**
  * @file test_platform_configuration.c
- * @brief Configurations as the platform's store holds them: what is read, and what is refused with its place.
+ * @brief Decoding of configurations in the platform's store: accepted ones, and the place and reason of each refusal.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 #define BODY_START  "{\"version\":3,\"routes\":[" ROUTE_START "}]"
 #define TENANT      "{\"name\":\"t\",\"api-keys\":[\"sesame\"]"
 
-/* printf %s sesame | sha256sum */
+/* output of: printf %s sesame | sha256sum */
 static const char sesame[] = "d0c04f4b1951e4aeaaec8223ed2039e542f3aae805a6fa7f6d794e5afff5d272";
 
 static cw_configuration_t *parse(const char *text, cw_platform_problem_t *problem)
@@ -35,7 +35,7 @@
     return configuration;
 }
 
-START_TEST(the_platforms_tenants_are_read_whole)
+START_TEST(decodes_all_fields_of_tenants_and_routes)
 {
     cw_configuration_t *configuration = read_good(
         "{\"version\":7,\"routes\":[" ROUTE_START ",\"route-type\":\"safe\",\"allow-anonymous\":true},"
@@ -48,7 +48,7 @@
 
     ck_assert_uint_eq(configuration->tenant_count, 2);
     ck_assert_str_eq(configuration->tenants[0].name, "a");
-    ck_assert(configuration->tenants[0].needs_key); /* all of its keys were taken away */
+    ck_assert(configuration->tenants[0].needs_key); /* a tenant whose keys were all removed still needs one */
     ck_assert_double_eq(configuration->tenants[0].rate_per_s, 0);
     ck_assert_str_eq(tenant->name, "b");
     ck_assert_uint_eq(tenant->key_count, 2);
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-/** A body that is refused, and the place and reason given. */
+/** A body that is refused, and the place and reason that the problem names. */
 typedef struct refusal {
     const char *body;
     const char *problem;
@@ -181,7 +181,7 @@
     {BODY_START ",\"tenants\":[" TENANT "}," TENANT "}]}", "two tenants are named 't'"},
 };
 
-START_TEST(a_field_of_another_type_refuses_the_whole_with_its_place)
+START_TEST(malformed_field_refuses_the_configuration_and_names_its_place)
 {
     cw_platform_problem_t problem;
 
@@ -191,7 +191,7 @@
 }
 END_TEST
 
-START_TEST(what_may_be_left_out_may_be_null)
+START_TEST(optional_fields_may_be_null)
 {
     cw_configuration_t *configuration =
         read_good("{\"version\":3,\"routes\":[" ROUTE_START ",\"priority\":null,\"allow-anonymous\":null}],"
@@ -203,7 +203,7 @@
 }
 END_TEST
 
-START_TEST(what_our_operators_confirm_is_read_back_the_same)
+START_TEST(written_configuration_is_decoded_unchanged)
 {
     cw_configuration_t   *configuration = cw_configuration_create(4);
     cw_tenant_t          *tenant = cw_configuration_add_tenant(configuration);
@@ -248,7 +248,7 @@
 }
 END_TEST
 
-START_TEST(a_rate_as_it_was_written_once_still_counts)
+START_TEST(accepts_the_former_name_of_a_rate)
 {
     cw_configuration_t *configuration =
         read_good(BODY_START ",\"tenants\":[{\"name\":\"t\",\"tokens\":[],\"requests_per_s\":40,\"concurrent\":3}]}");
@@ -265,12 +265,12 @@
     Suite *suite = suite_create("platform configuration");
     TCase *cases = tcase_create("platform configuration");
 
-    tcase_add_test(cases, the_platforms_tenants_are_read_whole);
-    tcase_add_loop_test(cases, a_field_of_another_type_refuses_the_whole_with_its_place, 0,
+    tcase_add_test(cases, decodes_all_fields_of_tenants_and_routes);
+    tcase_add_loop_test(cases, malformed_field_refuses_the_configuration_and_names_its_place, 0,
                         (int)(sizeof(refusals) / sizeof(refusals[0])));
-    tcase_add_test(cases, what_may_be_left_out_may_be_null);
-    tcase_add_test(cases, what_our_operators_confirm_is_read_back_the_same);
-    tcase_add_test(cases, a_rate_as_it_was_written_once_still_counts);
+    tcase_add_test(cases, optional_fields_may_be_null);
+    tcase_add_test(cases, written_configuration_is_decoded_unchanged);
+    tcase_add_test(cases, accepts_the_former_name_of_a_rate);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
