--- a/tests/engine_world.h
+++ b/tests/engine_fixture.h
@@ -1,5 +1,5 @@
 /**
- * @file engine_world.h
+ * @file engine_fixture.h
  * @brief An engine between real connections: callers on one side, servers whose answers the test gives on the other.
  */
 #ifndef CEDARWINCH_TESTS_ENGINE_WORLD_H
