--- a/src/base/byte_buffer.c
+++ b/src/base/byte_buffer.c
@@ -1,6 +1,6 @@
 /**
  * @file byte_buffer.c
- * @brief Growable bytes.
+ * @brief Growable buffer of bytes.
  */
 #include "base/byte_buffer.h"
 
@@ -11,7 +11,7 @@
 
 #include "base/memory.h"
 
-enum { FIRST_CAPACITY = 256, FORMAT_MAX = 512 };
+enum { INITIAL_CAPACITY = 256, FORMAT_MAX = 512 };
 
 void cw_bytes_append(cw_bytes_t *bytes, const void *data, size_t length)
 {
@@ -19,7 +19,7 @@
 
     if (needed > bytes->capacity) {
         if (bytes->capacity == 0) {
-            bytes->capacity = FIRST_CAPACITY;
+            bytes->capacity = INITIAL_CAPACITY;
         }
         while (bytes->capacity < needed) {
             bytes->capacity *= 2;
--- a/src/base/dropped_entries.c
+++ b/src/base/dropped_entries.c
@@ -1,13 +1,13 @@
 /**
  * @file dropped_entries.c
- * @brief Entries that are left out because an array of fixed size is full.
+ * @brief Metric and log event for entries that an array of fixed size could not hold.
  */
 #include "base/dropped_entries.h"
 
 #include "base/event_log.h"
 #include "base/metrics.h"
 
-void cw_dropped_entries_note(const char *what, size_t most, size_t dropped)
+void cw_dropped_entries_note(const char *what, size_t capacity, size_t dropped)
 {
     cw_event_t event;
 
@@ -18,7 +18,7 @@
     if (cw_event_begin(&event, CW_EVENT_ENTRIES_DROPPED)) {
         cw_event_text(&event, CW_FIELD_REASON, what);
         cw_event_number(&event, CW_FIELD_COUNT, (int64_t)dropped);
-        cw_event_number(&event, CW_FIELD_MOST, (int64_t)most);
+        cw_event_number(&event, CW_FIELD_MOST, (int64_t)capacity);
         cw_event_end(&event);
     }
 }
--- a/src/base/dropped_entries.h
+++ b/src/base/dropped_entries.h
@@ -1,14 +1,15 @@
 /**
  * @file dropped_entries.h
- * @brief Entries that are left out because an array of fixed size is full: counted, and logged with the bound.
+ * @brief Reports entries that were left out because an array of fixed size was full: a metric and a log event that
+ * names the array's capacity.
  */
 #ifndef CEDARWINCH_BASE_DROPPED_ENTRIES_H
 #define CEDARWINCH_BASE_DROPPED_ENTRIES_H
 
 #include <stddef.h>
 
-/** So many entries (0: none, and nothing is logged) did not fit. what: of which kind, and the consequence. most: that
- * fit. */
-void cw_dropped_entries_note(const char *what, size_t most, size_t dropped);
+/** Counts and logs `dropped` entries that did not fit; does nothing if `dropped` is 0. what: the kind of the entries
+ * and the consequence, for the log. capacity: the greatest number of entries that fit. */
+void cw_dropped_entries_note(const char *what, size_t capacity, size_t dropped);
 
 #endif
--- a/src/base/event_log.c
+++ b/src/base/event_log.c
@@ -1,6 +1,6 @@
 /**
  * @file event_log.c
- * @brief Lines are made on the stack, kept in one fixed buffer and written from it without waiting.
+ * @brief Composes lines on the stack, collects them in one buffer of fixed size and writes it without blocking.
  */
 #include "base/event_log.h"
 
@@ -35,9 +35,9 @@
     char             buffer[BUFFER_BYTES];
     size_t           length;
     int64_t          second;
-    uint32_t         lines[CW_EVENT_KINDS]; /* in this second */
+    uint32_t         lines[CW_EVENT_KINDS]; /* begun in the current second, by event */
     uint64_t         dropped;
-    uint64_t         dropped_told;
+    uint64_t         dropped_logged;
 } state = {.descriptor = -1, .level = CW_EVENT_INFO};
 
 void cw_event_log_open(int descriptor, const char *node, cw_event_level_t level)
@@ -85,7 +85,7 @@
 
 static void put(cw_event_t *event, const char *bytes, size_t length)
 {
-    /* Room for the closing brace and the line's end is kept. */
+    /* Space for the closing brace, the newline and one more byte is kept. */
     if (event->length + length > sizeof(event->text) - 3) {
         length = sizeof(event->text) - 3 - event->length;
     }
@@ -129,8 +129,8 @@
 
     event->kind = kind;
     event->length = 0;
-    event->wanted = state.descriptor >= 0 && kinds[kind].level <= state.level && is_within_limit(kind);
-    if (!event->wanted) {
+    event->enabled = state.descriptor >= 0 && kinds[kind].level <= state.level && is_within_limit(kind);
+    if (!event->enabled) {
         return false;
     }
     gettimeofday(&now, NULL);
@@ -147,15 +147,15 @@
     put(event, "\":", 2);
 }
 
-/* A field is written whole or not at all. */
-static bool has_room(const cw_event_t *event, size_t value_length)
+/* A field is written completely or not at all: 48 bytes are kept for its name, quotes and separators. */
+static bool has_space(const cw_event_t *event, size_t value_length)
 {
-    return event->wanted && event->length + value_length + 48 < sizeof(event->text);
+    return event->enabled && event->length + value_length + 48 < sizeof(event->text);
 }
 
 void cw_event_text(cw_event_t *event, cw_event_field_t field, const char *value)
 {
-    if (value != NULL && has_room(event, strlen(value) < 400 ? strlen(value) : 400)) {
+    if (value != NULL && has_space(event, strlen(value) < 400 ? strlen(value) : 400)) {
         put_name(event, field);
         put_quoted(event, value);
     }
@@ -163,7 +163,7 @@
 
 static void put_number_text(cw_event_t *event, cw_event_field_t field, const char *text)
 {
-    if (has_room(event, strlen(text))) {
+    if (has_space(event, strlen(text))) {
         put_name(event, field);
         put(event, text, strlen(text));
     }
@@ -192,7 +192,7 @@
 
 void cw_event_end(cw_event_t *event)
 {
-    if (!event->wanted) {
+    if (!event->enabled) {
         return;
     }
     event->text[event->length++] = '}';
@@ -216,13 +216,13 @@
     }
     written = write(state.descriptor, state.buffer, state.length);
     if (written <= 0) {
-        return; /* the reader does not read: the lines wait, later ones are counted */
+        return; /* the reader does not read: the lines stay in the buffer; later ones that do not fit are dropped */
     }
     memmove(state.buffer, state.buffer + written, state.length - (size_t)written);
     state.length -= (size_t)written;
 }
 
-void cw_event_log_write_at_end(void)
+void cw_event_log_write_before_exit(void)
 {
     ssize_t written;
 
@@ -236,15 +236,15 @@
     state.length = 0;
 }
 
-static void tell_dropped(void)
+static void log_dropped(void)
 {
     cw_event_t event;
 
-    if (state.dropped == state.dropped_told || !cw_event_begin(&event, CW_EVENT_LINES_DROPPED)) {
+    if (state.dropped == state.dropped_logged || !cw_event_begin(&event, CW_EVENT_LINES_DROPPED)) {
         return;
     }
-    cw_event_number(&event, CW_FIELD_COUNT, (int64_t)(state.dropped - state.dropped_told));
-    state.dropped_told = state.dropped;
+    cw_event_number(&event, CW_FIELD_COUNT, (int64_t)(state.dropped - state.dropped_logged));
+    state.dropped_logged = state.dropped;
     cw_event_end(&event);
 }
 
@@ -253,7 +253,7 @@
     if (now / CW_SECONDS(1) != state.second) {
         state.second = now / CW_SECONDS(1);
         memset(state.lines, 0, sizeof(state.lines));
-        tell_dropped();
+        log_dropped();
     }
     write_buffer();
 }
--- a/src/base/event_names.h
+++ b/src/base/event_names.h
@@ -1,11 +1,11 @@
 /**
  * @file event_names.h
- * @brief The one table of log events and fields. docs/OPERATIONS.md explains each; a test compares the two.
+ * @brief Table of all log events and fields. docs/OPERATIONS.md describes each of them; a test compares the two.
  */
 #ifndef CEDARWINCH_BASE_EVENT_NAMES_H
 #define CEDARWINCH_BASE_EVENT_NAMES_H
 
-/* X(symbol, name in the log, level, lines a second) */
+/* X(symbol, name in the log, level, limit of lines per second) */
 #define CW_EVENT_TABLE(X)                                                                                              \
     X(START, "start", NOTICE, 10)                                                                                      \
     X(STOP, "stop", NOTICE, 10)                                                                                        \
--- a/src/base/fatal_signal.c
+++ b/src/base/fatal_signal.c
@@ -1,10 +1,10 @@
 /**
  * @file fatal_signal.c
- * @brief What can be prepared is prepared at installation; the handler only copies bytes into a fixed buffer and writes
- * it.
+ * @brief Handlers of fatal signals.
  *
- * The line goes out in two writes: what the signal itself says first, the return addresses after it, since the walk
- * over a damaged stack may itself fault.
+ * The build id, the load address and the unwinder are prepared at installation; the handler only copies bytes into a
+ * fixed buffer and writes it. The line is written in two parts: first the data of the signal itself, then the return
+ * addresses, because unwinding a damaged stack may itself fault.
  */
 #include "base/fatal_signal.h"
 
@@ -24,10 +24,11 @@
     LINE_MAX_BYTES = 2048,
     NODE_MAX = 64,
     REQUEST_MAX = 64,
-    BUILD_MAX = 41,           /* 20 bytes of a build id in hexadecimal */
-    FRAMES_MAX = 32,          /* of the daemon's deepest usual stack, some 20 */
-    STACK_BYTES = 128 * 1024, /* handlers of other libraries that ask for it run there too */
-    NOTE_BUILD_ID = 3,        /* NT_GNU_BUILD_ID */
+    BUILD_MAX = 41,  /* 20 bytes of a build id in hexadecimal, and NUL */
+    FRAMES_MAX = 32, /* return addresses shown; the daemon's stack usually has at most some 20 */
+    STACK_BYTES =
+        128 * 1024,    /* of the alternate stack; handlers of other libraries that use SA_ONSTACK run on it, too */
+    NOTE_BUILD_ID = 3, /* NT_GNU_BUILD_ID */
     NOTE_ALIGNMENT = 4,
     MS_DIGITS = 3,
     HEX_BASE = 16,
@@ -48,15 +49,15 @@
 
 static struct {
     char      node[NODE_MAX];
-    char      request[REQUEST_MAX]; /* empty: none */
+    char      request[REQUEST_MAX]; /* id of the current request; empty: none */
     char      build[BUILD_MAX];
     uintptr_t load_address;
-    uintptr_t program_end; /* addresses from load_address to here are the program's own */
+    uintptr_t program_end; /* addresses from load_address up to this one belong to the program itself */
     line_t    line;
     char      stack[STACK_BYTES];
 } state;
 
-/* ---- bytes of the line; each of these is async-signal-safe ---- */
+/* ---- composing the line; all of these functions are async-signal-safe ---- */
 
 static void put_char(line_t *line, char byte)
 {
@@ -72,7 +73,7 @@
     }
 }
 
-static void put_digits(line_t *line, uint64_t value, uint64_t base, size_t least)
+static void put_digits(line_t *line, uint64_t value, uint64_t base, size_t digits_min)
 {
     char   digits[DIGITS_MAX];
     size_t count = 0;
@@ -80,7 +81,7 @@
     do {
         digits[count++] = "0123456789abcdef"[value % base];
         value /= base;
-    } while (value > 0 || count < least);
+    } while (value > 0 || count < digits_min);
     while (count > 0) {
         put_char(line, digits[--count]);
     }
@@ -99,7 +100,7 @@
     put_text(line, "\":");
 }
 
-/* What would end the text, or is not plain ASCII, is shown as a question mark. */
+/* Quotes, backslashes and bytes that are not printable ASCII are replaced by question marks. */
 static void put_quoted(line_t *line, const char *text)
 {
     put_char(line, '"');
@@ -116,7 +117,8 @@
     put_char(line, '"');
 }
 
-/* An address of the program as addr2line takes it; one of a library as it is, marked. */
+/* An address of the program is written relative to its load address, as addr2line expects it; an address of a library
+ * is written as it is, after an at sign. */
 static void put_address(line_t *line, uintptr_t address)
 {
     if (address >= state.load_address && address < state.program_end) {
@@ -135,7 +137,7 @@
     while (line->length > 0) {
         written = write(STDOUT_FILENO, from, line->length);
         if (written <= 0) {
-            break; /* the reader does not read: nothing else can be done here */
+            break; /* the reader of the log does not read: the handler cannot wait for it */
         }
         from += written;
         line->length -= (size_t)written;
@@ -188,7 +190,7 @@
     put_quoted(line, cw_event_kind_name(CW_EVENT_FATAL_SIGNAL));
     put_name(line, CW_FIELD_SIGNAL);
     put_quoted(line, signal_name(number));
-    if (information->si_code <= 0) { /* sent by a process, not by a fault: kill(2), raise(3), abort(3) */
+    if (information->si_code <= 0) { /* sent by a process, not caused by a fault: kill(2), raise(3), abort(3) */
         put_name(line, CW_FIELD_SENDER);
         put_digits(line, (uint64_t)information->si_pid, DECIMAL_BASE, 1);
     } else {
@@ -208,7 +210,7 @@
     put_address(line, instruction_of(context));
 }
 
-/* The frames under the one that was interrupted; the handler's own and the kernel's are left out. */
+/* The callers of the interrupted function; the frames of the handler and of the kernel's trampoline are left out. */
 static void put_frames(line_t *line, uintptr_t instruction)
 {
     void *frames[FRAMES_MAX];
@@ -227,12 +229,13 @@
     }
 }
 
-/* SA_RESETHAND has put the default course back: a fault happens again on return, a signal that was sent is raised. */
+/* SA_RESETHAND has restored the default action, so raise() at the end terminates the process: a fault would happen
+ * again on return, but a signal that another process sent would not. */
 static void on_fatal_signal(int number, siginfo_t *information, void *context)
 {
     line_t *line = &state.line;
 
-    cw_event_log_write_at_end();
+    cw_event_log_write_before_exit();
     line->length = 0;
     put_head(line, number, information, context);
     write_line(line);
@@ -266,7 +269,7 @@
     }
 }
 
-/* The first object is the program itself. */
+/* The first object that dl_iterate_phdr passes is the program itself; 1 ends the iteration after it. */
 static int on_object(struct dl_phdr_info *object, size_t size, void *context)
 {
     int index;
@@ -305,10 +308,11 @@
 
     copy_bounded(state.node, node, sizeof(state.node));
     (void)dl_iterate_phdr(on_object, NULL);
-    (void)backtrace(&frame, 1); /* loads the unwinder now, so that the handler allocates nothing */
+    (void)backtrace(&frame, 1); /* loads the unwinder now, so that the handler does not allocate memory */
     action.sa_flags = SA_SIGINFO | (int)SA_RESETHAND;
     if (sigaltstack(&stack, NULL) == 0) {
-        action.sa_flags |= SA_ONSTACK; /* else an overflow of the stack is not reported; all else is */
+        action.sa_flags |=
+            SA_ONSTACK; /* without an alternate stack, every fault but a stack overflow is still reported */
     }
     sigemptyset(&action.sa_mask);
     for (index = 0; index < sizeof(signals) / sizeof(signals[0]); index++) {
--- a/src/base/findings.c
+++ b/src/base/findings.c
@@ -1,6 +1,6 @@
 /**
  * @file findings.c
- * @brief Collects findings with their place.
+ * @brief List of findings, and its output as text and JSON.
  */
 #include "base/findings.h"
 
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { FIRST_CAPACITY = 8 };
+enum { INITIAL_CAPACITY = 8 };
 
 void cw_findings_init(cw_findings_t *findings)
 {
@@ -24,7 +24,7 @@
     if (findings->count < findings->capacity) {
         return 0;
     }
-    capacity = findings->capacity == 0 ? FIRST_CAPACITY : 2 * findings->capacity;
+    capacity = findings->capacity == 0 ? INITIAL_CAPACITY : 2 * findings->capacity;
     items = realloc(findings->items, capacity * sizeof(*items));
     if (items == NULL) {
         return -1;
--- a/src/base/loop_clock.c
+++ b/src/base/loop_clock.c
@@ -1,6 +1,6 @@
 /**
  * @file loop_clock.c
- * @brief Compares CLOCK_BOOTTIME with CLOCK_MONOTONIC after each wait of the loop.
+ * @brief Measures suspensions: compares CLOCK_BOOTTIME with CLOCK_MONOTONIC after each wait of the loop.
  */
 #include "base/loop_clock.h"
 
@@ -9,31 +9,31 @@
 #include <time.h>
 
 enum {
-    NOTABLE_MS = 10 /* two readings of the clocks differ by what the process waits for its turn between them */
+    SUSPENSION_MIN_MS = 10 /* shorter differences occur when the process is not scheduled between the two readings */
 };
 
-/** The one clock of this process. */
+/** The clock of this process. */
 static struct {
-    const uv_loop_t      *loop; /* NULL: none */
+    const uv_loop_t      *loop; /* the loop that the clock is attached to; NULL: none */
     uv_prepare_t          before_wait;
-    bool                  has_waited;  /* the loop, since the clocks were compared, */
-    uint64_t              compared_ms; /* which was at this time of the loop */
+    bool                  has_waited;  /* the loop has waited since the clocks were compared */
+    uint64_t              compared_ms; /* time of the loop at the last comparison */
     cw_suspended_reader_t read;
     void                 *context;
-    cw_time_us_t          at_begin;  /* suspended since boot when the clock began */
-    cw_time_us_t          suspended; /* since then */
-    cw_time_us_t          taken;     /* of it, told by cw_loop_clock_take_suspension */
+    cw_time_us_t          at_begin;  /* suspended time since boot when the clock began */
+    cw_time_us_t          suspended; /* suspended time since the clock began */
+    cw_time_us_t          reported;  /* part of `suspended` that cw_loop_clock_take_suspension has returned */
 } loop_clock;
 
 static cw_time_us_t read_clock(clockid_t clock)
 {
     struct timespec time = {0};
 
-    (void)clock_gettime(clock, &time); /* fails for unknown clocks only: both are Linux's since 2.6.39 */
+    (void)clock_gettime(clock, &time); /* fails only for unknown clocks: Linux has both since 2.6.39 */
     return CW_SECONDS(time.tv_sec) + time.tv_nsec / 1000;
 }
 
-/* CLOCK_MONOTONIC is read last: whatever passes between the two makes the difference smaller. */
+/* CLOCK_MONOTONIC is read last: time that passes between the two readings makes the result smaller, never larger. */
 static cw_time_us_t read_suspended(void *context)
 {
     cw_time_us_t with_suspension = read_clock(CLOCK_BOOTTIME);
@@ -64,7 +64,7 @@
     loop_clock.context = context;
     loop_clock.at_begin = loop_clock.read(context);
     loop_clock.suspended = 0;
-    loop_clock.taken = 0;
+    loop_clock.reported = 0;
     loop_clock.has_waited = true;
     return 0;
 }
@@ -75,7 +75,7 @@
     loop_clock.loop = NULL;
 }
 
-/* Never back: a reading may be a little short. */
+/* The suspended time never decreases: a reading may be slightly too small. */
 static void compare_clocks(void)
 {
     cw_time_us_t suspended = loop_clock.read(loop_clock.context) - loop_clock.at_begin;
@@ -100,11 +100,11 @@
 
 cw_time_us_t cw_loop_clock_take_suspension(void)
 {
-    cw_time_us_t found = loop_clock.suspended - loop_clock.taken;
+    cw_time_us_t found = loop_clock.suspended - loop_clock.reported;
 
-    if (found < CW_MS(NOTABLE_MS)) {
+    if (found < CW_MS(SUSPENSION_MIN_MS)) {
         return 0;
     }
-    loop_clock.taken = loop_clock.suspended;
+    loop_clock.reported = loop_clock.suspended;
     return found;
 }
--- a/src/base/loop_clock.h
+++ b/src/base/loop_clock.h
@@ -1,14 +1,15 @@
 /**
  * @file loop_clock.h
- * @brief Time of the process's event loop, which goes on while the machine is suspended.
+ * @brief Clock of the process's event loop that includes the time for which the machine was suspended.
  *
- * libuv's time stands on CLOCK_MONOTONIC, which stops while a machine is suspended; CLOCK_BOOTTIME goes on. Leases,
- * tokens, deadlines and the age of what a node knows must not last longer by it, so their time is the loop's time and
- * what the machine was suspended since the clock began. After a suspension all of them are as old as after a freeze of
- * the process, before anything is served or ordered: the two clocks are compared at the first look after each wait of
- * the loop. libuv's timers go by the loop's time alone, and fire later by what was suspended.
+ * libuv's time is CLOCK_MONOTONIC, which stops while a machine is suspended; CLOCK_BOOTTIME does not stop. A suspension
+ * must not prolong leases, tokens, deadlines or the validity of a node's data. They therefore use this clock: the
+ * loop's time plus the time for which the machine was suspended since the clock began. After a suspension they have
+ * expired as they would have after a freeze of the process, before any request is served and any order is sent: the two
+ * clocks are compared when the time is read for the first time after each wait of the loop. libuv's timers use the
+ * loop's time alone and fire later by the suspended time.
  *
- * A process has one loop with such a clock; the time of other loops is libuv's.
+ * A process has one loop with such a clock; the time of its other loops is libuv's.
  */
 #ifndef CEDARWINCH_BASE_LOOP_CLOCK_H
 #define CEDARWINCH_BASE_LOOP_CLOCK_H
@@ -17,18 +18,21 @@
 
 #include "base/time.h"
 
-/** Time for which the machine has been suspended since its boot, or a little less; never more. */
+/** Returns the time for which the machine has been suspended since its boot. The result may be slightly too small, but
+ * never too large. */
 typedef cw_time_us_t (*cw_suspended_reader_t)(void *context);
 
-/** The clock of this loop from now on. read: NULL for the system's clocks. Returns 0 or a libuv error. */
+/** Attaches the clock to a loop. read: source of the suspended time, for tests; NULL: the system's clocks. context:
+ * passed to `read`. Returns 0 or a libuv error. */
 int cw_loop_clock_begin(uv_loop_t *loop, cw_suspended_reader_t read, void *context);
-/** The loop is closed, or its clock is libuv's again. */
+/** Detaches the clock, before the loop is closed or to return it to libuv's time. */
 void cw_loop_clock_end(void);
 
-/** Time of the loop, microseconds. */
+/** Current time of a loop in microseconds: this clock if it is attached to the loop, else libuv's time. */
 cw_time_us_t cw_loop_now(const uv_loop_t *loop);
 
-/** Suspended time that was found since the last call; what is shorter than a few milliseconds is kept for the next. */
+/** Returns the suspended time that was found since the last call, for the log and the metrics. Less than 10 ms counts
+ * as 0 and is added to the result of a later call. */
 cw_time_us_t cw_loop_clock_take_suspension(void);
 
 #endif
--- a/src/base/memory.c
+++ b/src/base/memory.c
@@ -1,12 +1,12 @@
 /**
  * @file memory.c
- * @brief Allocation that ends the process when it fails.
+ * @brief Allocation that aborts the process when it fails.
  */
 #include "base/memory.h"
 
 #include <stdlib.h>
 
-static void *present(void *memory)
+static void *abort_if_null(void *memory)
 {
     if (memory == NULL) {
         abort();
@@ -16,15 +16,15 @@
 
 void *cw_memory_zeroed(size_t bytes)
 {
-    return present(calloc(1, bytes));
+    return abort_if_null(calloc(1, bytes));
 }
 
 void *cw_memory_zeroed_items(size_t count, size_t item_bytes)
 {
-    return present(calloc(count, item_bytes));
+    return abort_if_null(calloc(count, item_bytes));
 }
 
 void *cw_memory_resize(void *memory, size_t bytes)
 {
-    return present(realloc(memory, bytes));
+    return abort_if_null(realloc(memory, bytes));
 }
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -1,6 +1,6 @@
 /**
  * @file metrics.c
- * @brief Counters and histograms.
+ * @brief Counters, gauges and histograms.
  */
 #include "base/metrics.h"
 
@@ -29,7 +29,7 @@
 static const metric_row_t histogram_rows[] = {CW_HISTOGRAM_TABLE(HISTOGRAM_ROW)};
 #undef HISTOGRAM_ROW
 
-/** Upper bounds of the buckets; the last one has none. */
+/** Upper bounds of the buckets; the last bucket is unbounded. */
 static const cw_time_us_t bounds_us[BUCKETS - 1] = {CW_MS(1),    CW_MS(5),    CW_MS(10),  CW_MS(25),
                                                     CW_MS(50),   CW_MS(100),  CW_MS(250), CW_MS(500),
                                                     CW_MS(1000), CW_MS(2500), CW_MS(5000)};
@@ -41,7 +41,7 @@
 } route_histogram_t;
 
 static uint64_t           values[CW_METRICS];
-static route_histogram_t *routes[ROUTES_MAX]; /* the last one counts all routes beyond */
+static route_histogram_t *routes[ROUTES_MAX]; /* the last one is shared by all further routes */
 static size_t             route_count;
 
 void cw_metric_add(cw_metric_t metric, uint64_t amount)
@@ -78,14 +78,14 @@
 
 void cw_histogram_add(cw_histogram_t histogram, const char *route, cw_time_us_t value)
 {
-    route_histogram_t *counted = route_of(route);
+    route_histogram_t *row = route_of(route);
     size_t             bucket = 0;
 
     while (bucket < BUCKETS - 1 && value > bounds_us[bucket]) {
         bucket++;
     }
-    counted->buckets[histogram][bucket]++;
-    counted->sum_s[histogram] += (double)value / 1e6;
+    row->buckets[histogram][bucket]++;
+    row->sum_s[histogram] += (double)value / 1e6;
 }
 
 static void write_head(cw_bytes_t *text, const metric_row_t *row)
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,6 +1,6 @@
 /**
  * @file metrics.h
- * @brief Counters, gauges and latency histograms of this process, as Prometheus text. One table names them all.
+ * @brief Counters, gauges and latency histograms of this process, as Prometheus text. Two tables define all of them.
  */
 #ifndef CEDARWINCH_BASE_METRICS_H
 #define CEDARWINCH_BASE_METRICS_H
@@ -11,7 +11,7 @@
 #include "base/byte_buffer.h"
 #include "base/time.h"
 
-/* X(symbol, name, type, help). What shows a node's state comes first: collectors may cut a long text short. */
+/* X(symbol, name, type, help). Metrics that show a node's state come first: collectors may truncate a long text. */
 #define CW_METRIC_TABLE(X)                                                                                             \
     X(LEADING, "cedarwinch_leading", "gauge", "1 while this node leads with authority")                                \
     X(CONFIGURATION, "cedarwinch_configuration_version", "gauge", "configuration in force")                            \
@@ -153,7 +153,7 @@
     X(QUEUED, "cedarwinch_queued", "gauge", "requests waiting for a slot")                                             \
     X(MEMORY, "cedarwinch_memory_bytes", "gauge", "resident memory")
 
-/* X(symbol, name, help); all in seconds */
+/* X(symbol, name, help). All histograms are in seconds. */
 #define CW_HISTOGRAM_TABLE(X)                                                                                          \
     X(QUEUE, "cedarwinch_queue_seconds", "time from a request's arrival to its sending")                               \
     X(SERVER, "cedarwinch_server_seconds", "time from sending to the whole answer")                                    \
@@ -168,16 +168,20 @@
 typedef enum cw_histogram { CW_HISTOGRAM_TABLE(CW_HISTOGRAM_SYMBOL) CW_HISTOGRAMS } cw_histogram_t;
 #undef CW_HISTOGRAM_SYMBOL
 
-void     cw_metric_add(cw_metric_t metric, uint64_t amount);
-void     cw_metric_set(cw_metric_t metric, uint64_t value);
+/** Adds to a counter. */
+void cw_metric_add(cw_metric_t metric, uint64_t amount);
+/** Sets a gauge. */
+void cw_metric_set(cw_metric_t metric, uint64_t value);
+/** Current value of a counter or a gauge. */
 uint64_t cw_metric_value(cw_metric_t metric);
-/** Counts one latency of a route. */
+/** Adds one latency of a route to a histogram. The first 31 routes have histograms of their own; all others share one,
+ * "other". */
 void cw_histogram_add(cw_histogram_t histogram, const char *route, cw_time_us_t value);
-/** Appends all metrics. */
+/** Appends all metrics but those by tenant as Prometheus text. */
 void cw_metrics_append(cw_bytes_t *text);
-/** All metrics as text, to be freed. */
+/** All metrics as Prometheus text; the caller frees it with free(). */
 char *cw_metrics_text(size_t *length);
-/** Forgets everything; for tests. */
+/** Resets all metrics; for tests. */
 void cw_metrics_reset(void);
 
 #endif
--- a/src/base/send_allowance.c
+++ b/src/base/send_allowance.c
@@ -1,6 +1,6 @@
 /**
  * @file send_allowance.c
- * @brief How many bytes may be sent now; rules in send_allowance.h.
+ * @brief Token bucket that limits the bytes sent per second; send_allowance.h describes the rules.
  */
 #include "base/send_allowance.h"
 
@@ -11,10 +11,10 @@
 
 void cw_send_allowance_refill(cw_send_allowance_t *allowance, cw_time_us_t now)
 {
-    double most = allowance->bytes_per_s * (double)allowance->burst / 1e6;
+    double burst_bytes = allowance->bytes_per_s * (double)allowance->burst / 1e6;
 
     allowance->bytes += allowance->bytes_per_s * (double)(now - allowance->filled_at) / 1e6;
-    allowance->bytes = allowance->bytes > most ? most : allowance->bytes;
+    allowance->bytes = allowance->bytes > burst_bytes ? burst_bytes : allowance->bytes;
     allowance->filled_at = now;
 }
 
--- a/src/base/send_allowance.h
+++ b/src/base/send_allowance.h
@@ -1,11 +1,12 @@
 /**
  * @file send_allowance.h
- * @brief How many bytes may be sent now: a token bucket that grows with time up to a burst.
+ * @brief Token bucket that limits the bytes sent per second.
  *
- * What is sent is taken off whole, so that the allowance may go below zero; then nothing more is sent until time has
- * brought it back above zero. So a datagram larger than the burst can still be sent.
+ * Sending is permitted while the allowance is above zero, and the whole size is subtracted, so the allowance may become
+ * negative; then nothing more is sent until it has grown above zero again. A datagram larger than the burst can
+ * therefore still be sent.
  *
- * No I/O, no clock.
+ * The module does no I/O and reads no clock.
  */
 #ifndef CEDARWINCH_BASE_SEND_ALLOWANCE_H
 #define CEDARWINCH_BASE_SEND_ALLOWANCE_H
@@ -15,19 +16,21 @@
 
 #include "base/time.h"
 
+/** State of the bucket. */
 typedef struct cw_send_allowance {
-    double       bytes_per_s; /**< 0: any number may be sent */
-    cw_time_us_t burst;       /**< the allowance is at most what so much time brings */
-    double       bytes;       /**< that may be sent now */
-    cw_time_us_t filled_at;
+    double       bytes_per_s; /**< 0: unlimited */
+    cw_time_us_t burst;       /**< the allowance never exceeds what is added in this time */
+    double       bytes;       /**< the allowance: bytes that may be sent now; may be negative */
+    cw_time_us_t filled_at;   /**< time of the last refill */
 } cw_send_allowance_t;
 
-/** Empty, as of the start of the clock: a process has a whole burst at its first refill. */
+/** Makes an empty bucket, last filled at time 0 (the clock's start): the first refill gives a process a whole burst. */
 void cw_send_allowance_init(cw_send_allowance_t *allowance, double bytes_per_s, cw_time_us_t burst);
-/** Adds what the time since the last refill has brought. */
+/** Adds the bytes for the time since the last refill. */
 void cw_send_allowance_refill(cw_send_allowance_t *allowance, cw_time_us_t now);
+/** Whether anything may be sent now. */
 bool cw_send_allowance_has_any(const cw_send_allowance_t *allowance);
-/** So many bytes were sent. */
+/** Subtracts bytes that were sent. */
 void cw_send_allowance_spend(cw_send_allowance_t *allowance, size_t bytes);
 
 #endif
--- a/src/base/tenant_metrics.c
+++ b/src/base/tenant_metrics.c
@@ -11,7 +11,10 @@
 
 #include "base/memory.h"
 
-enum { KEPT_MOST = 16384 /* tenants, some 150 bytes each; those that come later count as others */ };
+enum {
+    TENANTS_MAX =
+        16384 /* tenants counted separately, some 150 bytes each; tenants that come later are counted as others */
+};
 
 typedef struct tenant_row {
     char          *name;
@@ -30,7 +33,7 @@
 
 static const char    others_name[] = "(others)";
 static tenant_row_t *rows;
-static tenant_row_t  others; /* beyond those kept */
+static tenant_row_t  others; /* sum of all tenants beyond TENANTS_MAX */
 
 static tenant_row_t *row_of(const char *tenant)
 {
@@ -40,7 +43,7 @@
     if (row != NULL) {
         return row;
     }
-    if (HASH_COUNT(rows) >= KEPT_MOST) {
+    if (HASH_COUNT(rows) >= TENANTS_MAX) {
         return &others;
     }
     row = cw_memory_zeroed(sizeof(*row));
@@ -110,7 +113,7 @@
 
     HASH_ITER(hh, rows, row, next)
     {
-        HASH_DEL(rows, row); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
+        HASH_DEL(rows, row); /* NOLINT(clang-analyzer-unix.Malloc): the analyzer does not understand uthash's macros */
         free(row->name);
         free(row);
     }
--- a/src/base/tenant_metrics.h
+++ b/src/base/tenant_metrics.h
@@ -1,7 +1,7 @@
 /**
  * @file tenant_metrics.h
- * @brief Counters by tenant, of which the largest tenants are given by name and the rest as a sum. One table names them
- * all.
+ * @brief Counters by tenant. The largest tenants are shown by name, all others as one sum. One table defines all
+ * counters.
  */
 #ifndef CEDARWINCH_BASE_TENANT_METRICS_H
 #define CEDARWINCH_BASE_TENANT_METRICS_H
@@ -22,8 +22,12 @@
 typedef enum cw_tenant_metric { CW_TENANT_METRIC_TABLE(CW_TENANT_METRIC_SYMBOL) CW_TENANT_METRICS } cw_tenant_metric_t;
 #undef CW_TENANT_METRIC_SYMBOL
 
-enum { CW_TENANT_METRICS_LARGEST = 20 /**< tenants by name, those with most requests; all others as "(others)" */ };
+enum {
+    CW_TENANT_METRICS_LARGEST =
+        20 /**< tenants shown by name: those with the most requests; all others are "(others)" */
+};
 
+/** Adds to a counter of a tenant. */
 void cw_tenant_metric_add(cw_tenant_metric_t metric, const char *tenant, uint64_t amount);
 
 /** One tenant's counters. */
@@ -32,11 +36,11 @@
     uint64_t    values[CW_TENANT_METRICS];
 } cw_tenant_counts_t;
 
-/** The largest tenants, then the sum of the others; their number, at least 1. */
+/** Fills in the largest tenants, then the sum of all others; returns the number of rows, at least 1. */
 size_t cw_tenant_metrics_largest(cw_tenant_counts_t largest[CW_TENANT_METRICS_LARGEST + 1]);
-/** As Prometheus text. */
+/** Appends the counters as Prometheus text. */
 void cw_tenant_metrics_write(cw_bytes_t *text);
-/** Forgets everything; for tests. */
+/** Resets all counters; for tests. */
 void cw_tenant_metrics_reset(void);
 
 #endif
--- a/src/base/text.c
+++ b/src/base/text.c
@@ -1,6 +1,6 @@
 /**
  * @file text.c
- * @brief Copies of short texts.
+ * @brief Copies short texts into buffers of fixed size.
  */
 #include "base/text.h"
 
--- a/src/base/version.h
+++ b/src/base/version.h
@@ -1,6 +1,6 @@
 /**
  * @file version.h
- * @brief Version of cedarwinch, as the programs print it.
+ * @brief Version of cedarwinch that the programs print.
  */
 #ifndef CEDARWINCH_VERSION_H
 #define CEDARWINCH_VERSION_H
--- a/src/config/router_settings.c
+++ b/src/config/router_settings.c
@@ -1,6 +1,6 @@
 /**
  * @file router_settings.c
- * @brief Settings of one node.
+ * @brief Reading, defaults and checks of the settings of one node.
  */
 #include "config/router_settings.h"
 
@@ -22,22 +22,24 @@
     DRAIN_MS = 2000,
     HEARTBEAT_MS = 1000,
     CONFIGURATION_MS = 2000,
-    LEADER_HOLD_PERCENT = 60, /* of a grant's hold: the rest is for another leader to renew in */
+    LEADER_HOLD_PERCENT = 60, /* of hold_ms, at most: in the rest of the hold another leader can renew the grant */
     STOP_GRACE_MS = 6000,
     LINK_MBPS = 1000,
     LINK_MBPS_MAX = 1000000,
-    REMOTE_BYTE_COST_MS_PER_MB = 30000, /* a body of 60 KB waits 1.8 s, longer than usual objectives: it stays in its
-                                         * region while there is a slot in time; a kilobyte waits 30 ms, about as long
-                                         * as the way itself takes: it crosses as soon as a queue forms */
+    REMOTE_BYTE_COST_MS_PER_MB = 30000, /* sending a body of 60 KB costs 1.8 s, longer than usual objectives: it stays
+                                         * in its region while that has a slot in time. A kilobyte costs 30 ms, about
+                                         * the latency of the way itself: it leaves the region as soon as a queue
+                                         * forms */
     RETRY_WINDOW_MS = 10000,
     RETRY_EXTRA = 20,
     PIPELINE_DEPTH = 16,
     PIPELINE_DEPTH_MAX = 1000,
     PIPELINE_BYTES = 256 * 1024,
     MEMORY_MB_MAX = 1024 * 1024,
-    BODY_BYTES_MOST = 64 * 1024 * 1024, /* where the node's memory is not told */
-    BODY_MEMORY_PART = 4,               /* of the node's memory: bodies are sent from where they are read, held once */
-    BODY_WAIT_MS = 300,                 /* some two usual requests at a server, whose end gives memory back */
+    BODY_BYTES_DEFAULT = 64 * 1024 * 1024, /* default if memory_mb is not set */
+    BODY_MEMORY_DIVISOR = 4, /* bodies may take a quarter of the node's memory; each is held once, since it is sent from
+                              * the buffer that it was read into */
+    BODY_WAIT_MS = 300, /* about the duration of two usual requests at a server; when one ends, it frees its memory */
     LIMIT_WINDOW_MS = 5000,
     LIMIT_SLACK = 20
 };
@@ -139,18 +141,18 @@
     }
 }
 
-/* "ZONE=REGION" */
-static bool zone_region_from_text(cw_zone_region_t *place, const char *text)
+/* Parses "ZONE=REGION". */
+static bool zone_region_from_text(cw_zone_region_t *zone_region, const char *text)
 {
     const char *equals = strchr(text, '=');
     size_t      length = equals == NULL ? 0 : (size_t)(equals - text);
 
-    if (length == 0 || length >= sizeof(place->zone) || equals[1] == '\0' ||
-        strlen(equals + 1) >= sizeof(place->region)) {
+    if (length == 0 || length >= sizeof(zone_region->zone) || equals[1] == '\0' ||
+        strlen(equals + 1) >= sizeof(zone_region->region)) {
         return false;
     }
-    snprintf(place->zone, sizeof(place->zone), "%.*s", (int)length, text);
-    snprintf(place->region, sizeof(place->region), "%s", equals + 1);
+    snprintf(zone_region->zone, sizeof(zone_region->zone), "%.*s", (int)length, text);
+    snprintf(zone_region->region, sizeof(zone_region->region), "%s", equals + 1);
     return true;
 }
 
@@ -187,9 +189,9 @@
 }
 
 static cw_time_us_t read_ms(cw_yaml_mapping_t *mapping, const char *key, uint64_t low, uint64_t high,
-                            cw_time_us_t present)
+                            cw_time_us_t fallback)
 {
-    return CW_MS(cw_yaml_number(mapping, key, low, high, (uint64_t)(present / 1000)));
+    return CW_MS(cw_yaml_number(mapping, key, low, high, (uint64_t)(fallback / 1000)));
 }
 
 static void read_peer_bind(cw_router_settings_t *settings, cw_yaml_mapping_t *mapping)
@@ -220,16 +222,16 @@
     read_endpoint(mapping, "store", true, &settings->store);
 }
 
-/* Servers take no longer hold than this; what builds on holds is shortened with them. */
-static void limit_holds(cw_router_settings_t *settings, cw_time_us_t most)
+/* Shortens the holds to the longest hold that servers accept; the leader's lease keeps its maximal ratio to them. */
+static void limit_holds(cw_router_settings_t *settings, cw_time_us_t hold_max)
 {
-    if (settings->hold_long > most) {
-        settings->hold_long = most;
+    if (settings->hold_long > hold_max) {
+        settings->hold_long = hold_max;
     }
-    if (settings->hold > most) {
-        settings->hold = most;
-        if (settings->leader_hold > most * LEADER_HOLD_PERCENT / 100) {
-            settings->leader_hold = most * LEADER_HOLD_PERCENT / 100;
+    if (settings->hold > hold_max) {
+        settings->hold = hold_max;
+        if (settings->leader_hold > hold_max * LEADER_HOLD_PERCENT / 100) {
+            settings->leader_hold = hold_max * LEADER_HOLD_PERCENT / 100;
         }
     }
 }
@@ -289,20 +291,20 @@
 
 static void read_connections(cw_router_settings_t *settings, cw_yaml_mapping_t *mapping)
 {
-    size_t most;
+    size_t body_bytes;
 
     settings->pipeline_depth =
         (uint32_t)cw_yaml_number(mapping, "pipeline_depth", 1, PIPELINE_DEPTH_MAX, settings->pipeline_depth);
     settings->pipeline_bytes = cw_yaml_number(mapping, "pipeline_bytes", 1024, SIZE_MAX, settings->pipeline_bytes);
     settings->memory_mb = (uint32_t)cw_yaml_real(mapping, "memory_mb", 0, MEMORY_MB_MAX, 0);
-    most = (size_t)settings->memory_mb * 1024 * 1024 / BODY_MEMORY_PART;
+    body_bytes = (size_t)settings->memory_mb * 1024 * 1024 / BODY_MEMORY_DIVISOR;
     settings->body_bytes_most = cw_yaml_number(mapping, "body_bytes_most", 64 * 1024, SIZE_MAX,
-                                               settings->memory_mb == 0 ? BODY_BYTES_MOST : most);
+                                               settings->memory_mb == 0 ? BODY_BYTES_DEFAULT : body_bytes);
     settings->body_wait = read_ms(mapping, "body_wait_ms", 0, 60000, settings->body_wait);
 }
 
-/* Checks that span several keys. */
-static void check(const cw_router_settings_t *settings, cw_yaml_mapping_t *mapping)
+/* Checks conditions between several keys. */
+static void check_combinations(const cw_router_settings_t *settings, cw_yaml_mapping_t *mapping)
 {
     if (settings->leader_hold > settings->hold * LEADER_HOLD_PERCENT / 100) {
         cw_yaml_report(mapping->document, mapping->node,
@@ -332,7 +334,7 @@
         read_tuning(settings, &mapping);
         read_credentials(settings, &mapping);
         read_connections(settings, &mapping);
-        check(settings, &mapping);
+        check_combinations(settings, &mapping);
         cw_yaml_finish(&mapping);
     }
     cw_yaml_unload(&document);
--- a/src/config/yaml_tree.c
+++ b/src/config/yaml_tree.c
@@ -1,6 +1,6 @@
 /**
  * @file yaml_tree.c
- * @brief Typed reading of a YAML document with findings.
+ * @brief Typed reading of a YAML document.
  */
 #include "config/yaml_tree.h"
 
@@ -13,7 +13,7 @@
 
 #include "base/error.h"
 
-enum { DIGEST_TEXT_LENGTH = 2 * CW_TOKEN_DIGEST_BYTES, MESSAGE_MAX = 512 };
+enum { DIGEST_TEXT_LENGTH = 2 * CW_YAML_DIGEST_BYTES, MESSAGE_MAX = 512 };
 
 int cw_yaml_load(cw_yaml_document_t *document, const char *text, size_t length, const char *file_name,
                  cw_findings_t *findings)
@@ -99,7 +99,7 @@
     return false;
 }
 
-/* Appends the known keys to a text, so that a finding says what would be right. */
+/* Writes the known keys, separated by commas, for a finding about an unknown key. */
 static void list_known(const cw_yaml_mapping_t *mapping, char *text, size_t size)
 {
     size_t position;
@@ -295,7 +295,7 @@
     return -1;
 }
 
-static bool parse_digest(const char *text, size_t length, uint8_t digest[CW_TOKEN_DIGEST_BYTES])
+static bool parse_digest(const char *text, size_t length, uint8_t digest[CW_YAML_DIGEST_BYTES])
 {
     size_t position;
     int    high;
@@ -304,7 +304,7 @@
     if (length != DIGEST_TEXT_LENGTH) {
         return false;
     }
-    for (position = 0; position < CW_TOKEN_DIGEST_BYTES; position++) {
+    for (position = 0; position < CW_YAML_DIGEST_BYTES; position++) {
         high = hexadecimal_digit(text[2 * position]);
         low = hexadecimal_digit(text[2 * position + 1]);
         if (high < 0 || low < 0) {
@@ -315,7 +315,7 @@
     return true;
 }
 
-bool cw_yaml_digest(cw_yaml_document_t *document, const yaml_node_t *node, uint8_t digest[CW_TOKEN_DIGEST_BYTES])
+bool cw_yaml_digest(cw_yaml_document_t *document, const yaml_node_t *node, uint8_t digest[CW_YAML_DIGEST_BYTES])
 {
     if (node == NULL) {
         return false;
--- a/src/intent/intent.c
+++ b/src/intent/intent.c
@@ -1,6 +1,6 @@
 /**
  * @file intent.c
- * @brief Reading of intents.
+ * @brief Parsing and checks of intents.
  */
 #include "intent/intent.h"
 
@@ -21,7 +21,7 @@
     NAME_BYTES = 160
 };
 
-static char *full_name(const cw_intent_t *intent, const char *name)
+static char *qualified_name(const cw_intent_t *intent, const char *name)
 {
     char text[NAME_BYTES];
 
@@ -38,11 +38,11 @@
 
 static void read_service(cw_intent_t *intent, cw_yaml_document_t *document, yaml_node_t *node)
 {
-    cw_service_t     *service = cw_configuration_add_service(intent->part);
+    cw_service_t     *service = cw_configuration_add_service(intent->configuration);
     cw_yaml_mapping_t mapping;
 
     cw_yaml_open(&mapping, document, node, "a service");
-    service->name = full_name(intent, cw_yaml_name(&mapping, "name", true));
+    service->name = qualified_name(intent, cw_yaml_name(&mapping, "name", true));
     service->keyed = cw_yaml_flag(&mapping, "keyed", false);
     service->max_connections = (uint32_t)cw_yaml_number(&mapping, "max_connections", 1, CONNECTIONS_MAX, 100);
     service->warm_time = read_ms(&mapping, "warm_ms");
@@ -51,16 +51,16 @@
 
 /* ---- routes ---- */
 
-static void add_part(cw_intent_t *intent, cw_route_t *route, cw_yaml_mapping_t *mapping, const char *name,
-                     double weight)
+static void add_split_part(cw_intent_t *intent, cw_route_t *route, cw_yaml_mapping_t *mapping, const char *name,
+                           double weight)
 {
     char *full;
 
     if (name == NULL) {
         return;
     }
-    full = full_name(intent, name);
-    if (cw_configuration_service(intent->part, full) == NULL) {
+    full = qualified_name(intent, name);
+    if (cw_configuration_service(intent->configuration, full) == NULL) {
         cw_yaml_report(mapping->document, mapping->node, "service '%s' is not among this intent's services", name);
     }
     cw_route_add_part(route, full, weight);
@@ -78,7 +78,7 @@
 
         cw_yaml_open(&part, mapping->document, cw_yaml_item(mapping->document, node, position), "a part of a split");
         name = cw_yaml_name(&part, "service", true);
-        add_part(intent, route, &part, name, cw_yaml_real(&part, "weight", 0.001, 1e6, 1));
+        add_split_part(intent, route, &part, name, cw_yaml_real(&part, "weight", 0.001, 1e6, 1));
         cw_yaml_finish(&part);
     }
 }
@@ -93,7 +93,7 @@
         return;
     }
     if (service != NULL) {
-        add_part(intent, route, mapping, service, 1);
+        add_split_part(intent, route, mapping, service, 1);
     } else {
         read_split(intent, route, mapping, split);
     }
@@ -114,8 +114,8 @@
     if (route->timeout > 0 && route->aim > route->timeout) {
         cw_yaml_report(mapping->document, mapping->node, "'aim_ms' must not be above 'timeout_ms'");
     }
-    for (index = 0; index + 1 < intent->part->route_count; index++) {
-        const cw_route_t *other = &intent->part->routes[index];
+    for (index = 0; index + 1 < intent->configuration->route_count; index++) {
+        const cw_route_t *other = &intent->configuration->routes[index];
 
         if (strcmp(other->host, route->host) == 0 && strcmp(other->prefix, route->prefix) == 0) {
             cw_yaml_report(mapping->document, mapping->node, "host '%s' and prefix '%s' have a route already",
@@ -126,12 +126,12 @@
 
 static void read_route(cw_intent_t *intent, cw_yaml_document_t *document, yaml_node_t *node)
 {
-    cw_route_t       *route = cw_configuration_add_route(intent->part);
+    cw_route_t       *route = cw_configuration_add_route(intent->configuration);
     cw_yaml_mapping_t mapping;
     const char       *text;
 
     cw_yaml_open(&mapping, document, node, "a route");
-    route->name = full_name(intent, cw_yaml_name(&mapping, "name", true));
+    route->name = qualified_name(intent, cw_yaml_name(&mapping, "name", true));
     text = cw_yaml_text(&mapping, "host", true);
     route->host = strdup(text == NULL ? "" : text);
     text = cw_yaml_text(&mapping, "prefix", true);
@@ -148,7 +148,7 @@
     cw_yaml_finish(&mapping);
 }
 
-/* ---- the whole ---- */
+/* ---- the intent ---- */
 
 static void read_list(cw_intent_t *intent, cw_yaml_mapping_t *mapping, const char *key,
                       void (*read)(cw_intent_t *, cw_yaml_document_t *, yaml_node_t *))
@@ -170,7 +170,7 @@
     cw_yaml_mapping_t  mapping;
 
     memset(intent, 0, sizeof(*intent));
-    intent->part = cw_configuration_create(0);
+    intent->configuration = cw_configuration_create(0);
     intent->known_regions = regions;
     if (cw_yaml_load(&document, text, length, file_name, findings) == CW_OK) {
         cw_yaml_open(&mapping, &document, document.root, "an intent");
@@ -208,7 +208,7 @@
 
 void cw_intent_clear(cw_intent_t *intent)
 {
-    cw_configuration_release(intent->part);
-    free(intent->key_places);
+    cw_configuration_release(intent->configuration);
+    free(intent->key_locations);
     memset(intent, 0, sizeof(*intent));
 }
--- a/src/intent/intent_tenant.c
+++ b/src/intent/intent_tenant.c
@@ -1,6 +1,6 @@
 /**
  * @file intent_tenant.c
- * @brief The tenant of an intent.
+ * @brief Parsing of the tenant of an intent.
  */
 #include "intent/intent_tenant.h"
 
@@ -12,20 +12,21 @@
 
 enum { PRIORITY_MAX = 100, CONCURRENT_MAX = 10000000 };
 
-static const double rate_max = 1e7; /* requests a second */
+static const double rate_max = 1e7; /* requests per second */
 
 /* ---- keys ---- */
 
 static void add_key(cw_intent_t *intent, cw_tenant_t *tenant, const yaml_node_t *node, const cw_key_digest_t *key)
 {
-    intent->key_places = reallocarray(intent->key_places, intent->key_place_count + 1, sizeof(*intent->key_places));
-    if (intent->key_places == NULL) {
+    intent->key_locations =
+        reallocarray(intent->key_locations, intent->key_location_count + 1, sizeof(*intent->key_locations));
+    if (intent->key_locations == NULL) {
         abort();
     }
-    intent->key_places[intent->key_place_count].key = *key;
-    intent->key_places[intent->key_place_count].line = (unsigned)node->start_mark.line + 1;
-    intent->key_places[intent->key_place_count].column = (unsigned)node->start_mark.column + 1;
-    intent->key_place_count++;
+    intent->key_locations[intent->key_location_count].key = *key;
+    intent->key_locations[intent->key_location_count].line = (unsigned)node->start_mark.line + 1;
+    intent->key_locations[intent->key_location_count].column = (unsigned)node->start_mark.column + 1;
+    intent->key_location_count++;
     cw_tenant_add_key(tenant, key);
 }
 
@@ -64,7 +65,7 @@
 static void read_keys(cw_intent_t *intent, cw_tenant_t *tenant, cw_yaml_mapping_t *mapping)
 {
     yaml_node_t *keys = cw_yaml_get(mapping, "keys", false);
-    yaml_node_t *tokens = cw_yaml_get(mapping, "tokens", false); /* an older name of the same */
+    yaml_node_t *tokens = cw_yaml_get(mapping, "tokens", false); /* an older name of this key */
     yaml_node_t *node = keys == NULL ? tokens : keys;
     size_t       count = cw_yaml_count(mapping->document, node, keys == NULL ? "tokens" : "keys");
     size_t       position;
@@ -72,7 +73,7 @@
     if (keys != NULL && tokens != NULL) {
         cw_yaml_report(mapping->document, tokens, "'tokens' is an older name of 'keys'; only one of them may be given");
     }
-    tenant->needs_key = node != NULL; /* an empty list: nobody has one now */
+    tenant->needs_key = node != NULL; /* also with an empty list: then no caller is admitted */
     for (position = 0; position < count; position++) {
         read_key(intent, tenant, mapping->document, cw_yaml_item(mapping->document, node, position));
     }
@@ -124,7 +125,7 @@
 void cw_intent_read_tenant(cw_intent_t *intent, cw_yaml_mapping_t *mapping)
 {
     const char  *name = cw_yaml_name(mapping, "tenant", true);
-    cw_tenant_t *tenant = cw_configuration_add_tenant(intent->part);
+    cw_tenant_t *tenant = cw_configuration_add_tenant(intent->configuration);
 
     cw_text_copy(intent->tenant, sizeof(intent->tenant), name == NULL ? "" : name);
     tenant->name = strdup(intent->tenant);
--- a/src/intent/intent_tenant.h
+++ b/src/intent/intent_tenant.h
@@ -1,6 +1,6 @@
 /**
  * @file intent_tenant.h
- * @brief Reading of what an intent says of its tenant: its callers' keys, limits, priority and regions.
+ * @brief Parsing of the tenant of an intent: its callers' keys, limits, priority and regions.
  */
 #ifndef CEDARWINCH_INTENT_INTENT_TENANT_H
 #define CEDARWINCH_INTENT_INTENT_TENANT_H
@@ -8,9 +8,9 @@
 #include "config/yaml_tree.h"
 #include "intent/intent.h"
 
-/** Adds the tenant to intent->part. */
+/** Reads the tenant's keys of the intent's mapping and adds the tenant to intent->configuration. */
 void cw_intent_read_tenant(cw_intent_t *intent, cw_yaml_mapping_t *mapping);
-/** The key `regions` of a tenant or a route. */
+/** Reads the key `regions` of a tenant or a route. */
 void cw_intent_read_regions(const cw_intent_t *intent, cw_name_set_t *regions, cw_yaml_mapping_t *mapping);
 
 #endif
--- a/src/intent/key_file.c
+++ b/src/intent/key_file.c
@@ -1,6 +1,6 @@
 /**
  * @file key_file.c
- * @brief Keys out of files.
+ * @brief Reads callers' keys from files.
  */
 #include "intent/key_file.h"
 
@@ -12,7 +12,8 @@
 
 enum {
     PATH_BYTES = 4096,
-    KEY_BYTES = 4096 /* a quarter of the default bound on a request's head, so any key that a caller can send */
+    KEY_BYTES =
+        4096 /* a quarter of the default limit for the head of a request: enough for any key that a caller can send */
 };
 
 static const char blanks[] = " \t\r\n";
@@ -26,7 +27,8 @@
     return length > 0 && (size_t)length < size;
 }
 
-/* Length of what the file holds; -1: it cannot be read, or is no plain file (a pipe would never end). */
+/* Reads a file and returns its length, at most `size`; -1 if it cannot be read or is not a regular file: reading from a
+ * pipe might never end. */
 static ssize_t read_whole(const char *path, char *text, size_t size)
 {
     struct stat state;
@@ -47,7 +49,8 @@
     return count < 0 ? -1 : length;
 }
 
-/* What a caller can send as its key (tenancy/caller_identity.c) between the blanks around it. */
+/* Digest of the key, without the blanks around it. Accepted is what a caller can send as its key
+ * (tenancy/caller_identity.c). Returns NULL or a description of the error. */
 static const char *digest_text(cw_key_digest_t *digest, char *text, size_t length)
 {
     char *key;
--- a/src/intent/plan.c
+++ b/src/intent/plan.c
@@ -1,6 +1,6 @@
 /**
  * @file plan.c
- * @brief Plans: merge of an intent into the present configuration.
+ * @brief Makes plans: merges an intent into the present configuration.
  */
 #include "intent/plan.h"
 
@@ -22,8 +22,8 @@
     service->name = strdup(from->name);
 }
 
-/* All entries, or all but one tenant's. */
-static void copy_all(cw_configuration_t *to, const cw_configuration_t *from, const char *except)
+/* Copies all entries, or all but those of one tenant. */
+static void copy_entries(cw_configuration_t *to, const cw_configuration_t *from, const char *except)
 {
     size_t index;
 
@@ -46,14 +46,14 @@
 
 /* ---- the plan ---- */
 
-static void check_others(const cw_intent_t *intent, const cw_configuration_t *others, const char *file_name,
+static void check_routes(const cw_intent_t *intent, const cw_configuration_t *others, const char *file_name,
                          cw_findings_t *findings)
 {
     size_t index;
     size_t other;
 
-    for (index = 0; index < intent->part->route_count; index++) {
-        const cw_route_t *route = &intent->part->routes[index];
+    for (index = 0; index < intent->configuration->route_count; index++) {
+        const cw_route_t *route = &intent->configuration->routes[index];
 
         for (other = 0; other < others->route_count; other++) {
             if (strcmp(others->routes[other].host, route->host) == 0 &&
@@ -65,7 +65,8 @@
     }
 }
 
-/* Keys that other tenants have; the findings do not say which tenant, since the intent's author may be any of them. */
+/* Reports keys that belong to other tenants. The findings do not name the other tenant, since the author of the intent
+ * may be any tenant. */
 static void check_keys(const cw_intent_t *intent, const cw_configuration_t *others, const char *file_name,
                        cw_findings_t *findings)
 {
@@ -76,8 +77,8 @@
     char   fingerprint[CW_KEY_FINGERPRINT_BYTES];
     size_t place;
 
-    for (place = 0; place < intent->key_place_count; place++) {
-        const cw_key_place_t *key = &intent->key_places[place];
+    for (place = 0; place < intent->key_location_count; place++) {
+        const cw_key_location_t *key = &intent->key_locations[place];
 
         if (cw_credential_index_find(index, &key->key) != NULL) {
             cw_key_fingerprint(fingerprint, &key->key);
@@ -110,24 +111,24 @@
     write_regions(text, &route->regions);
 }
 
-/* Everything that the intent says, as text: two intents that differ have different plans. */
-static void write_intent(cw_bytes_t *text, const cw_intent_t *intent)
+/* Writes the whole content of the intent as text, so that intents that differ have plans with different ids. */
+static void write_intent_text(cw_bytes_t *text, const cw_intent_t *intent)
 {
-    const cw_tenant_t *tenant = &intent->part->tenants[0];
+    const cw_tenant_t *tenant = &intent->configuration->tenants[0];
     size_t             index;
 
     cw_bytes_append(text, tenant->keys, tenant->key_count * sizeof(*tenant->keys));
     cw_bytes_append_format(text, "%s %d %g %g %u %u\n", tenant->name, tenant->needs_key, tenant->rate_per_s,
                            tenant->burst, tenant->priority, tenant->concurrent);
     write_regions(text, &tenant->regions);
-    for (index = 0; index < intent->part->service_count; index++) {
-        const cw_service_t *service = &intent->part->services[index];
+    for (index = 0; index < intent->configuration->service_count; index++) {
+        const cw_service_t *service = &intent->configuration->services[index];
 
         cw_bytes_append_format(text, "%s %d %u %" PRId64 "\n", service->name, service->keyed, service->max_connections,
                                service->warm_time);
     }
-    for (index = 0; index < intent->part->route_count; index++) {
-        write_route(text, &intent->part->routes[index]);
+    for (index = 0; index < intent->configuration->route_count; index++) {
+        write_route(text, &intent->configuration->routes[index]);
     }
 }
 
@@ -136,7 +137,7 @@
     cw_bytes_t   text = {0};
     XXH64_hash_t hash;
 
-    write_intent(&text, intent);
+    write_intent_text(&text, intent);
     hash = XXH3_64bits_withSeed(text.data, text.length, revision);
     snprintf(plan->id, sizeof(plan->id), "%016" PRIx64, hash ^ (plan->configuration->version << 1));
     cw_bytes_clear(&text);
@@ -152,11 +153,11 @@
     plan->configuration = cw_configuration_create(present == NULL ? 1 : present->version + 1);
     if (present != NULL) {
         plan->configuration->limits = present->limits;
-        copy_all(plan->configuration, present, intent->tenant);
+        copy_entries(plan->configuration, present, intent->tenant);
     }
-    check_others(intent, plan->configuration, file_name, findings);
+    check_routes(intent, plan->configuration, file_name, findings);
     check_keys(intent, plan->configuration, file_name, findings);
-    copy_all(plan->configuration, intent->part, NULL);
+    copy_entries(plan->configuration, intent->configuration, NULL);
     cw_configuration_seal(plan->configuration);
     if (findings->count == before && !cw_configuration_check(plan->configuration, problem, sizeof(problem))) {
         cw_findings_add(findings, file_name, 0, 0, "%s", problem);
--- a/src/intent/zone_plan.c
+++ b/src/intent/zone_plan.c
@@ -1,6 +1,6 @@
 /**
  * @file zone_plan.c
- * @brief Plans for zones out of service.
+ * @brief Makes plans for taking zones out of service and putting them back.
  */
 #include "intent/zone_plan.h"
 
@@ -11,14 +11,14 @@
 
 #include "base/error.h"
 
-/** A service's servers that take work, by where they are. */
+/** Servers of a service that accept requests, by their zones. */
 typedef struct service_servers {
-    size_t        in_zone;
+    size_t        in_zone;    /**< in the zone of the plan */
     size_t        left;       /**< in other zones that are in service */
-    cw_name_set_t zones_left; /**< these */
+    cw_name_set_t zones_left; /**< the names of those other zones */
 } service_servers_t;
 
-static bool takes_work(const cw_server_entry_t *entry)
+static bool accepts_requests(const cw_server_entry_t *entry)
 {
     return !entry->draining && entry->missing_since == 0;
 }
@@ -31,7 +31,7 @@
     for (index = 0; index < list->count; index++) {
         const cw_server_entry_t *entry = &list->entries[index];
 
-        if (strcmp(entry->service, service) != 0 || !takes_work(entry)) {
+        if (strcmp(entry->service, service) != 0 || !accepts_requests(entry)) {
             continue;
         }
         if (strcmp(entry->zone, zone) == 0) {
@@ -65,8 +65,8 @@
     return NULL;
 }
 
-static void say_out(cw_bytes_t *lines, const char *service, const service_servers_t *servers,
-                    const cw_zone_keys_t *keys)
+static void append_out_line(cw_bytes_t *lines, const char *service, const service_servers_t *servers,
+                            const cw_zone_keys_t *keys)
 {
     cw_bytes_append_format(lines, "- service %s: %zu of %zu servers", service, servers->in_zone,
                            servers->in_zone + servers->left);
@@ -78,13 +78,13 @@
     cw_bytes_append_text(lines, "\n");
 }
 
-static void say_in(cw_bytes_t *lines, const char *service, const service_servers_t *servers)
+static void append_in_line(cw_bytes_t *lines, const char *service, const service_servers_t *servers)
 {
     cw_bytes_append_format(lines, "+ service %s: %zu servers, cold at first, beside %zu\n", service, servers->in_zone,
                            servers->left);
 }
 
-/* Is it already as wished? Is there such a zone? */
+/* Reports a change that has been made already, and a zone without any server. */
 static void check_zone(const char *zone, cw_zone_change_t change, const cw_server_list_t *list, cw_findings_t *findings)
 {
     bool   is_out = cw_name_set_has(&list->zones_out, zone);
@@ -114,9 +114,9 @@
     return services;
 }
 
-static void set_id(cw_zone_plan_t *plan, const cw_bytes_t *basis)
+static void set_id(cw_zone_plan_t *plan, const cw_bytes_t *state)
 {
-    snprintf(plan->id, sizeof(plan->id), "%016" PRIx64, XXH3_64bits(basis->data, basis->length));
+    snprintf(plan->id, sizeof(plan->id), "%016" PRIx64, XXH3_64bits(state->data, state->length));
 }
 
 int cw_zone_plan_make(cw_zone_plan_t *plan, const char *zone, cw_zone_change_t change, const cw_server_list_t *list,
@@ -124,24 +124,24 @@
 {
     size_t        before = findings->count;
     cw_name_set_t services = services_of(list);
-    cw_bytes_t    basis = {0};
+    cw_bytes_t    state = {0};
     size_t        index;
 
     memset(plan, 0, sizeof(*plan));
     check_zone(zone, change, list, findings);
-    cw_bytes_append_format(&basis, "%s %d out: ", zone, change);
-    append_names(&basis, &list->zones_out);
+    cw_bytes_append_format(&state, "%s %d out: ", zone, change);
+    append_names(&state, &list->zones_out);
     for (index = 0; index < services.count; index++) {
         const char       *service = services.names[index];
         service_servers_t servers = count_servers(list, service, zone);
 
         if (servers.in_zone > 0) {
-            cw_bytes_append_format(&basis, "\n%s left: ", service);
-            append_names(&basis, &servers.zones_left);
+            cw_bytes_append_format(&state, "\n%s left: ", service);
+            append_names(&state, &servers.zones_left);
             if (change == CW_ZONE_PUT_BACK) {
-                say_in(&plan->lines, service, &servers);
+                append_in_line(&plan->lines, service, &servers);
             } else if (servers.left > 0) {
-                say_out(&plan->lines, service, &servers, keys_of(keys, key_count, service));
+                append_out_line(&plan->lines, service, &servers, keys_of(keys, key_count, service));
             } else {
                 cw_findings_add(findings, zone, 0, 0, "service '%s' has no server in any other zone in service",
                                 service);
@@ -149,8 +149,8 @@
         }
         cw_name_set_clear(&servers.zones_left);
     }
-    set_id(plan, &basis);
-    cw_bytes_clear(&basis);
+    set_id(plan, &state);
+    cw_bytes_clear(&state);
     cw_name_set_clear(&services);
     return findings->count == before ? CW_OK : CW_ERROR_CONFLICT;
 }
--- a/tests/test_intent.c
+++ b/tests/test_intent.c
@@ -53,12 +53,12 @@
 
     parse(&intent, good);
     ck_assert_str_eq(intent.tenant, "liffeyspoke");
-    ck_assert_uint_eq(intent.part->route_count, 2);
-    ck_assert_str_eq(intent.part->routes[0].name, "liffeyspoke/maps");
-    ck_assert(intent.part->routes[0].repeatable);
-    ck_assert(!intent.part->routes[1].repeatable);
-    ck_assert_uint_eq(intent.part->routes[1].part_count, 2);
-    ck_assert(cw_configuration_service(intent.part, "liffeyspoke/maps")->keyed);
+    ck_assert_uint_eq(intent.configuration->route_count, 2);
+    ck_assert_str_eq(intent.configuration->routes[0].name, "liffeyspoke/maps");
+    ck_assert(intent.configuration->routes[0].repeatable);
+    ck_assert(!intent.configuration->routes[1].repeatable);
+    ck_assert_uint_eq(intent.configuration->routes[1].part_count, 2);
+    ck_assert(cw_configuration_service(intent.configuration, "liffeyspoke/maps")->keyed);
     cw_intent_clear(&intent);
 }
 END_TEST
--- a/tests/test_intent_tenant.c
+++ b/tests/test_intent_tenant.c
@@ -169,8 +169,8 @@
     ck_assert(cw_tenant_digest_from_text(&wanted, SESAME));
     cw_findings_init(&findings);
     ck_assert_int_eq(cw_intent_parse(&intent, text, strlen(text), intent_name, NULL, &findings), CW_OK);
-    ck_assert_uint_eq(intent.part->tenants[0].key_count, 1);
-    ck_assert_mem_eq(&intent.part->tenants[0].keys[0], &wanted, sizeof(wanted));
+    ck_assert_uint_eq(intent.configuration->tenants[0].key_count, 1);
+    ck_assert_mem_eq(&intent.configuration->tenants[0].keys[0], &wanted, sizeof(wanted));
     cw_intent_clear(&intent);
     cw_findings_clear(&findings);
 }
