--- a/src/cli/check.c
+++ b/src/cli/check.c
@@ -1,6 +1,6 @@
 /**
  * @file check.c
- * @brief `cedarwinch check`: settings and intents.
+ * @brief `cedarwinch check`: checks settings and intents.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 #include "config/router_settings.h"
 #include "intent/intent.h"
 
-/* An intent names its tenant; settings do not. */
+/* An intent has a line that begins with the key `tenant`; settings have no such key. */
 static bool is_intent(const char *file_name)
 {
     FILE *file = fopen(file_name, "r");
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -1,6 +1,6 @@
 /**
  * @file cli.h
- * @brief Commands of `cedarwinch`. Each returns an exit code.
+ * @brief Commands of the operators' program `cedarwinch`. Each function runs one command and returns the exit code.
  */
 #ifndef CEDARWINCH_CLI_CLI_H
 #define CEDARWINCH_CLI_CLI_H
@@ -11,29 +11,32 @@
 
 #include "model/name_set.h"
 
+/** Exit codes. */
 enum {
     CW_EXIT_DONE = 0,
-    CW_EXIT_REFUSED = 1,     /**< findings, a stale plan, nothing found */
-    CW_EXIT_WRONG_INPUT = 2, /**< command line */
+    CW_EXIT_REFUSED = 1,     /**< findings, a stale plan, or no line found */
+    CW_EXIT_WRONG_INPUT = 2, /**< wrong command line, or a file that cannot be read or written */
     CW_EXIT_UNAVAILABLE = 3, /**< the store or a node did not answer */
-    CW_EXIT_UNKNOWN = 4      /**< a write without an answer: it may be done */
+    CW_EXIT_UNKNOWN = 4      /**< a write without an answer: it may have been done */
 };
 
-/** Checks settings files or intents, by what they contain; prints all findings with their places. regions: those that
- * intents may name; NULL: not known, any. */
+/** Checks files, each of which is settings or an intent as its content tells, and prints all findings with line and
+ * column. regions: the regions that intents may name; NULL: not known, any region. */
 int cw_cli_check(const char *const *files, size_t count, const cw_name_set_t *regions);
-/** Prints the plan that the intent comes to. */
+/** Makes a plan for an intent and prints it. store: address of the store, "IPv4:PORT", in all commands. */
 int cw_cli_plan(const char *file, const char *store, const cw_name_set_t *regions);
-/** Makes the plan again and, if it is still the one of this id, writes it. */
+/** Makes the plan for the intent again and writes the new configuration to the store, if the plan still has the id
+ * `plan`. */
 int cw_cli_confirm(const char *plan, const char *file, const char *store, const cw_name_set_t *regions);
-/** Prints what it means to take a zone out of service (or to put it back), and the plan's id. plan: not NULL: does it,
- * if it is still the plan of this id. */
+/** Prints the plan for taking a zone out of service (out) or putting it back, and the plan's id. plan: NULL, or the id
+ * of such a plan: makes the change instead, if the plan still has this id. */
 int cw_cli_zone(const char *zone, bool out, const char *plan, const char *store);
-/** Prints what the nodes (each "IPv4:PORT" of its readiness endpoint) believe. */
+/** Prints the state of nodes, each given as "IPv4:PORT" of its readiness endpoint, and totals of all of them. */
 int cw_cli_status(const char *const *nodes, size_t count);
-/** Prints a request's story from log files, or from standard input when there are none. */
+/** Prints the log lines of a request with their causes, from log files, or from standard input if there are none. */
 int cw_cli_explain(const char *request, const char *const *files, size_t count);
-/** Prints what the logs of a run come to. page: file for the same as an HTML page; NULL: none. */
+/** Prints a report of a run from log files, or from standard input if there are none. page: file to which the report is
+ * also written as an HTML page; NULL: none. */
 int cw_cli_report(const char *const *files, size_t count, const char *page);
 
 #endif
--- a/src/cli/explain.c
+++ b/src/cli/explain.c
@@ -1,11 +1,12 @@
 /**
  * @file explain.c
- * @brief `cedarwinch explain`: a request's story from the logs of many nodes.
+ * @brief `cedarwinch explain`: explains a request from the logs of many nodes.
  *
- * Prints, in order of time, the lines that name the request and, before each, what the same node believed: its last
- * lines on leader, view, configuration, store and servers, and the last change of the range that the request's key is
- * in, from whichever node led. What a line means stands under it, with the lines that it rests on (explain_cause.h); an
- * answer that waited is followed by the story of the request that it waited for.
+ * Prints, in order of time, the lines that name the request. Under each line it prints the cause with the lines that
+ * explain it (explain_cause.h), and the state of the same node at that time: its last lines about its start, the
+ * leader, the configuration, the store and the servers; the last change of the range that holds the request's key, from
+ * whichever node led; and the last loss of the server that the line names. An answer that waited is followed by the
+ * lines of the request that it waited for.
  */
 #include <stdbool.h>
 #include <stdio.h>
@@ -15,9 +16,9 @@
 #include "cli/explain_cause.h"
 #include "cli/log_lines.h"
 
-enum { BELIEFS = 6 };
+enum { STATE_EVENTS = 6 };
 
-static const double look_back_s = 30;
+static const double server_loss_window_s = 30;
 
 static bool names_request(const cw_log_line_t *line, const char *request)
 {
@@ -49,7 +50,7 @@
     printf("\n");
 }
 
-/* The last line of this event before a place, from this node (NULL: any). */
+/* The last line with this event before an index, from this node (NULL: any node). */
 static const cw_log_line_t *last_of(const cw_log_lines_t *lines, size_t before, const char *event, const char *node)
 {
     size_t index;
@@ -64,7 +65,7 @@
     return NULL;
 }
 
-static bool is_about_key(const cw_log_line_t *line, json_int_t key, const char *service)
+static bool is_assignment_of_key(const cw_log_line_t *line, json_int_t key, const char *service)
 {
     const char *of = json_string_value(json_object_get(line->fields, "service"));
 
@@ -81,22 +82,22 @@
     size_t               index;
 
     for (index = place; json_is_integer(key) && index > 0; index--) {
-        if (is_about_key(&lines->items[index - 1], json_integer_value(key), service)) {
+        if (is_assignment_of_key(&lines->items[index - 1], json_integer_value(key), service)) {
             print_line(&lines->items[index - 1], "      the key's range: ");
             return;
         }
     }
 }
 
-/* Troubles of the server that the line names. */
-static void print_server(const cw_log_lines_t *lines, size_t place)
+/* Prints the last loss of the server that the line names, in the 30 s before it. */
+static void print_server_loss(const cw_log_lines_t *lines, size_t place)
 {
     const cw_log_line_t *line = &lines->items[place];
     const char          *server = json_string_value(json_object_get(line->fields, "server"));
     size_t               index;
 
     server = server == NULL ? json_string_value(json_object_get(line->fields, "detail")) : server;
-    for (index = place; server != NULL && index > 0 && line->time - lines->items[index - 1].time < look_back_s;
+    for (index = place; server != NULL && index > 0 && line->time - lines->items[index - 1].time < server_loss_window_s;
          index--) {
         const cw_log_line_t *other = &lines->items[index - 1];
         const char          *named = json_string_value(json_object_get(other->fields, "server"));
@@ -108,39 +109,39 @@
     }
 }
 
-static void print_beliefs(const cw_log_lines_t *lines, size_t place)
+static void print_node_state(const cw_log_lines_t *lines, size_t place)
 {
-    static const char *const events[BELIEFS] = {"start",      "leader seen", "configuration accepted",
-                                                "store lost", "store back",  "servers changed"};
+    static const char *const events[STATE_EVENTS] = {"start",      "leader seen", "configuration accepted",
+                                                     "store lost", "store back",  "servers changed"};
     const cw_log_line_t     *line = &lines->items[place];
     size_t                   index;
 
-    for (index = 0; index < BELIEFS; index++) {
-        const cw_log_line_t *belief = last_of(lines, place, events[index], line->node);
+    for (index = 0; index < STATE_EVENTS; index++) {
+        const cw_log_line_t *state = last_of(lines, place, events[index], line->node);
 
-        if (belief != NULL) {
-            print_line(belief, "      this node: ");
+        if (state != NULL) {
+            print_line(state, "      this node: ");
         }
     }
     print_assignment(lines, place);
-    print_server(lines, place);
+    print_server_loss(lines, place);
 }
 
-/* What the line means, and the last lines that it rests on. */
+/* Prints the cause of a line and, for each event that explains it, the last line before it. */
 static void print_cause(const cw_log_lines_t *lines, size_t place)
 {
-    const cw_log_line_t      *line = &lines->items[place];
-    const char               *words = cw_explain_cause(line);
-    const cw_explain_trail_t *trail = cw_explain_trail(line);
-    size_t                    event;
-    size_t                    index;
+    const cw_log_line_t        *line = &lines->items[place];
+    const char                 *words = cw_explain_cause(line);
+    const cw_explain_related_t *related = cw_explain_related(line);
+    size_t                      event;
+    size_t                      index;
 
     if (words != NULL) {
         printf("      cause: %s\n", words);
     }
-    for (event = 0; trail != NULL && trail->events[event] != NULL; event++) {
+    for (event = 0; related != NULL && related->events[event] != NULL; event++) {
         for (index = place; index > 0; index--) {
-            if (cw_explain_rests_on(line, &lines->items[index - 1], trail->events[event])) {
+            if (cw_explain_is_related(line, &lines->items[index - 1], related->events[event])) {
                 print_line(&lines->items[index - 1], "      rests on: ");
                 break;
             }
@@ -148,22 +149,22 @@
     }
 }
 
-static size_t print_story(const cw_log_lines_t *lines, const char *request, const char *indent);
+static size_t print_request(const cw_log_lines_t *lines, const char *request, const char *indent);
 
-/* Of the request that an answer waited for. */
+/* Prints the lines of the earlier request that an answer waited for. */
 static void print_waited_for(const cw_log_lines_t *lines, const cw_log_line_t *line)
 {
     const char *earlier = cw_log_line_text(line, "waited_for");
 
     if (strcmp(line->event, "answer waited") == 0 && earlier[0] != '\0' && !names_request(line, earlier)) {
         printf("      the request that it waited for, %s:\n", earlier);
-        if (print_story(lines, earlier, "        ") == 0) {
+        if (print_request(lines, earlier, "        ") == 0) {
             printf("        no line names it\n");
         }
     }
 }
 
-static size_t print_story(const cw_log_lines_t *lines, const char *request, const char *indent)
+static size_t print_request(const cw_log_lines_t *lines, const char *request, const char *indent)
 {
     size_t index;
     size_t found = 0;
@@ -174,8 +175,8 @@
         }
         print_line(&lines->items[index], indent);
         print_cause(lines, index);
-        print_beliefs(lines, index);
-        if (indent[0] == '\0') { /* one step only: whom that one waited for is its own story */
+        print_node_state(lines, index);
+        if (indent[0] == '\0') { /* one level only: a request that the earlier one waited for is not printed */
             print_waited_for(lines, &lines->items[index]);
         }
         found++;
@@ -185,7 +186,7 @@
 
 static int explain(const cw_log_lines_t *lines, const char *request)
 {
-    size_t found = print_story(lines, request, "");
+    size_t found = print_request(lines, request, "");
 
     if (found == 0) {
         printf("no line names request %s in %zu lines\n", request, lines->count);
--- a/src/cli/explain_cause.c
+++ b/src/cli/explain_cause.c
@@ -1,6 +1,6 @@
 /**
  * @file explain_cause.c
- * @brief Causes by what a line says.
+ * @brief Table of causes, chosen by the event, the reason and the limit mode of a line.
  */
 #include "cli/explain_cause.h"
 
@@ -8,16 +8,16 @@
 
 enum { TENANT_BYTES = 128 };
 
-/** One kind of line: what it means, and what else is to be shown. */
+/** One kind of line: its cause in words, and the events that explain it. */
 typedef struct cause {
-    const char        *event;
-    const char        *reason;     /**< its beginning; NULL: any */
-    const char        *limit_mode; /**< NULL: any */
-    const char        *words;
-    cw_explain_trail_t trail;
+    const char          *event;
+    const char          *reason;     /**< beginning of the line's reason; NULL: any */
+    const char          *limit_mode; /**< the line's limit mode; NULL: any */
+    const char          *words;
+    cw_explain_related_t related;
 } cause_t;
 
-/* The first one that fits counts. */
+/* The first entry that matches a line applies. */
 static const cause_t causes[] = {
     {"refused",
      "the server asked for rest",
@@ -109,7 +109,7 @@
      {.events = {NULL}}},
 };
 
-static bool begins(const char *text, const char *beginning)
+static bool starts_with(const char *text, const char *beginning)
 {
     return beginning == NULL || strncmp(text, beginning, strlen(beginning)) == 0;
 }
@@ -123,7 +123,7 @@
     for (index = 0; index < sizeof(causes) / sizeof(causes[0]); index++) {
         const cause_t *cause = &causes[index];
 
-        if (strcmp(cause->event, line->event) == 0 && begins(reason, cause->reason) &&
+        if (strcmp(cause->event, line->event) == 0 && starts_with(reason, cause->reason) &&
             (cause->limit_mode == NULL || strcmp(cause->limit_mode, mode) == 0)) {
             return cause;
         }
@@ -138,14 +138,14 @@
     return cause == NULL ? NULL : cause->words;
 }
 
-const cw_explain_trail_t *cw_explain_trail(const cw_log_line_t *line)
+const cw_explain_related_t *cw_explain_related(const cw_log_line_t *line)
 {
     const cause_t *cause = cause_of(line);
 
-    return cause == NULL || cause->trail.events[0] == NULL ? NULL : &cause->trail;
+    return cause == NULL || cause->related.events[0] == NULL ? NULL : &cause->related;
 }
 
-bool cw_explain_rests_on(const cw_log_line_t *line, const cw_log_line_t *other, const char *event)
+bool cw_explain_is_related(const cw_log_line_t *line, const cw_log_line_t *other, const char *event)
 {
     const char *named = cw_log_line_text(other, "tenant");
     char        tenant[TENANT_BYTES];
--- a/src/cli/explain_cause.h
+++ b/src/cli/explain_cause.h
@@ -1,6 +1,6 @@
 /**
  * @file explain_cause.h
- * @brief What a request's line in the log means, and which other lines say why.
+ * @brief Explains a log line of a request: its cause in words, and the events that show the reason.
  */
 #ifndef CEDARWINCH_CLI_EXPLAIN_CAUSE_H
 #define CEDARWINCH_CLI_EXPLAIN_CAUSE_H
@@ -9,17 +9,17 @@
 
 #include "cli/log_lines.h"
 
-/** In words; NULL: the line says it all. */
+/** The cause of a line in words; NULL: the line needs no explanation. */
 const char *cw_explain_cause(const cw_log_line_t *line);
 
-/** Events that a line rests on: the last one of each, of the same node, belongs to its story. */
-typedef struct cw_explain_trail {
-    const char *events[3]; /**< as many as there are, then NULL */
-} cw_explain_trail_t;
+/** Events that explain a line; of each, the last line of the same node before it is shown. */
+typedef struct cw_explain_related {
+    const char *events[3]; /**< names of events, ended by NULL: at most two */
+} cw_explain_related_t;
 
-/** NULL: none beside what every line gets. */
-const cw_explain_trail_t *cw_explain_trail(const cw_log_line_t *line);
-/** Is `other` such a line: of this event and the same node, and of the same tenant where it names one? */
-bool cw_explain_rests_on(const cw_log_line_t *line, const cw_log_line_t *other, const char *event);
+/** The events that explain a line; NULL: none besides those that are shown for every line. */
+const cw_explain_related_t *cw_explain_related(const cw_log_line_t *line);
+/** Whether `other` explains `line`: it has this event and the same node and, if it names a tenant, the same tenant. */
+bool cw_explain_is_related(const cw_log_line_t *line, const cw_log_line_t *other, const char *event);
 
 #endif
--- a/src/cli/log_lines.c
+++ b/src/cli/log_lines.c
@@ -1,6 +1,6 @@
 /**
  * @file log_lines.c
- * @brief Reading of log lines.
+ * @brief Reads log lines and sorts them by time.
  */
 #include "cli/log_lines.h"
 
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -1,6 +1,6 @@
 /**
  * @file main.c
- * @brief Command line for operators. Exit codes are in cli.h.
+ * @brief Command line of the operators' program. cli.h lists the exit codes.
  */
 #include <argtable2.h>
 #include <stdio.h>
@@ -17,31 +17,31 @@
 static void print_help(void)
 {
     printf("Usage: cedarwinch COMMAND ...\n"
-           "  check FILE...                        settings and intents: all findings with their places\n"
+           "  check FILE...                        checks settings and intents; prints all findings\n"
            "  plan INTENT --store IPV4:PORT        what the intent would change; prints the plan's id\n"
            "  confirm PLAN INTENT --store IPV4:PORT  accepts that plan, if it is not stale\n"
            "  zone out|in NAME [--confirm PLAN] --store IPV4:PORT  takes a zone out of service, or puts it back\n"
-           "  status NODE...                       what nodes (IPV4:PORT of their readiness) believe\n"
-           "  explain REQUEST-ID [LOG...]          a request's story from logs, or from standard input\n"
+           "  status NODE...                       state of nodes (IPV4:PORT of their readiness endpoints)\n"
+           "  explain REQUEST-ID [LOG...]          explains a request from logs, or from standard input\n"
            "  report [--html FILE] [LOG...]        outcomes by second, hottest keys and moves, from logs\n"
            "  --regions NAME,...                   with check, plan and confirm: other regions are findings\n"
            "Exit codes: 0 done, 1 refused, 2 wrong command line, 3 no answer, 4 outcome not known\n");
 }
 
-static const char *store_of(const struct arg_str *store)
+static const char *store_address(const struct arg_str *store)
 {
     const char *text = store->count > 0 ? store->sval[0] : getenv("CEDARWINCH_STORE");
 
     return text;
 }
 
-static int wrong(const char *what)
+static int usage_error(const char *what)
 {
     fprintf(stderr, "cedarwinch: %s; see --help\n", what);
     return CW_EXIT_WRONG_INPUT;
 }
 
-/* NULL: not given. */
+/* The regions of the option --regions; NULL if it is not given. */
 static const cw_name_set_t *regions_of(cw_name_set_t *regions, const struct arg_str *option)
 {
     char *names = option->count > 0 ? strdup(option->sval[0]) : NULL;
@@ -55,51 +55,53 @@
     return option->count > 0 ? regions : NULL;
 }
 
-/* out|in NAME */
-static int run_zone(const char *const *rest, size_t count, const char *plan, const char *store)
+/* Runs `zone out|in NAME`. */
+static int run_zone(const char *const *operands, size_t count, const char *plan, const char *store)
 {
-    bool is_out = count == 2 && strcmp(rest[0], "out") == 0;
+    bool is_out = count == 2 && strcmp(operands[0], "out") == 0;
 
-    if (count != 2 || store == NULL || (!is_out && strcmp(rest[0], "in") != 0)) {
-        return wrong("zone needs out or in, a zone's name and --store");
+    if (count != 2 || store == NULL || (!is_out && strcmp(operands[0], "in") != 0)) {
+        return usage_error("zone needs out or in, a zone's name and --store");
     }
-    if (rest[1][0] == '\0' || strspn(rest[1], name_letters) != strlen(rest[1])) {
-        return wrong("a zone's name has letters, digits, '-', '_' and '.'");
+    if (operands[1][0] == '\0' || strspn(operands[1], name_letters) != strlen(operands[1])) {
+        return usage_error("a zone's name has letters, digits, '-', '_' and '.'");
     }
-    return cw_cli_zone(rest[1], is_out, plan, store);
+    return cw_cli_zone(operands[1], is_out, plan, store);
 }
 
 static int run(const struct arg_str *words, const struct arg_str *store, const struct arg_file *page,
                const cw_name_set_t *regions, const char *plan)
 {
     const char        *command = words->count > 0 ? words->sval[0] : "";
-    const char *const *rest = words->sval + 1;
+    const char *const *operands = words->sval + 1;
     size_t             count = words->count > 0 ? (size_t)words->count - 1 : 0;
 
     if (strcmp(command, "check") == 0) {
-        return count > 0 ? cw_cli_check(rest, count, regions) : wrong("check needs files");
+        return count > 0 ? cw_cli_check(operands, count, regions) : usage_error("check needs files");
     }
     if (strcmp(command, "status") == 0) {
-        return count > 0 ? cw_cli_status(rest, count) : wrong("status needs nodes");
+        return count > 0 ? cw_cli_status(operands, count) : usage_error("status needs nodes");
     }
     if (strcmp(command, "explain") == 0) {
-        return count > 0 ? cw_cli_explain(rest[0], rest + 1, count - 1) : wrong("explain needs a request's id");
+        return count > 0 ? cw_cli_explain(operands[0], operands + 1, count - 1)
+                         : usage_error("explain needs a request's id");
     }
     if (strcmp(command, "report") == 0) {
-        return cw_cli_report(rest, count, page->count > 0 ? page->filename[0] : NULL);
+        return cw_cli_report(operands, count, page->count > 0 ? page->filename[0] : NULL);
     }
     if (strcmp(command, "plan") == 0) {
-        return count == 1 && store_of(store) != NULL ? cw_cli_plan(rest[0], store_of(store), regions)
-                                                     : wrong("plan needs an intent and --store");
+        return count == 1 && store_address(store) != NULL ? cw_cli_plan(operands[0], store_address(store), regions)
+                                                          : usage_error("plan needs an intent and --store");
     }
     if (strcmp(command, "confirm") == 0) {
-        return count == 2 && store_of(store) != NULL ? cw_cli_confirm(rest[0], rest[1], store_of(store), regions)
-                                                     : wrong("confirm needs a plan, an intent and --store");
+        return count == 2 && store_address(store) != NULL
+                   ? cw_cli_confirm(operands[0], operands[1], store_address(store), regions)
+                   : usage_error("confirm needs a plan, an intent and --store");
     }
     if (strcmp(command, "zone") == 0) {
-        return run_zone(rest, count, plan, store_of(store));
+        return run_zone(operands, count, plan, store_address(store));
     }
-    return wrong("no such command");
+    return usage_error("no such command");
 }
 
 int main(int argument_count, char **arguments)
--- a/src/cli/plan.c
+++ b/src/cli/plan.c
@@ -1,9 +1,9 @@
 /**
  * @file plan.c
- * @brief `cedarwinch plan` and `cedarwinch confirm`: an intent's answer, and its acceptance.
+ * @brief `cedarwinch plan` and `cedarwinch confirm`: makes the plan for an intent, and writes its configuration.
  *
- * A confirmation is one conditional write. When its answer is lost, the object is read: the plan's version with the
- * plan's routes there means done; another version means that another operator was first.
+ * A confirmation is one conditional write. If its answer is lost, the object is read again: a new revision with the
+ * plan's version counts as done; the old revision means that it was not done so far but may still be.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -15,21 +15,22 @@
 #include "intent/plan.h"
 #include "router/adapter.h"
 
-/** What a read or a write brought. */
+/** Result of a read or a write. */
 typedef struct store_answer {
     bool                done;
     cw_store_result_t   result;
     uint64_t            revision;
     cw_configuration_t *configuration;
-    char                problem[CW_PROBLEM_BYTES]; /**< why it cannot be read; empty: it can, or there is none */
+    char problem[CW_PROBLEM_BYTES]; /**< why the configuration cannot be read; empty: it can, or there is none */
 } store_answer_t;
 
+/** State of one command. */
 typedef struct session {
     uv_loop_t   loop;
     void       *adapter;
     cw_intent_t intent;
     cw_plan_t   plan;
-    uint64_t    revision; /**< of the configuration that the plan was made from */
+    uint64_t    revision; /**< revision of the configuration that the plan was made from; 0: none */
 } session_t;
 
 static void on_read(void *context, const cw_accepted_t *accepted)
@@ -96,7 +97,7 @@
         fprintf(stderr, "cedarwinch: the store did not answer; nothing was changed\n");
         return CW_EXIT_UNAVAILABLE;
     }
-    if (present.problem[0] != '\0') { /* a plan made without it would remove all that it holds */
+    if (present.problem[0] != '\0') { /* a plan made without the configuration would remove all that it holds */
         fprintf(stderr, "cedarwinch: the accepted configuration cannot be read: %s; nothing was changed\n",
                 present.problem);
         return CW_EXIT_REFUSED;
@@ -140,8 +141,8 @@
     return code;
 }
 
-/* A write without an answer. */
-static int settle(session_t *session)
+/* Reads the configuration after a write without an answer, to find out whether it was done. */
+static int resolve_unknown_write(session_t *session)
 {
     store_answer_t now = read_present(session);
     int            code = CW_EXIT_UNKNOWN;
@@ -177,7 +178,7 @@
         fprintf(stderr, "cedarwinch: the store refused; nothing was changed\n");
         return CW_EXIT_UNAVAILABLE;
     case CW_STORE_UNKNOWN:
-        return settle(session);
+        return resolve_unknown_write(session);
     }
     return CW_EXIT_UNKNOWN;
 }
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -1,6 +1,6 @@
 /**
  * @file report.c
- * @brief `cedarwinch report`: what a run's logs come to, as tables, and as a page with plots.
+ * @brief `cedarwinch report`: a report of a run from its logs, as tables and as an HTML page with plots.
  */
 #include "cli/cli.h"
 #include "cli/log_lines.h"
--- a/src/cli/run_refusals.c
+++ b/src/cli/run_refusals.c
@@ -1,6 +1,6 @@
 /**
  * @file run_refusals.c
- * @brief Counting of refusals, waits and bytes in log lines, and how they are shown.
+ * @brief Counts refusals, waits and bytes in log lines, and writes the counts as text and HTML.
  */
 #include "cli/run_refusals.h"
 
@@ -17,7 +17,7 @@
                                                          "to other regions"};
 static const char *const distance_fields[CW_DISTANCES] = {"sent_zone", "sent_region", "sent_remote"};
 
-/** One name while lines are counted. */
+/** A name in the table that is used while lines are counted. */
 typedef struct counted {
     cw_refusal_count_t row;
     UT_hash_handle     hh;
@@ -46,7 +46,7 @@
     return strcmp(left->row.name, right->row.name);
 }
 
-/* Takes the largest out of the table and frees it. */
+/* Copies the most frequent names of the table and frees the table. */
 static void take_largest(cw_refusal_counts_t *counts, counted_t **table)
 {
     counted_t *entry;
@@ -61,7 +61,8 @@
             counts->others++;
             counts->others_sum += entry->row.count;
         }
-        HASH_DEL(*table, entry); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
+        HASH_DEL(*table,
+                 entry); /* NOLINT(clang-analyzer-unix.Malloc): the analyzer does not understand uthash's macros */
         free(entry);
     }
 }
@@ -81,7 +82,7 @@
     }
 }
 
-static void note_wait(cw_run_refusals_t *refusals, const cw_log_line_t *line)
+static void count_wait(cw_run_refusals_t *refusals, const cw_log_line_t *line)
 {
     double waited_ms = cw_log_line_number(line, "waited_ms");
 
@@ -93,8 +94,8 @@
     }
 }
 
-/* Each text begins with the sum of its distance. */
-static void note_traffic(cw_run_refusals_t *refusals, const cw_log_line_t *line)
+/* Adds the bytes of a process. Each of the three fields is a text that begins with the sum of its distance. */
+static void add_traffic(cw_run_refusals_t *refusals, const cw_log_line_t *line)
 {
     int distance;
 
@@ -117,9 +118,9 @@
         if (strcmp(line->event, "refused") == 0) {
             count_refusal(&reasons, &tenants, line);
         } else if (strcmp(line->event, "answer waited") == 0) {
-            note_wait(refusals, line);
+            count_wait(refusals, line);
         } else if (strcmp(line->event, "traffic") == 0) {
-            note_traffic(refusals, line);
+            add_traffic(refusals, line);
         }
     }
     take_largest(&refusals->reasons, &reasons);
@@ -160,7 +161,7 @@
     }
 }
 
-/* ---- a page ---- */
+/* ---- HTML ---- */
 
 static void write_row(const char *name, uint64_t count, FILE *out)
 {
--- a/src/cli/run_report.c
+++ b/src/cli/run_report.c
@@ -1,6 +1,6 @@
 /**
  * @file run_report.c
- * @brief Counting of a run's log lines.
+ * @brief Makes the report of a run: counts its log lines.
  */
 #include "cli/run_report.h"
 
@@ -11,9 +11,9 @@
 #include "base/memory.h"
 #include "base/text.h"
 
-enum { KEYS = 65536, GROWTH = 64 };
+enum { KEYS = 65536 /* numbers of keys: 0 to 65535 */, GROWTH = 64 };
 
-static const double move_look_back_s = 1.0;
+static const double refused_window_s = 1.0;
 
 const char *const cw_report_outcome_names[CW_OUTCOMES] = {"in aim",         "late",           "refused: slot",
                                                           "refused: owner", "refused: other", "failed"};
@@ -101,13 +101,13 @@
 
 /* ---- hottest keys ---- */
 
-static bool is_for(const cw_log_line_t *line, const cw_report_service_t *service)
+static bool is_keyed_outcome_of(const cw_log_line_t *line, const cw_report_service_t *service)
 {
     return is_outcome(line) && json_object_get(line->fields, "key") != NULL &&
            strcmp(cw_log_line_text(line, "service"), service->name) == 0;
 }
 
-static void choose_hot(cw_report_service_t *service, const uint32_t *requests)
+static void choose_hot_keys(cw_report_service_t *service, const uint32_t *requests)
 {
     uint32_t key;
 
@@ -131,7 +131,7 @@
     }
 }
 
-static void note_owner(cw_report_key_t *hot, const char *server, double at)
+static void add_owner(cw_report_key_t *hot, const char *server, double at)
 {
     cw_report_owner_t *last = hot->owner_count == 0 ? NULL : &hot->owners[hot->owner_count - 1];
 
@@ -144,14 +144,14 @@
     }
 }
 
-static void follow_hot(const cw_run_report_t *report, cw_report_key_t *hot, const cw_log_line_t *line)
+static void count_hot_key(const cw_run_report_t *report, cw_report_key_t *hot, const cw_log_line_t *line)
 {
     cw_report_outcome_t outcome = outcome_of(line);
 
     hot->by_second[second_of(report, line->time)]++;
     hot->outcomes.counts[outcome]++;
     if (outcome == CW_OUTCOME_IN_AIM || outcome == CW_OUTCOME_LATE) {
-        note_owner(hot, cw_log_line_text(line, "server"), line->time - report->start);
+        add_owner(hot, cw_log_line_text(line, "server"), line->time - report->start);
     }
 }
 
@@ -164,19 +164,19 @@
     for (index = 0; index < lines->count; index++) {
         double key = cw_log_line_number(&lines->items[index], "key");
 
-        if (is_for(&lines->items[index], service) && key >= 0 && key < KEYS) {
+        if (is_keyed_outcome_of(&lines->items[index], service) && key >= 0 && key < KEYS) {
             requests[(size_t)key]++;
         }
     }
-    choose_hot(service, requests);
+    choose_hot_keys(service, requests);
     free(requests);
     for (place = 0; place < service->hot_count; place++) {
         service->hot[place].by_second = allocate(report->seconds, sizeof(uint32_t));
     }
     for (index = 0; index < lines->count; index++) {
-        for (place = 0; is_for(&lines->items[index], service) && place < service->hot_count; place++) {
+        for (place = 0; is_keyed_outcome_of(&lines->items[index], service) && place < service->hot_count; place++) {
             if (cw_log_line_number(&lines->items[index], "key") == service->hot[place].key) {
-                follow_hot(report, &service->hot[place], &lines->items[index]);
+                count_hot_key(report, &service->hot[place], &lines->items[index]);
             }
         }
     }
@@ -193,7 +193,7 @@
     return &report->moves[report->move_count++];
 }
 
-static cw_report_move_t *open_move(cw_run_report_t *report, const cw_log_line_t *line)
+static cw_report_move_t *find_open_move(cw_run_report_t *report, const cw_log_line_t *line)
 {
     size_t index;
 
@@ -214,7 +214,7 @@
     uint32_t count = 0;
     size_t   index;
 
-    for (index = before; index > 0 && lines->items[before].time - lines->items[index - 1].time < move_look_back_s;
+    for (index = before; index > 0 && lines->items[before].time - lines->items[index - 1].time < refused_window_s;
          index--) {
         const cw_log_line_t *line = &lines->items[index - 1];
         double               key = cw_log_line_number(line, "key");
@@ -255,7 +255,7 @@
             start_move(report, line);
             continue;
         }
-        move = open_move(report, line);
+        move = find_open_move(report, line);
         if (move != NULL) {
             move->granted = line->time - report->start;
             move->refused = count_refused(lines, index, move);
@@ -263,7 +263,7 @@
     }
 }
 
-/* ---- the whole ---- */
+/* ---- the report ---- */
 
 void cw_run_report_make(cw_run_report_t *report, const cw_log_lines_t *lines)
 {
--- a/src/cli/run_report_html.c
+++ b/src/cli/run_report_html.c
@@ -1,6 +1,6 @@
 /**
  * @file run_report_html.c
- * @brief A run's report as one page: plots are SVG, drawn here. Names come from logs, and are escaped.
+ * @brief Writes a run's report as one HTML page with plots in SVG. Names come from logs and are therefore escaped.
  */
 #include "cli/run_report.h"
 
@@ -55,16 +55,17 @@
     fprintf(out, "</p>\n");
 }
 
-/* A bar for each second, of what became of its requests. */
+/* Draws a bar for each second, divided by the outcomes of its requests. */
 static void write_bars(const cw_run_report_t *report, const cw_report_service_t *service, FILE *out)
 {
-    uint32_t most = 1;
+    uint32_t requests_max = 1;
     double   width = (double)PLOT_WIDTH / (double)(report->seconds == 0 ? 1 : report->seconds);
     size_t   second;
     int      outcome;
 
     for (second = 0; second < report->seconds; second++) {
-        most = sum_of(&service->by_second[second]) > most ? sum_of(&service->by_second[second]) : most;
+        requests_max =
+            sum_of(&service->by_second[second]) > requests_max ? sum_of(&service->by_second[second]) : requests_max;
     }
     fprintf(out, "<svg width=\"%d\" height=\"%d\">\n", PLOT_WIDTH + LABEL_WIDTH, PLOT_HEIGHT + MARGIN);
     for (second = 0; second < report->seconds; second++) {
@@ -72,7 +73,7 @@
 
         for (outcome = 0; outcome < CW_OUTCOMES; outcome++) {
             uint32_t count = service->by_second[second].counts[outcome];
-            double   height = (double)count * PLOT_HEIGHT / most;
+            double   height = (double)count * PLOT_HEIGHT / requests_max;
 
             top -= height;
             if (count > 0) {
@@ -84,13 +85,13 @@
             }
         }
     }
-    fprintf(out, "<text x=\"0\" y=\"12\">%u a second</text><text x=\"%d\" y=\"%d\">0 s</text>", most, LABEL_WIDTH,
-            PLOT_HEIGHT + MARGIN - 4);
+    fprintf(out, "<text x=\"0\" y=\"12\">%u a second</text><text x=\"%d\" y=\"%d\">0 s</text>", requests_max,
+            LABEL_WIDTH, PLOT_HEIGHT + MARGIN - 4);
     fprintf(out, "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%zu s</text></svg>\n", PLOT_WIDTH + LABEL_WIDTH,
             PLOT_HEIGHT + MARGIN - 4, report->seconds);
 }
 
-/* A row for each of the hottest keys: who owned it when. */
+/* Draws a row for each of the hottest keys, with the periods of its owners. */
 static void write_owners(const cw_run_report_t *report, const cw_report_service_t *service, FILE *out)
 {
     double scale = (double)PLOT_WIDTH / (double)(report->seconds == 0 ? 1 : report->seconds);
--- a/src/cli/run_report_text.c
+++ b/src/cli/run_report_text.c
@@ -1,6 +1,6 @@
 /**
  * @file run_report_text.c
- * @brief A run's report as tables.
+ * @brief Writes a run's report as tables of text.
  */
 #include "cli/run_report.h"
 
--- a/src/cli/status.c
+++ b/src/cli/status.c
@@ -1,6 +1,6 @@
 /**
  * @file status.c
- * @brief `cedarwinch status`: what nodes believe, side by side.
+ * @brief `cedarwinch status`: prints the state of several nodes, and totals.
  */
 #include <inttypes.h>
 #include <jansson.h>
@@ -63,7 +63,7 @@
     }
 }
 
-/* Of the leader: how the load lies on the owners, and what its moves cost. */
+/* Prints measures of the leader: the distribution of the load over the owners, and the cost of its moves. */
 static void print_measures(const json_t *status)
 {
     const char *service;
--- a/src/cli/status_totals.c
+++ b/src/cli/status_totals.c
@@ -1,6 +1,6 @@
 /**
  * @file status_totals.c
- * @brief Sums of nodes' statuses.
+ * @brief Adds up the statuses of nodes, and prints the sums.
  */
 #include "cli/status_totals.h"
 
@@ -10,7 +10,7 @@
 
 static const char others_name[] = "(others)";
 
-/** A tenant for sorting. */
+/** A tenant's name and sums, for sorting. */
 typedef struct named_tenant {
     const char   *name;
     const json_t *row;
@@ -96,13 +96,13 @@
     return json_integer_value(json_object_get(object, key));
 }
 
-/* ", metered at 3 nodes, free at 78 nodes" */
-static void print_shares(const json_t *shares, const char *before, FILE *out)
+/* Prints the number of nodes of each key, as ", metered (3 nodes), free (78 nodes)". */
+static void print_node_counts(const json_t *counts, const char *before, FILE *out)
 {
     const char *key;
     json_t     *count;
 
-    json_object_foreach((json_t *)shares, key, count)
+    json_object_foreach((json_t *)counts, key, count)
     {
         fprintf(out, ", %s%s (%" JSON_INTEGER_FORMAT " nodes)", before, key, json_integer_value(count));
     }
@@ -117,24 +117,24 @@
     if (json_object_get(row, "modes") != NULL) {
         fprintf(out, "; limit %g a second, burst %g", json_number_value(json_object_get(row, "requests_per_s")),
                 json_number_value(json_object_get(row, "burst")));
-        print_shares(json_object_get(row, "modes"), "", out);
-        print_shares(json_object_get(row, "counted_by"), "counted by ", out);
+        print_node_counts(json_object_get(row, "modes"), "", out);
+        print_node_counts(json_object_get(row, "counted_by"), "counted by ", out);
     }
     fprintf(out, "\n");
 }
 
-/* Most refused first, then most requests; the sum of the rest last. */
+/* Tenants with the most refusals come first, then those with the most requests; the sum of all others comes last. */
 static int compare_tenants(const void *left, const void *right)
 {
     static const char *const keys[] = {"refused", "requests"};
     const named_tenant_t    *a = left;
     const named_tenant_t    *b = right;
-    bool                     a_is_rest = strcmp(a->name, others_name) == 0;
-    bool                     b_is_rest = strcmp(b->name, others_name) == 0;
+    bool                     a_is_others = strcmp(a->name, others_name) == 0;
+    bool                     b_is_others = strcmp(b->name, others_name) == 0;
     size_t                   index;
 
-    if (a_is_rest != b_is_rest) {
-        return a_is_rest ? 1 : -1;
+    if (a_is_others != b_is_others) {
+        return a_is_others ? 1 : -1;
     }
     for (index = 0; index < sizeof(keys) / sizeof(keys[0]); index++) {
         json_int_t difference = number_of(b->row, keys[index]) - number_of(a->row, keys[index]);
@@ -146,7 +146,7 @@
     return strcmp(a->name, b->name);
 }
 
-static void print_rest(const named_tenant_t *tenants, size_t count, FILE *out)
+static void print_other_tenants(const named_tenant_t *tenants, size_t count, FILE *out)
 {
     json_int_t requests = 0;
     json_int_t refused = 0;
@@ -184,7 +184,7 @@
          index++) {
         print_tenant(&tenants[index], out);
     }
-    print_rest(tenants + index, count - index, out);
+    print_other_tenants(tenants + index, count - index, out);
     free(tenants);
 }
 
--- a/src/cli/zone.c
+++ b/src/cli/zone.c
@@ -1,10 +1,10 @@
 /**
  * @file zone.c
- * @brief `cedarwinch zone out` and `cedarwinch zone in`: a zone's way out of service and back, with a plan.
+ * @brief `cedarwinch zone out` and `cedarwinch zone in`: takes a zone out of service or puts it back, with a plan.
  *
- * One object of the store stands for each zone that is out: to make or to remove it is one write. Two operators who
- * take two zones out at the same moment do not see each other's plan; after the write the state is read once more, and
- * what is left of each service is checked again.
+ * The store has one object for each zone that is out of service; it is created or deleted by one write. Two operators
+ * who take two zones out at the same moment do not see each other's change in their plans. After the write the state is
+ * therefore read once more, and the zones that are left to each service are checked again.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,12 +18,13 @@
 #include "intent/zone_plan.h"
 #include "router/adapter.h"
 
+/** State of one command. */
 typedef struct zone_session {
     uv_loop_t           loop;
     void               *adapter;
     const char         *zone;
     cw_zone_change_t    change;
-    bool                done; /**< the call under way has ended */
+    bool                done; /**< the call in flight has ended */
     cw_store_result_t   result;
     cw_server_list_t   *servers;
     cw_configuration_t *configuration;
@@ -63,7 +64,7 @@
     session->done = true;
 }
 
-/* A zone can be taken out whatever the configuration is: it is read for what the plan shows only. */
+/* The configuration is read only to show the keys in the plan; a zone can also be taken out if it cannot be read. */
 static void on_configuration(void *context, const cw_accepted_t *accepted)
 {
     zone_session_t *session = context;
@@ -77,7 +78,7 @@
     session->done = true;
 }
 
-/* Part of the keys whose owners are in the zone. */
+/* Share of the keys whose owners are in the zone. */
 static double share_of(const zone_session_t *session, const cw_range_list_t *ranges)
 {
     double keys = 0;
@@ -134,7 +135,7 @@
     return session->servers != NULL;
 }
 
-/* A service whose record cannot be read is listed without its keys. */
+/* Reads the owners of the keys of each keyed service. If a record cannot be read, its service is shown without keys. */
 static void read_keys(zone_session_t *session)
 {
     const cw_store_port_t    *store = cw_adapter.store(session->adapter);
@@ -181,13 +182,13 @@
 
 /* ---- writing ---- */
 
-static bool is_as_wished(const zone_session_t *session)
+static bool is_change_done(const zone_session_t *session)
 {
     return cw_name_set_has(&session->servers->zones_out, session->zone) == (session->change == CW_ZONE_TAKEN_OUT);
 }
 
-/* The list as it would be without this zone's being out. */
-static void forget_own(zone_session_t *session)
+/* Removes this zone from the zones out of service in the list that was read, so that the plan can be made again. */
+static void remove_own_zone(zone_session_t *session)
 {
     cw_name_set_t out = {0};
     size_t        index;
@@ -202,14 +203,14 @@
     cw_name_set_clear(&out);
 }
 
-/* The state after a write, whose answer may have been lost: what another operator did at the same moment is seen here.
- */
-static int look_again(zone_session_t *session, bool is_acknowledged)
+/* Reads the state after a write whose answer may have been lost, and reports services that would have no
+ * server left because another operator has taken out another zone at the same moment. */
+static int verify_write(zone_session_t *session, bool is_acknowledged)
 {
     cw_findings_t  findings;
     cw_zone_plan_t plan;
 
-    if (!read_servers(session) || (!is_acknowledged && !is_as_wished(session))) {
+    if (!read_servers(session) || (!is_acknowledged && !is_change_done(session))) {
         fprintf(stderr, "cedarwinch: %s\n",
                 is_acknowledged ? "done; the state could not be read again" : "no answer; it may still be done");
         return is_acknowledged ? CW_EXIT_DONE : CW_EXIT_UNKNOWN;
@@ -220,10 +221,10 @@
     if (session->change == CW_ZONE_PUT_BACK) {
         return CW_EXIT_DONE;
     }
-    forget_own(session);
+    remove_own_zone(session);
     cw_findings_init(&findings);
     (void)cw_zone_plan_make(&plan, session->zone, session->change, session->servers, NULL, 0, &findings);
-    cw_findings_print(&findings, stdout); /* another zone was taken out meanwhile */
+    cw_findings_print(&findings, stdout); /* findings if another zone was taken out meanwhile */
     cw_findings_clear(&findings);
     cw_zone_plan_clear(&plan);
     return CW_EXIT_DONE;
@@ -235,7 +236,7 @@
     wait_for_answer(session);
     switch (session->result) {
     case CW_STORE_DONE:
-        return look_again(session, true);
+        return verify_write(session, true);
     case CW_STORE_CONFLICT:
     case CW_STORE_NOT_FOUND:
         fprintf(stderr, "cedarwinch: another operator was first; plan again\n");
@@ -244,12 +245,12 @@
         fprintf(stderr, "cedarwinch: the store refused; nothing was changed\n");
         return CW_EXIT_UNAVAILABLE;
     case CW_STORE_UNKNOWN:
-        return look_again(session, false);
+        return verify_write(session, false);
     }
     return CW_EXIT_UNKNOWN;
 }
 
-static int answer(zone_session_t *session, const char *plan)
+static int plan_or_confirm(zone_session_t *session, const char *plan)
 {
     int code = make_plan(session);
 
@@ -284,7 +285,7 @@
     session.adapter = cw_adapter.create(&session.loop, store, &readers);
     code = read_state(&session);
     if (code == CW_EXIT_DONE) {
-        code = answer(&session, plan);
+        code = plan_or_confirm(&session, plan);
     }
     cw_adapter.close(session.adapter);
     cw_server_list_release(session.servers);
