--- a/tests/process/intents.sh
+++ b/tests/process/intents.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Operators' intents are the way in: check, plan, confirm; races, stale plans, lost answers; tenants stay apart.
+# Operators configure tenants by intents (check, plan, confirm). Tests concurrent and stale plans, lost answers of the
+# store, and that tenants cannot claim each other's hosts and keys or use up each other's limits.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 2
 usual_servers
@@ -35,55 +36,55 @@
 refused() { ! "$@" >/dev/null 2>&1; }
 status() { local token=$1; shift; curl -s -o /dev/null -w '%{http_code}' "$@" -H "Authorization: Bearer $token" -H "X-Request-Id: i$RANDOM$RANDOM" -H 'X-Shard-Key: 7' -H 'X-Deadline-Ms: 900'; }
 
-check "a good intent has no findings" cw check "$WORK/a.yaml"
-check "a broken one has findings" refused cw check "$WORK/broken.yaml"
+check "a valid intent has no findings" cw check "$WORK/a.yaml"
+check "an invalid intent has findings" refused cw check "$WORK/broken.yaml"
 a=$(plan_of "$WORK/a.yaml")
 b=$(plan_of "$WORK/b.yaml")
-check "two operators: the first is accepted" cw confirm "$a" "$WORK/a.yaml"
-check "the second's plan is stale" refused cw confirm "$b" "$WORK/b.yaml"
+check "two operators: the first plan is accepted" cw confirm "$a" "$WORK/a.yaml"
+check "the second operator's plan is refused as stale" refused cw confirm "$b" "$WORK/b.yaml"
 b=$(plan_of "$WORK/b.yaml")
-check "planned anew it is accepted" cw confirm "$b" "$WORK/b.yaml"
-check "an edited intent does not pass under the old plan" refused cw confirm "$b" "$WORK/a.yaml"
+check "a new plan of the second operator is accepted" cw confirm "$b" "$WORK/b.yaml"
+check "a changed intent is refused under the id of the old plan" refused cw confirm "$b" "$WORK/a.yaml"
 curl -sf -X POST "http://$STORE/control?lose=1" >/dev/null
 a=$(plan_of "$WORK/a.yaml")
-check "a lost answer is settled by reading" cw confirm "$a" "$WORK/a.yaml"
-check "another tenant's intent keeps the first's" cw confirm "$(plan_of "$WORK/rimac.yaml")" "$WORK/rimac.yaml"
-check "another tenant's host cannot be taken" refused cw plan "$WORK/thief.yaml"
-check "another tenant's key cannot be taken" refused cw plan "$WORK/rimac-thief.yaml"
-check "and the finding names the place and the fingerprint" grep -q "rimac-thief.yaml:2:8: .*fingerprint ${token:0:8}" <(cw plan "$WORK/rimac-thief.yaml")
+check "after a lost answer, reading the store shows that the plan is accepted" cw confirm "$a" "$WORK/a.yaml"
+check "another tenant's intent is accepted beside the first one's" cw confirm "$(plan_of "$WORK/rimac.yaml")" "$WORK/rimac.yaml"
+check "an intent that claims another tenant's host is refused" refused cw plan "$WORK/thief.yaml"
+check "an intent that claims another tenant's key is refused" refused cw plan "$WORK/rimac-thief.yaml"
+check "the finding about the key names line, column and fingerprint" grep -q "rimac-thief.yaml:2:8: .*fingerprint ${token:0:8}" <(cw plan "$WORK/rimac-thief.yaml")
 cw plan "$WORK/rimac-keys.yaml" >"$WORK/keys.plan"
-check "a key out of a file is shown by its fingerprint" grep -q "keys added $(printf %s opensesame | sha256sum | cut -c1-8)" "$WORK/keys.plan"
-check "and by nothing else" [ "$(grep -c opensesame "$WORK/keys.plan")" = 0 ]
+check "the plan shows a key from a file by its fingerprint" grep -q "keys added $(printf %s opensesame | sha256sum | cut -c1-8)" "$WORK/keys.plan"
+check "the plan does not show the key itself" [ "$(grep -c opensesame "$WORK/keys.plan")" = 0 ]
 curl -sf -X POST "http://$STORE/control?down=1500&how=busy" >/dev/null
-check "with the store down nothing is accepted, and that is said" refused cw plan "$WORK/a.yaml"
+check "without the store, plan fails" refused cw plan "$WORK/a.yaml"
 sleep 1.6
 in_force() { [ "$(curl -sf "http://$NET.1:8081/metrics" | awk '/^cedarwinch_configuration_version/ {print $2}')" = 4 ]; }
 until_true in_force
 served() { [ "$(status sesame "http://$NET.1:8080/docks/x" -H 'Host: lp.example')" = 200 ]; }
 until_true served
-check "a tenant's caller is served" served
-check "another caller is not" [ "$(status open "http://$NET.1:8080/docks/x" -H 'Host: lp.example')" = 401 ]
+check "a caller with the tenant's key is served" served
+check "a caller with another key gets 401" [ "$(status open "http://$NET.1:8080/docks/x" -H 'Host: lp.example')" = 401 ]
 codes=$(for _ in 1 2 3 4 5 6 7 8 9 10 11 12; do status x "http://$NET.1:8080/pages/x" -H 'Host: rm.example'; echo; done | sort | uniq -c | xargs)
-check "a tenant's rate is its own limit ($codes)" grep -q 429 <<<"$codes"
-check "the other tenant is not touched by it" served
-check "a tenant's key out of a file is accepted" cw confirm "$(plan_of "$WORK/rimac-keys.yaml")" "$WORK/rimac-keys.yaml"
+check "requests above a tenant's rate get 429 ($codes)" grep -q 429 <<<"$codes"
+check "requests of the other tenant are still served" served
+check "an intent with a key from a file is accepted" cw confirm "$(plan_of "$WORK/rimac-keys.yaml")" "$WORK/rimac-keys.yaml"
 known() { status opensesame "http://$NET.1:8080/pages/x" -H 'Host: rm.example' | grep -q '200\|429'; }
 until_true known
-check "and its caller is known" known
-check "one with another key is not" [ "$(status sesame "http://$NET.1:8080/pages/x" -H 'Host: rm.example')" = 401 ]
-check "the key stands in no log and not in the store" [ "$(cat "$WORK"/node*.log <(curl -sf "http://$STORE/api/objects/config/main") | grep -c opensesame)" = 0 ]
+check "a caller with the key from the file is admitted" known
+check "a caller with another tenant's key gets 401" [ "$(status sesame "http://$NET.1:8080/pages/x" -H 'Host: rm.example')" = 401 ]
+check "neither the logs nor the store hold the key" [ "$(cat "$WORK"/node*.log <(curl -sf "http://$STORE/api/objects/config/main") | grep -c opensesame)" = 0 ]
 cw status "$NET.1:8081" "$NET.2:8081" >"$WORK/status"
-check "status tells the tenant at its limit, and who counts" grep -Eq 'tenant rimac: .* [1-9][0-9]* refused; limit 4 a second, burst 0, .*counted by n[12]' "$WORK/status"
-check "and refusals by reason" grep -q 'refused 429 the tenant.s rate: [1-9]' "$WORK/status"
-check "and callers without a good key" grep -q 'refused 401 ' "$WORK/status"
-told() { cw explain "$1" "$WORK"/node*.log; }
+check "status shows the tenant at its limit and the counting node" grep -Eq 'tenant rimac: .* [1-9][0-9]* refused; limit 4 a second, burst 0, .*counted by n[12]' "$WORK/status"
+check "status shows refusals by reason" grep -q 'refused 429 the tenant.s rate: [1-9]' "$WORK/status"
+check "status shows refusals of callers without a valid key" grep -q 'refused 401 ' "$WORK/status"
+explained() { cw explain "$1" "$WORK"/node*.log; }
 limited=$(grep -h '"the tenant.s rate"' "$WORK"/node*.log | tail -1 | grep -o '"request":"[^"]*"' | cut -d'"' -f4)
-check "explain tells the cause of a 429" grep -q 'cause: 429: ' <(told "$limited")
-check "report counts it" grep -q "429 the tenant's rate" <(cw report "$WORK"/node*.log)
-# An accepted configuration that cannot be read: a plan beside it would be one to replace it all.
+check "explain shows the cause of a 429" grep -q 'cause: 429: ' <(explained "$limited")
+check "report counts refusals by the tenant's rate" grep -q "429 the tenant's rate" <(cw report "$WORK"/node*.log)
+# If the accepted configuration cannot be read, plan must fail: a plan made without it would remove all other entries.
 cluster_configure '{"version":900,"routes":[],"limits":{"max-body-bytes":"1000"}}'
 plan_output=$(cw plan "$WORK/b.yaml" 2>&1)
-check "no plan without the present configuration" [ "$?" = 1 ]
-check "the reason has its place" grep -q 'limits.max-body-bytes: not a number' <<<"$plan_output"
-check "a zone plan says what it lacks" grep -q 'limits.max-body-bytes: not a number' <(cw zone out z1 2>&1)
+check "no plan is made without the present configuration" [ "$?" = 1 ]
+check "plan names the invalid field of the configuration" grep -q 'limits.max-body-bytes: not a number' <<<"$plan_output"
+check "a zone plan names the invalid field of the configuration" grep -q 'limits.max-body-bytes: not a number' <(cw zone out z1 2>&1)
 finish_test
--- a/tests/test_explain.c
+++ b/tests/test_explain.c
@@ -1,6 +1,7 @@
 /**
  * @file test_explain.c
- * @brief From a request's id to its cause: 401, 429, a region's refusal, an answer that waited for its turn.
+ * @brief Tests of `cedarwinch explain` (causes of 401, 429, refusals by regions, answers that waited for an earlier
+ * one) and of the refusals in `cedarwinch report`.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -61,8 +62,8 @@
     unlink(log_name);
 }
 
-/* What `cedarwinch explain` prints. */
-static const char *explained(const char *request)
+/* Returns what `cedarwinch explain` prints for a request. */
+static const char *explain_output(const char *request)
 {
     static char printed[8192];
     const char *files[] = {log_name};
@@ -94,9 +95,9 @@
     return refusals;
 }
 
-START_TEST(a_429_is_told_with_who_counts_for_the_tenant)
+START_TEST(explains_a_429_with_the_counting_node)
 {
-    const char *printed = explained("limit-1");
+    const char *printed = explain_output("limit-1");
 
     expect(printed, "cause: 429: over all nodes the tenant is at its limit");
     expect(printed, "rests on: 1.000 n1 limit mode tenant=\"rimac\" limit_mode=\"metered\" peer=\"10.0.0.2:7000\"");
@@ -105,7 +106,7 @@
 }
 END_TEST
 
-START_TEST(a_tenant_without_keys_is_told_by_its_route)
+START_TEST(names_a_tenant_without_keys_by_its_route)
 {
     const char       *printed;
     cw_run_refusals_t refusals;
@@ -118,7 +119,7 @@
                   "\"limit_mode\":\"alone\""),
           file);
     fclose(file);
-    printed = explained("limit-2");
+    printed = explain_output("limit-2");
     expect(printed, "rests on: 1.000 n1 limit mode tenant=\"rimac\"");
     refusals = refusals_of();
     ck_assert_uint_eq(refusals.tenants.count, 1);
@@ -126,24 +127,25 @@
 }
 END_TEST
 
-START_TEST(a_401_is_told_with_its_rule_and_how_old_the_keys_were)
+START_TEST(explains_a_401_with_its_rule_and_the_age_of_the_keys)
 {
-    const char *printed = explained("key-1");
+    const char *printed = explain_output("key-1");
 
     expect(printed, "cause: 401: no tenant has this key in the version named here");
     expect(printed, "rests on: 1.300 n1 keys stale");
 }
 END_TEST
 
-START_TEST(a_regions_refusal_is_told_with_its_cause)
+START_TEST(explains_a_refusal_by_regions)
 {
-    expect(explained("region-1"), "cause: 503: the owner of its key lies where the route or the tenant may not go");
+    expect(explain_output("region-1"),
+           "cause: 503: the owner of its key lies where the route or the tenant may not go");
 }
 END_TEST
 
-START_TEST(an_answer_that_waited_is_told_with_the_one_it_waited_for)
+START_TEST(explains_an_answer_that_waited_with_the_earlier_request)
 {
-    const char *printed = explained("quick-1");
+    const char *printed = explain_output("quick-1");
 
     expect(printed, "answer waited waited_ms=231 waited_for=\"slow-1\"");
     expect(printed, "cause: its answer was here; an earlier request of the same connection");
@@ -152,7 +154,7 @@
 }
 END_TEST
 
-START_TEST(each_rule_that_a_caller_is_turned_away_by_has_its_cause)
+START_TEST(each_rejection_of_a_caller_has_its_own_cause)
 {
     static const cw_caller_verdict_t verdicts[] = {CW_CALLER_NO_KEY, CW_CALLER_MALFORMED, CW_CALLER_UNKNOWN_KEY,
                                                    CW_CALLER_OTHER_TENANT};
@@ -196,7 +198,7 @@
 }
 END_TEST
 
-START_TEST(many_tenants_are_told_by_the_largest_and_a_sum)
+START_TEST(reports_the_largest_tenants_and_a_sum_of_the_others)
 {
     FILE             *file = fopen(log_name, "w");
     cw_run_refusals_t refusals;
@@ -218,7 +220,7 @@
 }
 END_TEST
 
-START_TEST(the_page_and_the_text_tell_the_same)
+START_TEST(page_and_text_report_the_same)
 {
     cw_run_refusals_t refusals = refusals_of();
     static char       text[8192];
@@ -245,15 +247,15 @@
     TCase *cases = tcase_create("explain");
 
     tcase_add_checked_fixture(cases, setup, teardown);
-    tcase_add_test(cases, a_429_is_told_with_who_counts_for_the_tenant);
-    tcase_add_test(cases, a_tenant_without_keys_is_told_by_its_route);
-    tcase_add_test(cases, a_401_is_told_with_its_rule_and_how_old_the_keys_were);
-    tcase_add_test(cases, a_regions_refusal_is_told_with_its_cause);
-    tcase_add_test(cases, an_answer_that_waited_is_told_with_the_one_it_waited_for);
-    tcase_add_test(cases, each_rule_that_a_caller_is_turned_away_by_has_its_cause);
+    tcase_add_test(cases, explains_a_429_with_the_counting_node);
+    tcase_add_test(cases, names_a_tenant_without_keys_by_its_route);
+    tcase_add_test(cases, explains_a_401_with_its_rule_and_the_age_of_the_keys);
+    tcase_add_test(cases, explains_a_refusal_by_regions);
+    tcase_add_test(cases, explains_an_answer_that_waited_with_the_earlier_request);
+    tcase_add_test(cases, each_rejection_of_a_caller_has_its_own_cause);
     tcase_add_test(cases, refusals_are_counted_by_reason_and_tenant);
-    tcase_add_test(cases, many_tenants_are_told_by_the_largest_and_a_sum);
-    tcase_add_test(cases, the_page_and_the_text_tell_the_same);
+    tcase_add_test(cases, reports_the_largest_tenants_and_a_sum_of_the_others);
+    tcase_add_test(cases, page_and_text_report_the_same);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_intent.c
+++ b/tests/test_intent.c
@@ -1,6 +1,7 @@
 /**
  * @file test_intent.c
- * @brief Intents, plans and tenants' gates.
+ * @brief Tests of intents, of plans, of configurations in the store's format, and of the gates that limit a tenant's
+ * concurrent requests.
  */
 #include <stdio.h>
 #include <string.h>
@@ -47,7 +48,7 @@
     cw_findings_clear(&findings);
 }
 
-START_TEST(a_good_intent_is_read_whole)
+START_TEST(valid_intent_is_read_completely)
 {
     cw_intent_t intent;
 
@@ -63,13 +64,13 @@
 }
 END_TEST
 
-START_TEST(each_fault_of_an_intent_is_a_finding)
+START_TEST(each_error_of_an_intent_is_a_finding)
 {
     ck_assert_uint_ge(findings_of("tenant: a\n"), 2);
     ck_assert_uint_ge(findings_of("tenant: a b\nservices: []\nroutes: []\n"), 1);
     ck_assert_uint_eq(findings_of("tenant: a\nservices: []\nroutes:\n"
                                   "  - {name: r, host: h, prefix: /x, service: s}\n"),
-                      2); /* no such service; no slash at the end */
+                      2); /* the service does not exist; the prefix does not end with a slash */
     ck_assert_uint_eq(findings_of("tenant: a\nservices: [{name: s}]\nroutes:\n"
                                   "  - {name: r, host: h, prefix: /x/, service: s, aim_ms: 9, timeout_ms: 5}\n"),
                       1);
@@ -98,7 +99,7 @@
     return error;
 }
 
-START_TEST(a_plan_says_what_changes_and_keeps_other_tenants)
+START_TEST(plan_lists_changes_and_keeps_other_tenants)
 {
     static const char other[] = "tenant: rimac\nservices: [{name: s}]\nroutes:\n"
                                 "  - {name: r, host: rimac.example, prefix: /x/, service: s}\n";
@@ -125,7 +126,7 @@
 }
 END_TEST
 
-START_TEST(a_plan_is_bound_to_its_intent_and_to_what_it_was_made_from)
+START_TEST(plan_id_depends_on_intent_and_present_configuration)
 {
     char      changed[2048];
     cw_plan_t plan;
@@ -149,7 +150,7 @@
 }
 END_TEST
 
-START_TEST(another_tenants_host_and_prefix_cannot_be_taken)
+START_TEST(another_tenants_host_and_prefix_are_refused)
 {
     cw_plan_t first;
     cw_plan_t second;
@@ -168,7 +169,7 @@
 #define DIGEST "d0c04f4b1951e4aeaaec8223ed2039e542f3aae805a6fa7f6d794e5afff5d272"
 #define EMPTY  "services: []\nroutes: []\n"
 
-START_TEST(another_tenants_token_cannot_be_taken)
+START_TEST(another_tenants_key_is_refused)
 {
     cw_plan_t first;
     cw_plan_t second;
@@ -183,7 +184,7 @@
 }
 END_TEST
 
-START_TEST(a_tenant_without_a_list_of_tokens_is_open_and_one_with_an_empty_list_is_closed)
+START_TEST(tenant_without_key_list_is_open_and_with_empty_list_is_closed)
 {
     cw_plan_t open;
     cw_plan_t closed;
@@ -200,32 +201,32 @@
 }
 END_TEST
 
-START_TEST(a_configuration_survives_the_store)
+START_TEST(configuration_is_read_back_from_the_store_unchanged)
 {
     cw_plan_t             plan;
-    cw_configuration_t   *back;
+    cw_configuration_t   *read_back;
     json_t               *value;
     cw_platform_problem_t problem;
 
     ck_assert_int_eq(make(&plan, good, NULL, 0), CW_OK);
     value = cw_platform_write_configuration(plan.configuration);
-    back = cw_platform_parse_configuration(value, &problem);
-    ck_assert_ptr_nonnull(back);
-    ck_assert_uint_eq(back->route_count, 2);
-    ck_assert_uint_eq(back->tenant_count, 1);
-    ck_assert_double_eq(back->tenants[0].rate_per_s, 100);
-    ck_assert_int_eq(cw_configuration_match(back, "maps.example", "/docks/1")->timeout, CW_MS(1000));
-    ck_assert_uint_eq(cw_configuration_match(back, "maps.example", "/docks/1")->regions.count, 2);
-    ck_assert(cw_name_set_has(&cw_configuration_match(back, "maps.example", "/docks/1")->regions, "munster"));
-    ck_assert_uint_eq(cw_configuration_match(back, "maps.example", "/hire/1")->regions.count, 0);
-    ck_assert_int_eq(cw_configuration_service(back, "liffeyspoke/maps")->warm_time, CW_MS(2000));
+    read_back = cw_platform_parse_configuration(value, &problem);
+    ck_assert_ptr_nonnull(read_back);
+    ck_assert_uint_eq(read_back->route_count, 2);
+    ck_assert_uint_eq(read_back->tenant_count, 1);
+    ck_assert_double_eq(read_back->tenants[0].rate_per_s, 100);
+    ck_assert_int_eq(cw_configuration_match(read_back, "maps.example", "/docks/1")->timeout, CW_MS(1000));
+    ck_assert_uint_eq(cw_configuration_match(read_back, "maps.example", "/docks/1")->regions.count, 2);
+    ck_assert(cw_name_set_has(&cw_configuration_match(read_back, "maps.example", "/docks/1")->regions, "munster"));
+    ck_assert_uint_eq(cw_configuration_match(read_back, "maps.example", "/hire/1")->regions.count, 0);
+    ck_assert_int_eq(cw_configuration_service(read_back, "liffeyspoke/maps")->warm_time, CW_MS(2000));
     json_decref(value);
-    cw_configuration_release(back);
+    cw_configuration_release(read_back);
     cw_plan_clear(&plan);
 }
 END_TEST
 
-START_TEST(a_broken_configuration_is_refused_with_its_problem)
+START_TEST(invalid_configuration_is_refused_with_its_problem)
 {
     cw_platform_problem_t problem;
     json_t *value = json_loads("{\"version\":3,\"routes\":[{\"host\":\"h\",\"path-prefix\":\"/\"}]}", 0, NULL);
@@ -236,7 +237,7 @@
     value =
         json_loads("{\"version\":3,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"path-prefix\":\"/\",\"service\":\"s\","
                    "\"allowed-regions\":\"leinster\"}]}",
-                   0, NULL); /* taken as no restriction it would send requests anywhere */
+                   0, NULL); /* if it were read as no restriction, requests would be sent to any region */
     ck_assert_ptr_null(cw_platform_parse_configuration(value, &problem));
     json_decref(value);
     value = json_loads("{\"routes\":[]}", 0, NULL);
@@ -247,7 +248,7 @@
 
 /* ---- gates ---- */
 
-START_TEST(nobodys_requests_are_not_bound)
+START_TEST(requests_without_a_tenant_are_not_limited)
 {
     cw_tenant_gate_t  *gate = cw_tenant_gate_create();
     cw_tenant_count_t *count;
@@ -259,7 +260,7 @@
 }
 END_TEST
 
-START_TEST(requests_at_once_are_shared_by_the_nodes)
+START_TEST(limit_of_concurrent_requests_is_divided_among_nodes)
 {
     cw_tenant_gate_t  *gate = cw_tenant_gate_create();
     cw_tenant_t        tenant = {.name = "t", .concurrent = 8};
@@ -278,7 +279,8 @@
     cw_tenant_gate_leave(counts[1]);
     ck_assert_uint_eq(cw_tenant_gate_counts(gate), 1);
     cw_tenant_gate_leave(count);
-    ck_assert_uint_eq(cw_tenant_gate_counts(gate), 0); /* nothing is kept of a tenant without a request here */
+    ck_assert_uint_eq(cw_tenant_gate_counts(gate),
+                      0); /* no entry is kept for a tenant without a request on this node */
     cw_tenant_gate_free(gate);
 }
 END_TEST
@@ -288,17 +290,17 @@
     Suite *suite = suite_create("intent");
     TCase *cases = tcase_create("intent");
 
-    tcase_add_test(cases, a_good_intent_is_read_whole);
-    tcase_add_test(cases, each_fault_of_an_intent_is_a_finding);
-    tcase_add_test(cases, a_plan_says_what_changes_and_keeps_other_tenants);
-    tcase_add_test(cases, a_plan_is_bound_to_its_intent_and_to_what_it_was_made_from);
-    tcase_add_test(cases, another_tenants_host_and_prefix_cannot_be_taken);
-    tcase_add_test(cases, another_tenants_token_cannot_be_taken);
-    tcase_add_test(cases, a_tenant_without_a_list_of_tokens_is_open_and_one_with_an_empty_list_is_closed);
-    tcase_add_test(cases, a_configuration_survives_the_store);
-    tcase_add_test(cases, a_broken_configuration_is_refused_with_its_problem);
-    tcase_add_test(cases, nobodys_requests_are_not_bound);
-    tcase_add_test(cases, requests_at_once_are_shared_by_the_nodes);
+    tcase_add_test(cases, valid_intent_is_read_completely);
+    tcase_add_test(cases, each_error_of_an_intent_is_a_finding);
+    tcase_add_test(cases, plan_lists_changes_and_keeps_other_tenants);
+    tcase_add_test(cases, plan_id_depends_on_intent_and_present_configuration);
+    tcase_add_test(cases, another_tenants_host_and_prefix_are_refused);
+    tcase_add_test(cases, another_tenants_key_is_refused);
+    tcase_add_test(cases, tenant_without_key_list_is_open_and_with_empty_list_is_closed);
+    tcase_add_test(cases, configuration_is_read_back_from_the_store_unchanged);
+    tcase_add_test(cases, invalid_configuration_is_refused_with_its_problem);
+    tcase_add_test(cases, requests_without_a_tenant_are_not_limited);
+    tcase_add_test(cases, limit_of_concurrent_requests_is_divided_among_nodes);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_intent_tenant.c
+++ b/tests/test_intent_tenant.c
@@ -1,6 +1,6 @@
 /**
  * @file test_intent_tenant.c
- * @brief What intents say of callers' keys, limits, priority, regions and open routes, and what plans show of it.
+ * @brief Tests of callers' keys, limits, priority, regions and open routes in intents, and of their display in plans.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,7 +16,7 @@
 #define EMPTY         "services: []\nroutes: []\n"
 #define ROUTE(fields) "services: [{name: s}]\nroutes: [{name: r, host: h, prefix: /x/, service: s" fields "}]\n"
 
-/* Findings of one text, as they are printed; "" for none. */
+/* Returns the findings of an intent as they are printed; "" if there are none. */
 static const char *findings_of(const char *text, const char *file_name, const cw_name_set_t *regions)
 {
     static char   printed[4096];
@@ -41,7 +41,7 @@
     ck_assert_msg(strstr(printed, finding) != NULL, "'%s' is not in '%s'", finding, printed);
 }
 
-/* A plan's changes as text; "" and the findings' text where there are any. */
+/* Set by make(): the changes of the plan as text, and its findings as text ("" if there are none). */
 static char plan_text[4096];
 static char plan_findings[4096];
 
@@ -64,7 +64,7 @@
     return error;
 }
 
-/* What the second intent changes after the first. */
+/* Returns the changes that a plan for the second intent shows after the first intent was accepted. */
 static const char *change(const char *first_text, const char *second_text)
 {
     cw_plan_t first;
@@ -100,7 +100,7 @@
 }
 END_TEST
 
-START_TEST(wrong_types_and_ranges_are_findings_with_their_place)
+START_TEST(wrong_types_and_ranges_are_findings_with_line_and_column)
 {
     expect("tenant: a\nkeys: " SESAME "\n" EMPTY, "t.yaml:2:7: 'keys' must be a list");
     expect("tenant: a\nkeys: [abc]\n" EMPTY, "t.yaml:2:8: must be the SHA-256 digest");
@@ -118,7 +118,7 @@
 }
 END_TEST
 
-START_TEST(an_unknown_region_is_a_finding_where_the_regions_are_known)
+START_TEST(unknown_region_is_a_finding_if_the_regions_are_known)
 {
     static const char text[] = "tenant: a\nregions: [north]\n" ROUTE(", regions: [north, nroth]");
     cw_name_set_t     regions = {0};
@@ -158,7 +158,7 @@
     fclose(file);
 }
 
-START_TEST(a_key_in_a_file_beside_the_intent_becomes_its_digest)
+START_TEST(key_in_a_file_beside_the_intent_is_read_as_its_digest)
 {
     static const char text[] = "tenant: a\nkeys: [{file: key}]\n" EMPTY;
     cw_key_digest_t   wanted;
@@ -176,7 +176,7 @@
 }
 END_TEST
 
-START_TEST(what_is_no_key_is_a_finding_that_tells_nothing_of_it)
+START_TEST(file_without_a_valid_key_is_a_finding_without_its_content)
 {
     static const char text[] = "tenant: a\nkeys:\n  - {file: key}\n" EMPTY;
     static const struct {
@@ -211,7 +211,7 @@
 
 /* ---- plans ---- */
 
-START_TEST(another_tenants_key_is_a_finding_at_its_place)
+START_TEST(another_tenants_key_is_a_finding_with_line_and_column)
 {
     cw_plan_t first;
     cw_plan_t second;
@@ -225,7 +225,7 @@
 }
 END_TEST
 
-START_TEST(a_plan_shows_keys_by_fingerprint_and_limits_before_and_after)
+START_TEST(plan_shows_fingerprints_of_keys_and_old_and_new_limits)
 {
     ck_assert_str_eq(change("tenant: a\nkeys: [" SESAME "]\nrequests_per_s: 10\n" EMPTY,
                             "tenant: a\nkeys: [" OTHER
@@ -238,7 +238,7 @@
 }
 END_TEST
 
-START_TEST(a_plan_shows_a_routes_regions_and_that_it_is_open)
+START_TEST(plan_shows_regions_of_a_route_and_that_it_is_open)
 {
     ck_assert_str_eq(change("tenant: a\n" ROUTE(", regions: [north]"), "tenant: a\n" ROUTE(", open: true")),
                      "~ route a/r: regions north -> anywhere, open to callers without a key from now on\n");
@@ -247,7 +247,7 @@
 }
 END_TEST
 
-START_TEST(a_plans_id_covers_regions_and_open_routes)
+START_TEST(plan_id_depends_on_regions_and_open_routes)
 {
     static const char *const texts[] = {"tenant: a\n" ROUTE(""), "tenant: a\n" ROUTE(", open: true"),
                                         "tenant: a\nregions: [north]\n" ROUTE(""),
@@ -269,7 +269,7 @@
 }
 END_TEST
 
-START_TEST(many_keys_are_shown_by_their_first_and_their_number)
+START_TEST(plan_shows_the_first_of_many_keys_and_their_number)
 {
     cw_bytes_t text = {0};
     size_t     index;
@@ -291,15 +291,15 @@
 
     tcase_add_checked_fixture(cases, setup, teardown);
     tcase_add_test(cases, keys_limits_priority_regions_and_open_routes_are_read);
-    tcase_add_test(cases, wrong_types_and_ranges_are_findings_with_their_place);
-    tcase_add_test(cases, an_unknown_region_is_a_finding_where_the_regions_are_known);
-    tcase_add_test(cases, a_key_in_a_file_beside_the_intent_becomes_its_digest);
-    tcase_add_test(cases, what_is_no_key_is_a_finding_that_tells_nothing_of_it);
-    tcase_add_test(cases, another_tenants_key_is_a_finding_at_its_place);
-    tcase_add_test(cases, a_plan_shows_keys_by_fingerprint_and_limits_before_and_after);
-    tcase_add_test(cases, a_plan_shows_a_routes_regions_and_that_it_is_open);
-    tcase_add_test(cases, a_plans_id_covers_regions_and_open_routes);
-    tcase_add_test(cases, many_keys_are_shown_by_their_first_and_their_number);
+    tcase_add_test(cases, wrong_types_and_ranges_are_findings_with_line_and_column);
+    tcase_add_test(cases, unknown_region_is_a_finding_if_the_regions_are_known);
+    tcase_add_test(cases, key_in_a_file_beside_the_intent_is_read_as_its_digest);
+    tcase_add_test(cases, file_without_a_valid_key_is_a_finding_without_its_content);
+    tcase_add_test(cases, another_tenants_key_is_a_finding_with_line_and_column);
+    tcase_add_test(cases, plan_shows_fingerprints_of_keys_and_old_and_new_limits);
+    tcase_add_test(cases, plan_shows_regions_of_a_route_and_that_it_is_open);
+    tcase_add_test(cases, plan_id_depends_on_regions_and_open_routes);
+    tcase_add_test(cases, plan_shows_the_first_of_many_keys_and_their_number);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_loop_clock.c
+++ b/tests/test_loop_clock.c
@@ -1,6 +1,8 @@
 /**
  * @file test_loop_clock.c
- * @brief A machine that is suspended: the loop's clock goes on, and what a node believes ages by it.
+ * @brief Tests that the loop's clock includes the time for which the machine was suspended, and that a node's
+ * authority, tables, list and evidence expire by it. Otherwise a node that resumes would serve and order from outdated
+ * state.
  */
 #include "base/loop_clock.h"
 #include "base/metrics.h"
@@ -21,13 +23,13 @@
 
 static void begin(uv_loop_t *loop)
 {
-    fake_suspended = CW_SECONDS(1000); /* before this process began */
+    fake_suspended = CW_SECONDS(1000); /* suspended before this process started */
     ck_assert_int_eq(cw_loop_clock_begin(loop, read_fake, NULL), 0);
 }
 
 /* ---- the clock ---- */
 
-START_TEST(without_a_suspension_time_is_the_loops)
+START_TEST(time_is_the_loops_time_without_a_suspension)
 {
     uv_loop_t loop;
 
@@ -44,14 +46,14 @@
     (void)timer;
 }
 
-/* A loop without anything to wait for does not wait. */
+/* Adds a timer that does not fire in the test: a loop without active handles does not wait. */
 static void keep_alive(uv_loop_t *loop, uv_timer_t *timer)
 {
     uv_timer_init(loop, timer);
     uv_timer_start(timer, on_never, UINT32_MAX, 0);
 }
 
-START_TEST(a_suspension_counts_at_the_first_look_after_a_wait)
+START_TEST(suspension_is_included_at_the_first_reading_after_a_wait)
 {
     uv_loop_t    loop;
     uv_timer_t   timer;
@@ -71,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(time_never_goes_back)
+START_TEST(time_never_decreases)
 {
     uv_loop_t    loop;
     uv_timer_t   timer;
@@ -83,14 +85,14 @@
     uv_run(&loop, UV_RUN_NOWAIT);
     fake_suspended += CW_SECONDS(SUSPENDED_S);
     before = cw_loop_now(&loop);
-    fake_suspended -= CW_MS(1); /* the two clocks were not read at the same moment */
+    fake_suspended -= CW_MS(1); /* readings vary slightly, because the two clocks are not read at the same moment */
     uv_run(&loop, UV_RUN_NOWAIT);
     ck_assert_int_ge(cw_loop_now(&loop), before);
     cw_loop_clock_end();
 }
 END_TEST
 
-START_TEST(another_loop_goes_by_its_own_time)
+START_TEST(another_loop_keeps_its_own_time)
 {
     uv_loop_t loop;
     uv_loop_t other;
@@ -104,7 +106,7 @@
 }
 END_TEST
 
-START_TEST(the_systems_clocks_agree_while_the_machine_runs)
+START_TEST(system_clocks_agree_while_the_machine_runs)
 {
     uv_loop_t  loop;
     uv_timer_t timer;
@@ -118,7 +120,7 @@
 }
 END_TEST
 
-/* ---- what a node believes ---- */
+/* ---- state of a node ---- */
 
 static node_fixture_t *new_leader(void)
 {
@@ -137,7 +139,7 @@
     node_fixture_free(node);
 }
 
-START_TEST(a_leader_that_was_suspended_has_no_authority_before_its_first_tick)
+START_TEST(suspended_leader_loses_authority_before_its_next_tick)
 {
     node_fixture_t *node = new_leader();
     cw_router_t    *router = &node->router;
@@ -145,15 +147,15 @@
 
     ck_assert(cw_router_is_able(router, cw_router_now(router)));
     fake_suspended += CW_SECONDS(SUSPENDED_S);
-    router->loop.time++; /* the loop has woken: the steady clock has hardly moved */
+    router->loop.time++; /* the loop has woken up: CLOCK_MONOTONIC has hardly advanced */
     ck_assert(!cw_router_is_able(router, cw_router_now(router)));
     node_fixture_tick(node, 1);
-    ck_assert_uint_eq(node->order_count, orders); /* and gives no order */
+    ck_assert_uint_eq(node->order_count, orders); /* the tick sends no order */
     free_node(node);
 }
 END_TEST
 
-START_TEST(tables_and_the_list_age_while_the_machine_is_suspended)
+START_TEST(tables_and_list_age_during_a_suspension)
 {
     node_fixture_t *node = new_leader();
     cw_router_t    *router = &node->router;
@@ -170,7 +172,7 @@
 }
 END_TEST
 
-START_TEST(evidence_of_the_configuration_and_of_callers_keys_ages)
+START_TEST(evidence_about_configuration_and_keys_ages_during_a_suspension)
 {
     node_fixture_t          *node = new_leader();
     cw_router_t             *router = &node->router;
@@ -189,7 +191,7 @@
 }
 END_TEST
 
-START_TEST(a_reported_suspension_is_counted)
+START_TEST(suspension_is_found_at_a_tick)
 {
     node_fixture_t *node = new_leader();
 
@@ -206,15 +208,15 @@
     Suite *suite = suite_create("loop_clock");
     TCase *cases = tcase_create("loop_clock");
 
-    tcase_add_test(cases, without_a_suspension_time_is_the_loops);
-    tcase_add_test(cases, a_suspension_counts_at_the_first_look_after_a_wait);
-    tcase_add_test(cases, time_never_goes_back);
-    tcase_add_test(cases, another_loop_goes_by_its_own_time);
-    tcase_add_test(cases, the_systems_clocks_agree_while_the_machine_runs);
-    tcase_add_test(cases, a_leader_that_was_suspended_has_no_authority_before_its_first_tick);
-    tcase_add_test(cases, tables_and_the_list_age_while_the_machine_is_suspended);
-    tcase_add_test(cases, evidence_of_the_configuration_and_of_callers_keys_ages);
-    tcase_add_test(cases, a_reported_suspension_is_counted);
+    tcase_add_test(cases, time_is_the_loops_time_without_a_suspension);
+    tcase_add_test(cases, suspension_is_included_at_the_first_reading_after_a_wait);
+    tcase_add_test(cases, time_never_decreases);
+    tcase_add_test(cases, another_loop_keeps_its_own_time);
+    tcase_add_test(cases, system_clocks_agree_while_the_machine_runs);
+    tcase_add_test(cases, suspended_leader_loses_authority_before_its_next_tick);
+    tcase_add_test(cases, tables_and_list_age_during_a_suspension);
+    tcase_add_test(cases, evidence_about_configuration_and_keys_ages_during_a_suspension);
+    tcase_add_test(cases, suspension_is_found_at_a_tick);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_product.c
+++ b/tests/test_product.c
@@ -1,6 +1,6 @@
 /**
  * @file test_product.c
- * @brief Settings, log lines and metrics: what operators see.
+ * @brief Tests of settings, log lines and metrics, and that the documents list all of them.
  */
 #include <fcntl.h>
 #include <jansson.h>
@@ -16,9 +16,9 @@
 #include "loop_fixture.h"
 #include "peer/traffic_account.h"
 
-static const char good_settings[] = "node: n1\nzone: z1\naddress: 10.0.0.1\ncallers: 10.0.0.1:8080\n"
-                                    "readiness: 10.0.0.1:8081\npeer_port: 7000\nstore: 10.0.0.9:7001\n"
-                                    "seeds: [\"10.0.0.2:1\", \"10.0.0.3:1\"]\n";
+static const char valid_settings[] = "node: n1\nzone: z1\naddress: 10.0.0.1\ncallers: 10.0.0.1:8080\n"
+                                     "readiness: 10.0.0.1:8081\npeer_port: 7000\nstore: 10.0.0.9:7001\n"
+                                     "seeds: [\"10.0.0.2:1\", \"10.0.0.3:1\"]\n";
 
 static size_t findings_of(const char *text, cw_router_settings_t *settings)
 {
@@ -36,15 +36,15 @@
 {
     char text[1024];
 
-    snprintf(text, sizeof(text), "%s%s\n", good_settings, line);
+    snprintf(text, sizeof(text), "%s%s\n", valid_settings, line);
     return findings_of(text, settings);
 }
 
-START_TEST(good_settings_have_no_findings)
+START_TEST(valid_settings_have_no_findings)
 {
     cw_router_settings_t settings;
 
-    ck_assert_uint_eq(findings_of(good_settings, &settings), 0);
+    ck_assert_uint_eq(findings_of(valid_settings, &settings), 0);
     ck_assert_str_eq(settings.callers.address, "10.0.0.1");
     ck_assert_uint_eq(settings.callers.port, 8080);
     ck_assert_uint_eq(settings.seed_count, 2);
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-START_TEST(each_fault_is_a_finding)
+START_TEST(each_error_is_a_finding)
 {
     cw_router_settings_t settings;
 
@@ -67,11 +67,11 @@
 }
 END_TEST
 
-START_TEST(datagrams_bind_the_address_unless_another_is_set)
+START_TEST(peer_bind_defaults_to_the_address)
 {
     cw_router_settings_t settings;
 
-    ck_assert_uint_eq(findings_of(good_settings, &settings), 0);
+    ck_assert_uint_eq(findings_of(valid_settings, &settings), 0);
     ck_assert_str_eq(settings.peer_bind, "10.0.0.1");
     ck_assert_uint_eq(findings_with("peer_bind: 192.168.0.7", &settings), 0);
     ck_assert_str_eq(settings.peer_bind, "192.168.0.7");
@@ -79,7 +79,7 @@
 }
 END_TEST
 
-START_TEST(holds_keep_to_what_servers_take)
+START_TEST(holds_are_limited_to_hold_max)
 {
     cw_router_settings_t settings;
 
@@ -106,7 +106,8 @@
     pair.read_end = ends[0];
     pair.write_end = ends[1];
     cw_event_log_open(pair.write_end, "n1", level);
-    cw_event_log_flush(CW_SECONDS(1000) + CW_SECONDS(rand() % 100000) * 2); /* a new second: limits begin anew */
+    cw_event_log_flush(CW_SECONDS(1000) +
+                       CW_SECONDS(rand() % 100000) * 2); /* a new second, so the limits of lines restart */
     return pair;
 }
 
@@ -154,7 +155,7 @@
 }
 END_TEST
 
-START_TEST(levels_keep_lines_out)
+START_TEST(lines_below_the_level_are_not_logged)
 {
     pipe_pair_t pair = open_log(CW_EVENT_WARNING);
     cw_event_t  event;
@@ -165,7 +166,7 @@
 }
 END_TEST
 
-START_TEST(a_reader_that_does_not_read_costs_lines_not_time)
+START_TEST(log_drops_lines_without_blocking_if_the_reader_does_not_read)
 {
     pipe_pair_t pair = open_log(CW_EVENT_INFO);
     uint64_t    before = cw_event_log_dropped();
@@ -187,7 +188,7 @@
 }
 END_TEST
 
-START_TEST(a_flood_of_one_kind_is_limited_and_told)
+START_TEST(excess_lines_of_an_event_are_dropped_and_reported)
 {
     static char text[65536];
     pipe_pair_t pair = open_log(CW_EVENT_INFO);
@@ -226,8 +227,8 @@
     return text;
 }
 
-/* The example with its commented defaults taken in: each key of a node at once. */
-START_TEST(all_settings_at_once_are_known)
+/* Parses examples/node.yaml with its commented defaults uncommented, so with all keys of a node. */
+START_TEST(all_settings_of_the_example_are_accepted)
 {
     cw_router_settings_t settings;
     char                *text = read_file("examples/node.yaml");
@@ -268,7 +269,7 @@
 }
 END_TEST
 
-START_TEST(every_metric_is_documented_and_none_besides)
+START_TEST(exactly_the_existing_metrics_are_documented)
 {
     cw_traffic_account_t account = {0};
     cw_bytes_t           served_text = {0};
@@ -277,7 +278,7 @@
     char                *line;
     char                 quoted[128];
     size_t               served = 0;
-    size_t               told = 0;
+    size_t               documented = 0;
 
     cw_metrics_reset();
     cw_histogram_add(CW_HISTOGRAM_TOTAL, "r", CW_MS(3));
@@ -296,15 +297,15 @@
         }
     }
     for (line = page; (line = strstr(line, "| `cedarwinch_")) != NULL; line++) {
-        told++;
+        documented++;
     }
-    ck_assert_uint_eq(served, told);
+    ck_assert_uint_eq(served, documented);
     free(text);
     free(page);
 }
 END_TEST
 
-START_TEST(histograms_count_upwards)
+START_TEST(buckets_of_histograms_are_cumulative)
 {
     char  *text;
     size_t length;
@@ -325,18 +326,18 @@
     Suite *suite = suite_create("product");
     TCase *cases = tcase_create("product");
 
-    tcase_add_test(cases, good_settings_have_no_findings);
-    tcase_add_test(cases, each_fault_is_a_finding);
-    tcase_add_test(cases, datagrams_bind_the_address_unless_another_is_set);
-    tcase_add_test(cases, holds_keep_to_what_servers_take);
+    tcase_add_test(cases, valid_settings_have_no_findings);
+    tcase_add_test(cases, each_error_is_a_finding);
+    tcase_add_test(cases, peer_bind_defaults_to_the_address);
+    tcase_add_test(cases, holds_are_limited_to_hold_max);
     tcase_add_test(cases, a_line_is_one_json_object);
-    tcase_add_test(cases, levels_keep_lines_out);
-    tcase_add_test(cases, a_reader_that_does_not_read_costs_lines_not_time);
-    tcase_add_test(cases, a_flood_of_one_kind_is_limited_and_told);
-    tcase_add_test(cases, all_settings_at_once_are_known);
+    tcase_add_test(cases, lines_below_the_level_are_not_logged);
+    tcase_add_test(cases, log_drops_lines_without_blocking_if_the_reader_does_not_read);
+    tcase_add_test(cases, excess_lines_of_an_event_are_dropped_and_reported);
+    tcase_add_test(cases, all_settings_of_the_example_are_accepted);
     tcase_add_test(cases, every_event_and_field_is_documented);
-    tcase_add_test(cases, every_metric_is_documented_and_none_besides);
-    tcase_add_test(cases, histograms_count_upwards);
+    tcase_add_test(cases, exactly_the_existing_metrics_are_documented);
+    tcase_add_test(cases, buckets_of_histograms_are_cumulative);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_run_report.c
+++ b/tests/test_run_report.c
@@ -1,6 +1,6 @@
 /**
  * @file test_run_report.c
- * @brief What a run's log lines come to.
+ * @brief Tests of the report of a run from its log lines.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -74,7 +74,7 @@
 }
 END_TEST
 
-START_TEST(the_hottest_key_is_told_with_its_owners_over_time)
+START_TEST(reports_the_hottest_key_with_its_successive_owners)
 {
     const cw_report_key_t *hot = &report.services[0].hot[0];
 
@@ -88,7 +88,7 @@
 }
 END_TEST
 
-START_TEST(a_move_is_told_with_what_it_cost)
+START_TEST(reports_a_move_with_its_times_and_refused_requests)
 {
     ck_assert_uint_eq(report.move_count, 1);
     ck_assert_str_eq(report.moves[0].from, "i-a");
@@ -99,7 +99,7 @@
 }
 END_TEST
 
-START_TEST(names_from_logs_are_escaped_in_the_page)
+START_TEST(names_from_logs_are_escaped_in_html)
 {
     char  *text = NULL;
     size_t size = 0;
@@ -114,7 +114,7 @@
 }
 END_TEST
 
-START_TEST(a_file_that_cannot_be_read_is_said)
+START_TEST(unreadable_file_is_an_error)
 {
     const char    *files[] = {"/nonexistent/log"};
     cw_log_lines_t lines = {0};
@@ -131,10 +131,10 @@
 
     tcase_add_checked_fixture(cases, setup, teardown);
     tcase_add_test(cases, outcomes_are_counted_by_second_and_service);
-    tcase_add_test(cases, the_hottest_key_is_told_with_its_owners_over_time);
-    tcase_add_test(cases, a_move_is_told_with_what_it_cost);
-    tcase_add_test(cases, names_from_logs_are_escaped_in_the_page);
-    tcase_add_test(cases, a_file_that_cannot_be_read_is_said);
+    tcase_add_test(cases, reports_the_hottest_key_with_its_successive_owners);
+    tcase_add_test(cases, reports_a_move_with_its_times_and_refused_requests);
+    tcase_add_test(cases, names_from_logs_are_escaped_in_html);
+    tcase_add_test(cases, unreadable_file_is_an_error);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_send_allowance.c
+++ b/tests/test_send_allowance.c
@@ -1,6 +1,6 @@
 /**
  * @file test_send_allowance.c
- * @brief Bytes that may be sent: they come with time, up to a burst, and what is sent is taken off whole.
+ * @brief Tests of the token bucket for sent bytes: growth with time up to a burst, and subtraction below zero.
  */
 #include <check.h>
 
@@ -9,7 +9,7 @@
 
 enum { START_S = 100, BYTES_PER_S = 1000000, BURST_MS = 200, BURST_BYTES = 200000, BYTES_PER_MS = 1000 };
 
-static cw_send_allowance_t full(void)
+static cw_send_allowance_t full_bucket(void)
 {
     cw_send_allowance_t allowance;
 
@@ -18,13 +18,13 @@
     return allowance;
 }
 
-START_TEST(nothing_may_be_sent_before_the_first_refill_and_then_a_burst)
+START_TEST(bucket_is_empty_before_the_first_refill_and_then_holds_a_burst)
 {
     cw_send_allowance_t allowance;
 
     cw_send_allowance_init(&allowance, BYTES_PER_S, CW_MS(BURST_MS));
     ck_assert(!cw_send_allowance_has_any(&allowance));
-    allowance = full();
+    allowance = full_bucket();
     cw_send_allowance_spend(&allowance, BURST_BYTES - 1);
     ck_assert(cw_send_allowance_has_any(&allowance));
     cw_send_allowance_spend(&allowance, 1);
@@ -32,9 +32,9 @@
 }
 END_TEST
 
-START_TEST(what_was_sent_beyond_it_has_to_come_back_first)
+START_TEST(excess_of_a_send_delays_the_next_one)
 {
-    cw_send_allowance_t allowance = full();
+    cw_send_allowance_t allowance = full_bucket();
     cw_time_us_t        now = CW_SECONDS(START_S);
 
     cw_send_allowance_spend(&allowance, BURST_BYTES + 50 * BYTES_PER_MS);
@@ -45,9 +45,9 @@
 }
 END_TEST
 
-START_TEST(time_counts_once_in_however_many_refills)
+START_TEST(many_refills_add_no_more_than_the_elapsed_time)
 {
-    cw_send_allowance_t allowance = full();
+    cw_send_allowance_t allowance = full_bucket();
     cw_time_us_t        now = CW_SECONDS(START_S);
     int                 step;
 
@@ -59,9 +59,9 @@
 }
 END_TEST
 
-START_TEST(a_long_rest_brings_no_more_than_a_burst)
+START_TEST(idle_time_adds_no_more_than_a_burst)
 {
-    cw_send_allowance_t allowance = full();
+    cw_send_allowance_t allowance = full_bucket();
 
     cw_send_allowance_refill(&allowance, CW_SECONDS(2 * START_S));
     cw_send_allowance_spend(&allowance, BURST_BYTES);
@@ -69,7 +69,7 @@
 }
 END_TEST
 
-START_TEST(without_a_rate_any_number_may_be_sent)
+START_TEST(sending_is_unlimited_without_a_rate)
 {
     cw_send_allowance_t allowance;
 
@@ -85,11 +85,11 @@
     Suite *suite = suite_create("send allowance");
     TCase *cases = tcase_create("allowance");
 
-    tcase_add_test(cases, nothing_may_be_sent_before_the_first_refill_and_then_a_burst);
-    tcase_add_test(cases, what_was_sent_beyond_it_has_to_come_back_first);
-    tcase_add_test(cases, time_counts_once_in_however_many_refills);
-    tcase_add_test(cases, a_long_rest_brings_no_more_than_a_burst);
-    tcase_add_test(cases, without_a_rate_any_number_may_be_sent);
+    tcase_add_test(cases, bucket_is_empty_before_the_first_refill_and_then_holds_a_burst);
+    tcase_add_test(cases, excess_of_a_send_delays_the_next_one);
+    tcase_add_test(cases, many_refills_add_no_more_than_the_elapsed_time);
+    tcase_add_test(cases, idle_time_adds_no_more_than_a_burst);
+    tcase_add_test(cases, sending_is_unlimited_without_a_rate);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_status_totals.c
+++ b/tests/test_status_totals.c
@@ -1,6 +1,6 @@
 /**
  * @file test_status_totals.c
- * @brief Sums of nodes' statuses, as `cedarwinch status` prints them.
+ * @brief Tests of the sums over nodes that `cedarwinch status` prints.
  */
 #include <stdio.h>
 #include <string.h>
@@ -31,7 +31,7 @@
     return text;
 }
 
-START_TEST(nodes_are_summed)
+START_TEST(sums_the_statuses_of_nodes)
 {
     add("{\"refused\":{\"401 unknown key\":2,\"503 no server\":1},\"sent\":{\"zone\":10,\"region\":5,\"remote\":1},"
         "\"pipelines\":{\"pipelined\":7,\"answers_waited\":3},\"tenants\":[{\"tenant\":\"a\",\"requests\":9,"
@@ -54,7 +54,7 @@
 }
 END_TEST
 
-START_TEST(of_many_tenants_the_largest_are_named_and_the_rest_is_a_sum)
+START_TEST(names_the_largest_tenants_and_sums_the_others)
 {
     const char *text;
     const char *place;
@@ -77,7 +77,7 @@
 }
 END_TEST
 
-START_TEST(a_node_that_tells_nothing_of_it_counts_as_nothing)
+START_TEST(missing_fields_of_a_node_count_as_zero)
 {
     add("{\"node\":\"n1\"}");
     ck_assert_ptr_nonnull(strstr(printed(), "bytes to other nodes: 0 within zones"));
@@ -89,9 +89,9 @@
     Suite *suite = suite_create("status_totals");
     TCase *cases = tcase_create("status_totals");
 
-    tcase_add_test(cases, nodes_are_summed);
-    tcase_add_test(cases, of_many_tenants_the_largest_are_named_and_the_rest_is_a_sum);
-    tcase_add_test(cases, a_node_that_tells_nothing_of_it_counts_as_nothing);
+    tcase_add_test(cases, sums_the_statuses_of_nodes);
+    tcase_add_test(cases, names_the_largest_tenants_and_sums_the_others);
+    tcase_add_test(cases, missing_fields_of_a_node_count_as_zero);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_zone_plan.c
+++ b/tests/test_zone_plan.c
@@ -1,6 +1,6 @@
 /**
  * @file test_zone_plan.c
- * @brief Plans for taking zones out of service and putting them back.
+ * @brief Tests of plans for taking zones out of service and putting them back.
  */
 #include <stdio.h>
 #include <string.h>
@@ -61,7 +61,7 @@
     return error;
 }
 
-START_TEST(what_loses_its_place_and_what_is_left_is_told)
+START_TEST(plan_shows_servers_in_the_zone_and_servers_left)
 {
     char id[20];
 
@@ -75,20 +75,20 @@
 }
 END_TEST
 
-START_TEST(the_last_zone_of_a_service_is_a_finding)
+START_TEST(taking_out_the_last_zone_of_a_service_is_a_finding)
 {
     char id[20];
 
     ck_assert_int_eq(make("z3", CW_ZONE_TAKEN_OUT, id), CW_ERROR_CONFLICT);
     ck_assert_ptr_nonnull(strstr(findings_text, "service 'rides' has no server in any other zone in service"));
-    cw_name_set_add(&list->zones_out, "z2"); /* servers there do not count as left */
+    cw_name_set_add(&list->zones_out, "z2"); /* servers in a zone out of service do not count as left */
     ck_assert_int_eq(make("z1", CW_ZONE_TAKEN_OUT, id), CW_ERROR_CONFLICT);
     ck_assert_ptr_nonnull(strstr(findings_text, "service 'hires' has no server"));
     ck_assert_ptr_null(strstr(findings_text, "maps"));
 }
 END_TEST
 
-START_TEST(servers_that_leave_or_are_missing_do_not_count_as_left)
+START_TEST(draining_or_missing_servers_do_not_count_as_left)
 {
     char id[20];
 
@@ -100,7 +100,7 @@
 }
 END_TEST
 
-START_TEST(what_is_so_already_is_a_finding)
+START_TEST(change_that_is_made_already_or_unknown_zone_is_a_finding)
 {
     char id[20];
 
@@ -114,7 +114,7 @@
 }
 END_TEST
 
-START_TEST(a_plan_is_bound_to_the_zones_that_are_left)
+START_TEST(plan_id_depends_on_the_zones_left)
 {
     char first[20];
     char again[20];
@@ -122,7 +122,7 @@
     char later[20];
 
     (void)make("z1", CW_ZONE_TAKEN_OUT, first);
-    add("h", "maps", "z2"); /* a server that comes changes nothing that the plan rests on */
+    add("h", "maps", "z2"); /* a new server in a zone that has servers of the service does not change the id */
     (void)make("z1", CW_ZONE_TAKEN_OUT, again);
     (void)make("z2", CW_ZONE_TAKEN_OUT, other);
     cw_name_set_add(&list->zones_out, "z3");
@@ -139,11 +139,11 @@
     TCase *cases = tcase_create("zone_plan");
 
     tcase_add_checked_fixture(cases, setup, teardown);
-    tcase_add_test(cases, what_loses_its_place_and_what_is_left_is_told);
-    tcase_add_test(cases, the_last_zone_of_a_service_is_a_finding);
-    tcase_add_test(cases, servers_that_leave_or_are_missing_do_not_count_as_left);
-    tcase_add_test(cases, what_is_so_already_is_a_finding);
-    tcase_add_test(cases, a_plan_is_bound_to_the_zones_that_are_left);
+    tcase_add_test(cases, plan_shows_servers_in_the_zone_and_servers_left);
+    tcase_add_test(cases, taking_out_the_last_zone_of_a_service_is_a_finding);
+    tcase_add_test(cases, draining_or_missing_servers_do_not_count_as_left);
+    tcase_add_test(cases, change_that_is_made_already_or_unknown_zone_is_a_finding);
+    tcase_add_test(cases, plan_id_depends_on_the_zones_left);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
