--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -36,9 +36,9 @@
 } cw_event_t;
 
 /** Sets the descriptor that lines are written to (it is made non-blocking), the name of this node in them, and the
- * lowest level that is logged. */
+ * least severe level that is logged. */
 void cw_event_log_open(int descriptor, const char *node, cw_event_level_t level);
-/** Changes the lowest level that is logged, after a reload of the settings. */
+/** Changes the least severe level that is logged, after a reload of the settings. */
 void cw_event_log_set_level(cw_event_level_t level);
 /** Writes the buffered lines as far as the reader accepts them, without blocking. now: starts a new second of the
  * limits. */
--- a/src/base/tenant_metrics.c
+++ b/src/base/tenant_metrics.c
@@ -113,7 +113,7 @@
 
     HASH_ITER(hh, rows, row, next)
     {
-        HASH_DEL(rows, row); /* NOLINT(clang-analyzer-unix.Malloc): the analyzer does not understand uthash's macros */
+        HASH_DEL(rows, row); /* NOLINT(clang-analyzer-unix.Malloc): the analyzer misreads uthash's macros */
         free(row->name);
         free(row);
     }
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -20,7 +20,7 @@
     CW_EXIT_UNKNOWN = 4      /**< a write without an answer: it may have been done */
 };
 
-/** Checks files, each of which is settings or an intent as its content tells, and prints all findings with line and
+/** Checks files, each of which holds settings or an intent (its content decides), and prints all findings with line and
  * column. regions: the regions that intents may name; NULL: not known, any region. */
 int cw_cli_check(const char *const *files, size_t count, const cw_name_set_t *regions);
 /** Makes a plan for an intent and prints it. store: address of the store, "IPv4:PORT", in all commands. */
--- a/src/cli/run_refusals.c
+++ b/src/cli/run_refusals.c
@@ -61,8 +61,7 @@
             counts->others++;
             counts->others_sum += entry->row.count;
         }
-        HASH_DEL(*table,
-                 entry); /* NOLINT(clang-analyzer-unix.Malloc): the analyzer does not understand uthash's macros */
+        HASH_DEL(*table, entry); /* NOLINT(clang-analyzer-unix.Malloc): the analyzer misreads uthash's macros */
         free(entry);
     }
 }
--- a/src/cli/run_refusals.h
+++ b/src/cli/run_refusals.h
@@ -41,7 +41,7 @@
     double              waited_longest_ms;                    /**< the longest such wait */
     char                waited_request[CW_REFUSALS_TEXT_MAX]; /**< id of the request that waited longest */
     char                waited_for[CW_REFUSALS_TEXT_MAX];     /**< id of the request that it waited for */
-    uint64_t            sent_bytes[CW_DISTANCES]; /**< to other nodes, as logged by processes at their end */
+    uint64_t            sent_bytes[CW_DISTANCES]; /**< to other nodes, by processes that ended by themselves */
     uint32_t            ended;                    /**< number of these processes */
 } cw_run_refusals_t;
 
--- a/src/cli/run_report.h
+++ b/src/cli/run_report.h
@@ -2,9 +2,9 @@
  * @file run_report.h
  * @brief Report of a run from its logs: outcomes by second and service, the hottest keys and their owners, the moves.
  *
- * run_report.c counts; run_report_text.c and run_report_html.c write. The number of log lines per second is limited:
- * processes drop the lines beyond the limit and log how many. The report shows the sum of these numbers, since its
- * counts are too low then.
+ * run_report.c counts; run_report_text.c and run_report_html.c write. The log lines of each event are limited per
+ * second: processes drop the lines beyond the limit and log how many. The report shows the sum of these numbers, since
+ * its counts are too low then.
  */
 #ifndef CEDARWINCH_CLI_RUN_REPORT_H
 #define CEDARWINCH_CLI_RUN_REPORT_H
@@ -36,7 +36,7 @@
 /** Names of the outcomes, for column heads and legends. */
 extern const char *const cw_report_outcome_names[CW_OUTCOMES];
 
-/** Requests by outcome, mostly those of one service in one second. */
+/** Requests by outcome: those of a service in one second, or a sum of such. */
 typedef struct cw_report_cell {
     uint32_t counts[CW_OUTCOMES];
 } cw_report_cell_t;
@@ -76,7 +76,7 @@
     char     from[CW_REPORT_NAME_MAX];
     double   released; /**< when the former owner released the range, or its end was proved */
     double   granted;  /**< when the new owner was granted the range; 0: not seen. Both: seconds since the start */
-    char how[CW_REPORT_NAME_MAX]; /**< the proof that the former owner has ended, and whether there was a handover */
+    char     how[CW_REPORT_NAME_MAX]; /**< proof of the former owner's end, and whether with a handover */
     uint32_t refused; /**< requests for its keys that were refused as moving in the second before the grant */
 } cw_report_move_t;
 
--- a/src/config/router_settings.c
+++ b/src/config/router_settings.c
@@ -261,7 +261,7 @@
     settings->limit_slack = cw_yaml_real(mapping, "tenant_limit_slack", 0, 1e9, settings->limit_slack);
 }
 
-/* A token of HTTP: it stands before a blank in a header. */
+/* Reads the scheme of callers' keys. It must be an HTTP token, since it precedes a blank in a header. */
 static void read_scheme(cw_router_settings_t *settings, cw_yaml_mapping_t *mapping)
 {
     static const char letters[] = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~+";
--- a/src/config/yaml_tree.h
+++ b/src/config/yaml_tree.h
@@ -25,7 +25,7 @@
 } cw_yaml_document_t;
 
 enum {
-    CW_YAML_KEYS_MAX = 128,
+    CW_YAML_KEYS_MAX = 128,   /**< keys that can be read from one mapping */
     CW_NAME_MAX = 63,         /**< bytes of a name */
     CW_YAML_DIGEST_BYTES = 32 /**< SHA-256 */
 };
--- a/tests/test_explain.c
+++ b/tests/test_explain.c
@@ -101,8 +101,8 @@
 
     expect(printed, "cause: 429: over all nodes the tenant is at its limit");
     expect(printed, "rests on: 1.000 n1 limit mode tenant=\"rimac\" limit_mode=\"metered\" peer=\"10.0.0.2:7000\"");
-    ck_assert_ptr_null(strstr(printed, "harbour")); /* another tenant's line */
-    ck_assert_ptr_null(strstr(printed, "alone"));   /* another node's */
+    ck_assert_ptr_null(strstr(printed, "harbour")); /* named only by the line of another tenant */
+    ck_assert_ptr_null(strstr(printed, "alone"));   /* named only by the line of another node */
 }
 END_TEST
 
