--- a/src/router/leader_tenure.c
+++ b/src/router/leader_tenure.c
@@ -1,6 +1,6 @@
 /**
  * @file leader_tenure.c
- * @brief A node's time as the leader; rules in leader_tenure.h.
+ * @brief A node's term as the leader; rules in leader_tenure.h.
  */
 #include "router/leader_tenure.h"
 
@@ -15,14 +15,14 @@
     tenure->released_at = now;
 }
 
-uint64_t cw_leader_tenure_announced(const cw_leader_tenure_t *tenure, cw_time_us_t now)
+uint64_t cw_leader_tenure_announced_term(const cw_leader_tenure_t *tenure, cw_time_us_t now)
 {
     return now - tenure->released_at < CW_SECONDS(CW_RELEASE_ANNOUNCED_S) ? tenure->released_term : 0;
 }
 
 bool cw_leader_is_rival(uint32_t own, uint32_t capability)
 {
-    return capability >= CW_LEADER_RIVAL_TIMES * own;
+    return capability >= CW_LEADER_RIVAL_FACTOR * own;
 }
 
 void cw_leader_tenure_note_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now)
--- a/src/router/router_configuration.c
+++ b/src/router/router_configuration.c
@@ -1,27 +1,28 @@
 /**
  * @file router_configuration.c
- * @brief The configuration in force at this node, and when it is looked at besides its standing watch.
+ * @brief The configuration in force at this node, and when it is read from the store in addition to the watch.
  *
  * Rules:
- *  - A version is taken only if it is higher than the one in force, whoever sent it: never back.
- *  - A few nodes watch it in the store (store_reader.h); the others get it from them (configuration_exchange.h). A node
- *    that has known of a higher version for a while without getting it reads the store itself.
- *  - Each node knows how surely its own is the newest one, and checks it at the store when that grows old
- *    (configuration_freshness.h).
+ *  - A version comes into force only if it is higher than the one in force, whoever sent it. A node never goes back.
+ *  - A few nodes watch the configuration in the store (store_reader.h); the others receive it from them
+ *    (configuration_exchange.h). A node that has known of a higher version for a while without receiving it reads the
+ *    store itself.
+ *  - Each node keeps the evidence that its version is the newest one, and checks that at the store when the evidence
+ *    grows old (configuration_freshness.h).
  */
 #include <string.h>
 
 #include "base/dropped_entries.h"
 #include "router/router_internal.h"
 
-enum { EXCHANGE_PERCENT = 45 /* of the time in which a change has to be in force: so long other nodes may take */ };
+enum { EXCHANGE_PERCENT = 45 /* part of the time for a change that other nodes may take to send it */ };
 
 uint64_t cw_router_version(const cw_router_t *router)
 {
     return router->configuration == NULL ? 0 : router->configuration->version;
 }
 
-static void note_plan(const cw_router_t *router, const cw_configuration_t *configuration)
+static void log_accepted(const cw_router_t *router, const cw_configuration_t *configuration)
 {
     const cw_configuration_t *before = router->configuration;
     int64_t                   added = 0;
@@ -48,8 +49,8 @@
     }
 }
 
-/* Services divided by key beyond those that tables have places for get no owners. */
-static void note_keyed_services(const cw_configuration_t *configuration)
+/* Services divided by key get no owners if the tables have no room for them. */
+static void log_dropped_keyed_services(const cw_configuration_t *configuration)
 {
     size_t keyed = 0;
     size_t index;
@@ -61,20 +62,20 @@
                             keyed > CW_KEYED_SERVICES_MAX ? keyed - CW_KEYED_SERVICES_MAX : 0);
 }
 
-bool cw_router_use_configuration(cw_router_t *router, cw_configuration_t *configuration)
+bool cw_router_apply_configuration(cw_router_t *router, cw_configuration_t *configuration)
 {
     if (router->configuration != NULL && configuration->version <= router->configuration->version) {
-        cw_configuration_release(configuration); /* never back */
+        cw_configuration_release(configuration); /* a node never goes back to a lower version */
         return false;
     }
-    note_plan(router, configuration);
-    note_keyed_services(configuration);
+    log_accepted(router, configuration);
+    log_dropped_keyed_services(configuration);
     cw_configuration_release(router->configuration);
     router->configuration = configuration;
-    router->all_due = true;
+    router->all_report_due = true;
     cw_configuration_freshness_set(&router->freshness, configuration->version);
     cw_engine_set_configuration(router->engine, configuration);
-    cw_router_use_warm_ups(router);
+    cw_router_apply_warm_ups(router);
     cw_http_listener_set_limits(router->callers, &configuration->limits);
     cw_metric_set(CW_METRIC_CONFIGURATION, configuration->version);
     return true;
@@ -92,12 +93,12 @@
         }
         return;
     }
-    if (cw_router_use_configuration(router, configuration)) {
+    if (cw_router_apply_configuration(router, configuration)) {
         cw_router_share_configuration(router, true, cw_router_now(router));
     }
 }
 
-void cw_router_on_newest(void *context, uint64_t version, cw_time_us_t at)
+void cw_router_on_configuration_evidence(void *context, uint64_t version, cw_time_us_t at)
 {
     cw_router_t *router = context;
 
@@ -106,12 +107,12 @@
 
 void cw_router_note_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now)
 {
-    bool is_near = strcmp(peer->zone, router->settings.zone) == 0;
+    bool is_same_zone = strcmp(peer->zone, router->settings.zone) == 0;
 
     if (version <= cw_router_version(router)) {
         return;
     }
-    cw_configuration_exchange_note(router->exchange, peer->address, version, is_near, now);
+    cw_configuration_exchange_note_holder(router->exchange, peer->address, version, is_same_zone, now);
     cw_configuration_newest_note(&router->configuration_newest, version, cw_router_version(router), now);
 }
 
@@ -123,7 +124,7 @@
     cw_event_t                event;
 
     cw_engine_trust_keys(router->engine, cw_credential_evidence_trusted_until(evidence, complete_at));
-    if (change != CW_EVIDENCE_AS_BEFORE &&
+    if (change != CW_EVIDENCE_UNCHANGED &&
         cw_event_begin(&event, change == CW_EVIDENCE_STALE ? CW_EVENT_KEYS_STALE : CW_EVENT_KEYS_CONFIRMED)) {
         cw_event_number(&event, CW_FIELD_CONFIGURATION, (int64_t)cw_router_version(router));
         cw_event_text(&event, CW_FIELD_DETAIL, evidence->fails_closed ? "fails closed" : "goes on");
@@ -133,13 +134,13 @@
 
 void cw_router_configuration_tick(cw_router_t *router, cw_time_us_t now)
 {
-    cw_time_us_t patience = router->settings.configuration_within * EXCHANGE_PERCENT / 100;
+    cw_time_us_t max_wait = router->settings.configuration_within * EXCHANGE_PERCENT / 100;
     uint64_t     version = cw_router_version(router);
-    bool         is_overdue = cw_configuration_newest_is_overdue(&router->configuration_newest, version, patience, now);
+    bool         is_overdue = cw_configuration_newest_is_overdue(&router->configuration_newest, version, max_wait, now);
 
     check_credential_evidence(router, now);
     if (is_overdue && !cw_configuration_exchange_is_receiving(router->exchange, now)) {
-        cw_configuration_newest_read(&router->configuration_newest, now);
+        cw_configuration_newest_start_read(&router->configuration_newest, now);
         router->store->read_configuration(router->store->context);
     }
 }
--- /dev/null
+++ b/src/router/store_availability.h
@@ -0,0 +1,39 @@
+/**
+ * @file store_availability.h
+ * @brief Whether the store answers this node's calls.
+ *
+ * Rules:
+ *  - Each call reports its outcome: answered, or failed. A write that the store refuses because its condition does
+ *    not hold counts as answered.
+ *  - The store counts as lost once calls have failed for CW_STORE_LOST_MS without an answer in between. One answer
+ *    ends that state.
+ *
+ * No I/O, no clock.
+ */
+#ifndef CEDARWINCH_ROUTER_STORE_AVAILABILITY_H
+#define CEDARWINCH_ROUTER_STORE_AVAILABILITY_H
+
+#include <stdbool.h>
+
+#include "base/time.h"
+
+enum {
+    CW_STORE_LOST_MS = 500 /**< time of failures without an answer after which the store counts as lost */
+};
+
+/** Change of the state that the outcome of a call has caused. */
+typedef enum cw_store_change { CW_STORE_UNCHANGED, CW_STORE_LOST, CW_STORE_BACK } cw_store_change_t;
+
+/** Outcomes of the calls so far. All zeros: no call has failed yet. */
+typedef struct cw_store_availability {
+    bool         is_lost;
+    cw_time_us_t failing_since; /**< first failure since the last answer; 0: none */
+    cw_time_us_t failed_at;     /**< last failure; 0: none */
+} cw_store_availability_t;
+
+/** Records the outcome of a call. Each change of the state is returned once, so that the caller can log it. */
+cw_store_change_t cw_store_availability_note(cw_store_availability_t *reach, bool is_answered, cw_time_us_t now);
+/** Time since the first failure after the last answer; 0: no call has failed since then. */
+cw_time_us_t cw_store_availability_failing_for(const cw_store_availability_t *reach, cw_time_us_t now);
+
+#endif
--- a/src/router/table_pages.c
+++ b/src/router/table_pages.c
@@ -1,10 +1,10 @@
 /**
  * @file table_pages.c
- * @brief Cutting tables of keys into pages, and putting them together.
+ * @brief Divides tables of keys into pages, and reassembles them.
  */
 #include "router/table_pages.h"
 
-uint32_t cw_table_pages_of(size_t entries)
+uint32_t cw_table_page_count(size_t entries)
 {
     return entries == 0 ? 1 : (uint32_t)((entries + CW_TABLE_PAGE_RANGES - 1) / CW_TABLE_PAGE_RANGES);
 }
--- a/src/router/view_check.c
+++ b/src/router/view_check.c
@@ -1,10 +1,10 @@
 /**
  * @file view_check.c
- * @brief For how long the content has differed.
+ * @brief Measures for how long the content has differed from the leader's.
  */
 #include "router/view_check.h"
 
-bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_patience_t *patience, cw_time_us_t now)
+bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *patience, cw_time_us_t now)
 {
     if (is_equal) {
         check->unequal_since = 0;
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -1,6 +1,6 @@
 /**
  * @file node_fixture.c
- * @brief The parts of a node, and fakes for what lies around it.
+ * @brief Starts the parts of a node, with fakes of the store, the servers and the other nodes.
  */
 #include "node_fixture.h"
 
@@ -10,7 +10,7 @@
 
 #include "base/text.h"
 
-enum { ID_MAX = 24, SETTLE_TICKS = 12, LISTED_CALM_MS = 4200, HEADER_BYTES = 16384 };
+enum { ID_MAX = 24, SETTLE_TICKS = 12, LIST_SETTLED_MS = 4200, HEADER_BYTES = 16384 };
 
 static const char *const zones[] = {"z1", "z2", "z3"};
 
@@ -99,7 +99,7 @@
 
 /* ---- servers ---- */
 
-static void take_order(void *context, const cw_order_t *order, cw_order_done_t done, void *data)
+static void accept_order(void *context, const cw_order_t *order, cw_order_done_t done, void *data)
 {
     node_fixture_t *node = context;
 
@@ -116,7 +116,7 @@
 
     node->order_count = 0;
     for (index = 0; index < count; index++) {
-        node_fixture_order_t order = node->orders[index]; /* an answer may bring the next order */
+        node_fixture_order_t order = node->orders[index]; /* copied, since the answer may add an order */
 
         order.done(order.context, order.order.id, result, NULL);
     }
@@ -145,7 +145,7 @@
 
     cw_router_samples_t samples = {keys, NULL, count, seen, "z2"};
 
-    cw_router_take_samples(&node->router, cw_short_name(service), &samples, cw_router_now(&node->router));
+    cw_router_add_samples(&node->router, cw_name_hash(service), &samples, cw_router_now(&node->router));
 }
 
 void node_fixture_read_servers(node_fixture_t *node, const char *service, size_t count, const char *address)
@@ -170,7 +170,7 @@
 
 /* ---- the node ---- */
 
-static void on_dropped(void *context, cw_server_t *server)
+static void on_server_dropped(void *context, cw_server_t *server)
 {
     node_fixture_t *node = context;
 
@@ -188,7 +188,7 @@
 {
     node_fixture_t *node = context;
 
-    cw_engine_gone(node->router.engine, exchange);
+    cw_engine_caller_disconnected(node->router.engine, exchange);
 }
 
 static void make_settings(cw_router_settings_t *settings)
@@ -221,11 +221,11 @@
     cw_upstream_options_t      options = {.idle_max = CW_SECONDS(1)};
     cw_http_limits_t           limits = {HEADER_BYTES, HEADER_BYTES, CW_SECONDS(1), CW_SECONDS(1)};
     cw_http_listener_handler_t callers = {node, on_request, on_gone};
-    cw_peer_handler_t          peers = {router, cw_router_datagram};
+    cw_peer_handler_t          peers = {router, cw_router_on_datagram};
     cw_absence_settings_t      absence;
 
     router->upstream = cw_upstream_create(&router->loop, &options);
-    router->pool = cw_server_pool_create(router->settings.zone, on_dropped, node);
+    router->pool = cw_server_pool_create(router->settings.zone, on_server_dropped, node);
     cw_server_pool_set_node(router->pool, router->settings.node);
     cw_server_pool_set_regions(router->pool, router->settings.zone_regions, router->settings.zone_region_count);
     router->engine = cw_engine_create(&router->loop, &settings, router->pool, router->upstream);
@@ -243,7 +243,7 @@
     cw_router_slots_init(router);
     cw_router_push_init(router);
     cw_router_pass_on_init(router);
-    router->view_parts = cw_view_parts_create();
+    router->view_updates = cw_view_updates_create();
     cw_router_relay_init(router);
     cw_router_list_exchange_init(router);
     cw_router_quota_init(router);
@@ -269,7 +269,7 @@
                                    .know_servers = know_servers,
                                    .read_configuration = read_configuration,
                                    .watch_configuration = watch_configuration};
-    node->adapter = (cw_adapter_t){.header_names = &node->names, .order = take_order};
+    node->adapter = (cw_adapter_t){.header_names = &node->names, .order = accept_order};
     node->router.adapter = &node->adapter;
     node->router.platform = node;
     node->router.incarnation = 77;
@@ -281,7 +281,7 @@
 
 void node_fixture_free(node_fixture_t *node)
 {
-    cw_router_end_assigners(&node->router);
+    cw_router_free_assigners(&node->router);
     node_fixture_answer_store(node);
     node_fixture_answer_orders(node, CW_ORDER_UNANSWERED);
     cw_peer_link_close(node->router.link);
@@ -291,12 +291,12 @@
     cw_server_pool_free(node->router.pool);
     cw_router_list_exchange_free(&node->router);
     cw_server_view_clear(&node->router.server_view);
-    cw_view_parts_free(node->router.view_parts);
+    cw_view_updates_free(node->router.view_updates);
     cw_key_tables_clear(&node->router.tables);
     cw_order_trust_free(node->router.order_trust);
     cw_detours_free(node->router.detours);
     cw_configuration_release(node->router.configuration);
-    free(node); /* a process frees nothing of this; the engine and what keeps timers stays */
+    free(node); /* the engine and the parts with timers are not freed, since a process never frees them */
 }
 
 void node_fixture_tick(node_fixture_t *node, int64_t passed_ms)
@@ -304,7 +304,7 @@
     cw_router_t *router = &node->router;
     cw_time_us_t now;
 
-    router->loop.time += (uint64_t)passed_ms; /* logical time: the loop itself does not run */
+    router->loop.time += (uint64_t)passed_ms; /* logical time, since the loop itself does not run */
     now = cw_router_now(router);
     cw_router_lead_tick(router, now);
     cw_router_view_tick(router, now);
@@ -326,7 +326,8 @@
         node_fixture_tick(node, CW_TICK_MS);
         node_fixture_answer_store(node);
     }
-    node_fixture_tick(node, LISTED_CALM_MS); /* servers are taken to have signed in */
+    node_fixture_tick(node,
+                      LIST_SETTLED_MS); /* the list has not changed for long enough: all servers count as registered */
     for (tick = 0; tick < SETTLE_TICKS; tick++) {
         node_fixture_answer_store(node);
         node_fixture_tick(node, CW_TICK_MS);
@@ -365,7 +366,7 @@
     }
     peer = cw_peer_link_learn_text(node->router.link, from, cw_router_now(&node->router));
     if (peer != NULL) {
-        cw_router_datagram(&node->router, peer, received);
+        cw_router_on_datagram(&node->router, peer, received);
     }
     cwp__datagram__free_unpacked(received, NULL);
 }
--- a/tests/test_caller_identity.c
+++ b/tests/test_caller_identity.c
@@ -1,6 +1,6 @@
 /**
  * @file test_caller_identity.c
- * @brief Whose caller sent a request, and for how long keys may be used.
+ * @brief Tests which tenant a request's key identifies, and for how long keys may be used.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "tenancy/credential_evidence.h"
 #include "tenancy/request_rank.h"
 
-/* printf %s sesame | sha256sum, and the digest of a key that nobody has */
+/* from: printf %s sesame | sha256sum; and the digest of a key that no caller has */
 static const char sesame[] = "d0c04f4b1951e4aeaaec8223ed2039e542f3aae805a6fa7f6d794e5afff5d272";
 static const char other_key[] = "d3a4646728a9de9a74d8fc4c41966a42e1c4b2b0b1b4ff9a0f2b7d4b0a5b5c1e";
 
@@ -38,7 +38,7 @@
     cw_route_add_part(route, "s", 1);
 }
 
-/* Tenant a has the key sesame, b has another, c has none and needs none. */
+/* Tenant a has the key sesame, b has another key, and c has none and needs none. */
 static cw_configuration_t *configured(void)
 {
     cw_configuration_t *configuration = cw_configuration_create(1);
@@ -64,7 +64,7 @@
     cw_http_field_builder_value(&builder, fields, value, strlen(value));
 }
 
-/* authorization: NULL for none. */
+/* authorization: value of the field; NULL: no such field. */
 static cw_caller_t identify(const cw_configuration_t *configuration, const char *path, const char *authorization)
 {
     cw_http_fields_t fields = {0};
@@ -90,7 +90,7 @@
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_KNOWN);
     ck_assert_str_eq(caller.tenant->name, "a");
-    ck_assert(caller.hides_credentials);
+    ck_assert(caller.strips_credentials);
     ck_assert_int_eq(verdict(configuration, "/all/x", "token  sesame"), CW_CALLER_KNOWN);
     caller = identify(configuration, "/open/x", "Token sesame");
     ck_assert_int_eq(caller.verdict, CW_CALLER_KNOWN);
@@ -100,7 +100,7 @@
 }
 END_TEST
 
-START_TEST(what_is_no_known_key_is_rejected)
+START_TEST(unknown_and_malformed_keys_are_rejected)
 {
     static const char *const malformed[] = {"",
                                             "Token",
@@ -149,38 +149,39 @@
 }
 END_TEST
 
-START_TEST(an_open_route_needs_no_key_and_takes_no_unknown_one)
+START_TEST(an_open_route_needs_no_key_and_rejects_unknown_ones)
 {
     cw_configuration_t *configuration = configured();
     cw_caller_t         caller = identify(configuration, "/open/x", NULL);
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
     ck_assert_ptr_null(caller.tenant);
-    ck_assert(caller.hides_credentials);
+    ck_assert(caller.strips_credentials);
     ck_assert_int_eq(verdict(configuration, "/open/x", "Token other"), CW_CALLER_UNKNOWN_KEY);
     ck_assert_int_eq(verdict(configuration, "/b-open/x", "Token sesame"), CW_CALLER_KNOWN);
     cw_configuration_release(configuration);
 }
 END_TEST
 
-START_TEST(the_route_of_a_tenant_without_keys_is_open_and_its_credentials_are_its_own)
+START_TEST(the_route_of_a_tenant_without_keys_is_open_and_passes_credentials_on)
 {
     cw_configuration_t *configuration = configured();
     cw_caller_t         caller = identify(configuration, "/c/x", "Basic xyz");
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
-    ck_assert(!caller.hides_credentials);
-    caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not handed to its servers */
+    ck_assert(!caller.strips_credentials);
+    caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not passed on to its servers */
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
-    ck_assert(caller.hides_credentials);
+    ck_assert(caller.strips_credentials);
     ck_assert_ptr_null(caller.tenant);
     ck_assert_str_eq(
-        cw_caller_accountable(&caller, configuration, cw_configuration_match(configuration, "h", "/c/x"))->name, "c");
+        cw_caller_limiting_tenant(&caller, configuration, cw_configuration_match(configuration, "h", "/c/x"))->name,
+        "c");
     cw_configuration_release(configuration);
 }
 END_TEST
 
-/* Tenant c needs none, and its servers are not to see another tenant's key, however it was sent. */
+/* Tenant c needs no key. Its servers must not see another tenant's key, in whatever form it was sent. */
 START_TEST(another_tenants_key_is_hidden_in_any_form)
 {
     static const char *const forms[] = {"sesame",
@@ -205,25 +206,26 @@
         cw_caller_t caller = identify(configuration, "/c/x", forms[index]);
 
         ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
-        ck_assert_msg(caller.hides_credentials, "%s", forms[index]);
+        ck_assert_msg(caller.strips_credentials, "%s", forms[index]);
     }
     add_field(&fields, "Authorization", "Basic xyz");
     add_field(&fields, "authorization", "Token sesame");
     ck_assert(cw_caller_identify(configuration, cw_configuration_match(configuration, "h", "/c/x"), &fields, "Token")
-                  .hides_credentials);
+                  .strips_credentials);
     cw_http_fields_clear(&fields);
     memset(parts, 'x', sizeof(parts) - 1);
-    for (index = 1; index < sizeof(parts) - 1; index += 2) { /* more parts than are looked at */
+    for (index = 1; index < sizeof(parts) - 1; index += 2) { /* more parts than are examined */
         parts[index] = ' ';
     }
-    ck_assert(identify(configuration, "/c/x", parts).hides_credentials);
-    ck_assert(!identify(configuration, "/c/x", "Digest username=\"a\", uri=\"/c\"").hides_credentials);
+    ck_assert(identify(configuration, "/c/x", parts).strips_credentials);
+    ck_assert(!identify(configuration, "/c/x", "Digest username=\"a\", uri=\"/c\"").strips_credentials);
     cw_configuration_release(configuration);
 }
 END_TEST
 
-/* Looking costs time: what is looked at is bounded for a request, in however many fields it stands. */
-START_TEST(of_all_credentials_of_a_request_so_many_parts_are_looked_at)
+/* Examining credentials takes time, so the number of parts examined is bounded for a request, no matter how many fields
+ * they are in. */
+START_TEST(the_number_of_credential_parts_examined_is_bounded)
 {
     enum { PARTS = 40 };
     cw_configuration_t *configuration = configured();
@@ -238,15 +240,15 @@
     }
     parts[2 * PARTS - 1] = '\0';
     add_field(&fields, "Authorization", parts);
-    ck_assert(!cw_caller_identify(configuration, route, &fields, "Token").hides_credentials);
+    ck_assert(!cw_caller_identify(configuration, route, &fields, "Token").strips_credentials);
     add_field(&fields, "Authorization", parts);
-    ck_assert(cw_caller_identify(configuration, route, &fields, "Token").hides_credentials);
+    ck_assert(cw_caller_identify(configuration, route, &fields, "Token").strips_credentials);
     cw_http_fields_clear(&fields);
     cw_configuration_release(configuration);
 }
 END_TEST
 
-START_TEST(without_keys_in_the_configuration_credentials_are_ordinary)
+START_TEST(without_configured_keys_credentials_are_passed_on)
 {
     cw_configuration_t *configuration = cw_configuration_create(1);
     cw_caller_t         caller;
@@ -256,7 +258,7 @@
     cw_configuration_seal(configuration);
     caller = identify(configuration, "/all/x", "Bearer anything");
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
-    ck_assert(!caller.hides_credentials);
+    ck_assert(!caller.strips_credentials);
     cw_configuration_release(configuration);
 }
 END_TEST
@@ -268,22 +270,22 @@
     cw_caller_t         nobody = identify(configuration, "/open/x", NULL);
     cw_configuration_t *later = cw_configuration_create(2);
 
-    ck_assert_int_eq(cw_caller_standing(&caller, configuration), CW_CALLER_STAYS);
+    ck_assert_int_eq(cw_caller_recheck(&caller, configuration), CW_CALLER_UNCHANGED);
     cw_configuration_seal(later);
-    ck_assert_int_eq(cw_caller_standing(&caller, later), CW_CALLER_STAYS); /* nobody needs a key any more */
+    ck_assert_int_eq(cw_caller_recheck(&caller, later), CW_CALLER_UNCHANGED); /* no tenant needs a key any more */
     cw_configuration_release(later);
 
     later = cw_configuration_create(3);
     add_tenant(later, "a", NULL)->needs_key = true;
     cw_configuration_seal(later);
-    ck_assert_int_eq(cw_caller_standing(&caller, later), CW_CALLER_REVOKED);
-    ck_assert_int_eq(cw_caller_standing(&nobody, later), CW_CALLER_STAYS);
+    ck_assert_int_eq(cw_caller_recheck(&caller, later), CW_CALLER_REVOKED);
+    ck_assert_int_eq(cw_caller_recheck(&nobody, later), CW_CALLER_UNCHANGED);
     cw_configuration_release(later);
 
     later = cw_configuration_create(4);
     (void)add_tenant(later, "b", sesame);
     cw_configuration_seal(later);
-    ck_assert_int_eq(cw_caller_standing(&caller, later), CW_CALLER_MOVED);
+    ck_assert_int_eq(cw_caller_recheck(&caller, later), CW_CALLER_MOVED);
     cw_configuration_release(later);
     cw_configuration_release(configuration);
 }
@@ -303,7 +305,7 @@
 }
 END_TEST
 
-START_TEST(names_are_recognised_in_any_spelling)
+START_TEST(field_names_match_in_any_spelling)
 {
     ck_assert(cw_http_name_is_alike("X-Tenant", "x-tenant"));
     ck_assert(cw_http_name_is_alike("X_TENANT", "X-Tenant"));
@@ -317,20 +319,20 @@
 
 START_TEST(keys_are_used_until_their_evidence_is_stale)
 {
-    cw_credential_evidence_t goes_on = {.stale_after = CW_SECONDS(5)};
-    cw_credential_evidence_t closed = {.stale_after = CW_SECONDS(5), .fails_closed = true};
-    cw_credential_evidence_t unbound = {.fails_closed = true};
-
-    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, 0, CW_SECONDS(9)), CW_EVIDENCE_AS_BEFORE);
-    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(10), CW_SECONDS(14)), CW_EVIDENCE_AS_BEFORE);
-    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(10), CW_SECONDS(15)), CW_EVIDENCE_STALE);
-    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(10), CW_SECONDS(16)), CW_EVIDENCE_AS_BEFORE);
-    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(16), CW_SECONDS(16)), CW_EVIDENCE_FRESH);
-    ck_assert_int_eq(cw_credential_evidence_trusted_until(&goes_on, CW_SECONDS(10)), CW_NEVER);
-    ck_assert_int_eq(cw_credential_evidence_trusted_until(&closed, CW_SECONDS(10)), CW_SECONDS(15));
-    ck_assert_int_eq(cw_credential_evidence_trusted_until(&closed, 0), 0);
-    ck_assert_int_eq(cw_credential_evidence_trusted_until(&unbound, 0), CW_NEVER);
-    ck_assert_int_eq(cw_credential_evidence_check(&unbound, CW_SECONDS(1), CW_SECONDS(900)), CW_EVIDENCE_AS_BEFORE);
+    cw_credential_evidence_t fail_open = {.stale_after = CW_SECONDS(5)};
+    cw_credential_evidence_t fail_closed = {.stale_after = CW_SECONDS(5), .fails_closed = true};
+    cw_credential_evidence_t unbounded = {.fails_closed = true};
+
+    ck_assert_int_eq(cw_credential_evidence_check(&fail_open, 0, CW_SECONDS(9)), CW_EVIDENCE_UNCHANGED);
+    ck_assert_int_eq(cw_credential_evidence_check(&fail_open, CW_SECONDS(10), CW_SECONDS(14)), CW_EVIDENCE_UNCHANGED);
+    ck_assert_int_eq(cw_credential_evidence_check(&fail_open, CW_SECONDS(10), CW_SECONDS(15)), CW_EVIDENCE_STALE);
+    ck_assert_int_eq(cw_credential_evidence_check(&fail_open, CW_SECONDS(10), CW_SECONDS(16)), CW_EVIDENCE_UNCHANGED);
+    ck_assert_int_eq(cw_credential_evidence_check(&fail_open, CW_SECONDS(16), CW_SECONDS(16)), CW_EVIDENCE_FRESH);
+    ck_assert_int_eq(cw_credential_evidence_trusted_until(&fail_open, CW_SECONDS(10)), CW_NEVER);
+    ck_assert_int_eq(cw_credential_evidence_trusted_until(&fail_closed, CW_SECONDS(10)), CW_SECONDS(15));
+    ck_assert_int_eq(cw_credential_evidence_trusted_until(&fail_closed, 0), 0);
+    ck_assert_int_eq(cw_credential_evidence_trusted_until(&unbounded, 0), CW_NEVER);
+    ck_assert_int_eq(cw_credential_evidence_check(&unbounded, CW_SECONDS(1), CW_SECONDS(900)), CW_EVIDENCE_UNCHANGED);
 }
 END_TEST
 
@@ -340,16 +342,16 @@
     TCase *cases = tcase_create("caller identity");
 
     tcase_add_test(cases, a_key_names_its_tenant_on_any_route);
-    tcase_add_test(cases, what_is_no_known_key_is_rejected);
+    tcase_add_test(cases, unknown_and_malformed_keys_are_rejected);
     tcase_add_test(cases, doubled_credentials_are_rejected_in_any_spelling);
-    tcase_add_test(cases, an_open_route_needs_no_key_and_takes_no_unknown_one);
-    tcase_add_test(cases, the_route_of_a_tenant_without_keys_is_open_and_its_credentials_are_its_own);
+    tcase_add_test(cases, an_open_route_needs_no_key_and_rejects_unknown_ones);
+    tcase_add_test(cases, the_route_of_a_tenant_without_keys_is_open_and_passes_credentials_on);
     tcase_add_test(cases, another_tenants_key_is_hidden_in_any_form);
-    tcase_add_test(cases, of_all_credentials_of_a_request_so_many_parts_are_looked_at);
-    tcase_add_test(cases, without_keys_in_the_configuration_credentials_are_ordinary);
+    tcase_add_test(cases, the_number_of_credential_parts_examined_is_bounded);
+    tcase_add_test(cases, without_configured_keys_credentials_are_passed_on);
     tcase_add_test(cases, a_later_configuration_keeps_revokes_or_moves_a_key);
     tcase_add_test(cases, a_tenants_priority_goes_before_its_routes);
-    tcase_add_test(cases, names_are_recognised_in_any_spelling);
+    tcase_add_test(cases, field_names_match_in_any_spelling);
     tcase_add_test(cases, keys_are_used_until_their_evidence_is_stale);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_credential_index.c
+++ b/tests/test_credential_index.c
@@ -1,6 +1,6 @@
 /**
  * @file test_credential_index.c
- * @brief Tenants by their keys: found, not found, claimed twice, and what the index costs.
+ * @brief Tests the index from keys to tenants: known, unknown and duplicate keys, and the memory it takes.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 
 enum { TENANTS = 10000, KEYS = 2, BYTES_A_KEY = 16 };
 
-/* Digests are even: a counter spread over the bytes stands for one. */
+/* Digests are evenly distributed; a pseudo-random sequence from the number imitates that. */
 static cw_key_digest_t digest(uint32_t number)
 {
     cw_key_digest_t key;
@@ -71,14 +71,14 @@
 }
 END_TEST
 
-START_TEST(digests_that_begin_alike_are_told_apart)
+START_TEST(digests_with_a_common_prefix_are_distinguished)
 {
     cw_configuration_t *configuration = cw_configuration_create(1);
     cw_tenant_t        *tenant = add_tenant(configuration, "t");
     cw_key_digest_t     key = digest(1);
     uint32_t            number;
 
-    for (number = 0; number < 200; number++) { /* all belong into one slot */
+    for (number = 0; number < 200; number++) { /* all fall into one slot of the index */
         key.bytes[31] = (uint8_t)number;
         cw_tenant_add_key(tenant, &key);
     }
@@ -170,8 +170,8 @@
 }
 END_TEST
 
-/* Two names whose hashes are the same: limits are counted by them. */
-START_TEST(two_limited_tenants_of_one_hash_are_refused)
+/* The hashes of these two names are equal, and limits are counted by hash. */
+START_TEST(two_limited_tenants_with_one_hash_are_rejected)
 {
     static const char *const names[] = {"tenant-45619", "tenant-94911"};
     cw_configuration_t      *configuration = cw_configuration_create(1);
@@ -201,11 +201,11 @@
     TCase *cases = tcase_create("credential index");
 
     tcase_add_test(cases, a_key_finds_its_tenant_and_others_find_none);
-    tcase_add_test(cases, digests_that_begin_alike_are_told_apart);
+    tcase_add_test(cases, digests_with_a_common_prefix_are_distinguished);
     tcase_add_test(cases, a_key_or_a_name_at_two_tenants_makes_a_configuration_invalid);
     tcase_add_test(cases, a_tenant_that_lost_its_last_key_still_needs_one);
     tcase_add_test(cases, ten_thousand_tenants_take_less_than_a_megabyte);
-    tcase_add_test(cases, two_limited_tenants_of_one_hash_are_refused);
+    tcase_add_test(cases, two_limited_tenants_with_one_hash_are_rejected);
     tcase_add_test(cases, a_routes_owner_is_the_tenant_before_its_slash);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_quota_share.c
+++ b/tests/test_quota_share.c
@@ -1,6 +1,6 @@
 /**
  * @file test_quota_share.c
- * @brief A node's part in a tenant's limit, message by message: the test is the counting node.
+ * @brief Tests a node's side of a tenant's limit message by message; the test acts as the counting node.
  */
 #include "loop_fixture.h"
 #include "quota_port.h"
@@ -36,7 +36,7 @@
     cw_quota_share_granted(share, COUNTER, &granted, now);
 }
 
-/* Of a report: no tenant is metered. */
+/* Replies to a report: no tenant is metered. */
 static void reply(cw_quota_share_t *share, uint32_t sequence, cw_time_us_t now)
 {
     cw_quota_status_t status = {.sequence = sequence};
@@ -51,8 +51,8 @@
     return cw_quota_share_decide(share, TENANT, now, &retry_after);
 }
 
-/* A slow counting node answers an ask and its repeat. */
-START_TEST(a_grant_that_comes_twice_is_taken_once_and_not_given_back)
+/* A slow counting node replies both to an ask and to its repetition. */
+START_TEST(a_repeated_grant_is_taken_once_and_not_returned)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(a_grant_that_comes_too_late_is_given_back_once)
+START_TEST(a_late_grant_is_returned_once)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -92,7 +92,7 @@
 }
 END_TEST
 
-START_TEST(a_tenant_that_came_while_nobody_counted_is_reported_when_a_node_does)
+START_TEST(a_tenant_admitted_without_a_counting_node_is_reported_to_the_next_one)
 {
     quota_sent_t      sent = {.counter = 0};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -111,7 +111,7 @@
 }
 END_TEST
 
-/* What is given back later does not keep alive what was given back before. */
+/* Tokens that are returned to the node later do not prolong the life of those returned before. */
 START_TEST(tokens_of_requests_that_did_not_run_expire)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -125,7 +125,8 @@
     for (index = 0; index < 50; index++) {
         cw_quota_share_give_back(share, TENANT, now);
     }
-    for (index = 0; index < 2; index++) { /* one is used and comes back, each time before the last one's end */
+    for (index = 0; index < 2;
+         index++) { /* one token is used and returned, each time before the expiry of the last ones */
         now += CW_MS(200);
         if (enter(share, now) == CW_QUOTA_ADMITTED) {
             cw_quota_share_give_back(share, TENANT, now);
@@ -136,8 +137,8 @@
 }
 END_TEST
 
-/* The node that counted is gone, and no other one is known. */
-START_TEST(what_waits_is_decided_when_nobody_counts_any_more)
+/* The counting node is gone, and no other one is known. */
+START_TEST(waiting_requests_are_decided_when_no_node_counts_any_more)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1);
@@ -150,7 +151,8 @@
     for (index = 0; enter(share, now) == CW_QUOTA_ADMITTED; index++) {
         ck_assert_int_lt(index, 1000);
     }
-    reply(share, sent.sequence, now); /* of the report before the ask: the next one need not wait, and is due */
+    reply(share, sent.sequence, now); /* the reply belongs to the report before the ask; after it the next request need
+                                         not wait, and a report is due */
     ck_assert_int_eq(enter(share, now), CW_QUOTA_ADMITTED);
     sent.counter = 0;
     cw_quota_share_tick(share, now + CW_MS(5));
@@ -162,8 +164,8 @@
 }
 END_TEST
 
-/* Its configuration is earlier, and has no limit for the tenant. */
-START_TEST(a_tenant_that_its_counting_node_does_not_know_is_served_from_the_own_part)
+/* The configuration of the counting node is earlier and has no limit for the tenant. */
+START_TEST(a_tenant_unknown_to_its_counting_node_is_served_from_the_local_part)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -180,7 +182,7 @@
     for (; now < start + CW_MS(300); now += CW_MS(20)) {
         cw_quota_share_tick(share, now);
     }
-    ck_assert_uint_ge(sent.reports, 1); /* whether it is known by now */
+    ck_assert_uint_ge(sent.reports, 1); /* asks whether the counting node knows the tenant now */
     status.sequence = sent.sequence;
     cw_quota_share_status(share, COUNTER, &status, now);
     ck_assert_int_eq(cw_quota_share_mode(share, TENANT), CW_QUOTA_ALONE);
@@ -193,7 +195,7 @@
 }
 END_TEST
 
-START_TEST(all_tenants_that_are_due_are_reported_at_once)
+START_TEST(all_due_tenants_are_reported_at_once)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1);
@@ -214,7 +216,7 @@
 }
 END_TEST
 
-/* One of its datagrams, or the reply, is lost. */
+/* One of the datagrams of the report, or a reply to it, is lost. */
 START_TEST(tenants_of_a_report_without_a_reply_are_reported_again)
 {
     quota_sent_t      sent = {.counter = COUNTER};
@@ -271,8 +273,8 @@
     cw_quota_share_status(share, from, &status, now);
 }
 
-/* Guards against a request that waits for a second where the node that was asked knows better who counts. */
-START_TEST(a_request_follows_to_the_node_that_is_named)
+/* Guards against a request that waits for a second although the asked node names the counting node. */
+START_TEST(a_request_follows_a_redirect)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -288,8 +290,9 @@
 }
 END_TEST
 
-/* Guards against two nodes that name one another, and a request that goes to and fro between them. */
-START_TEST(two_nodes_that_name_one_another_leave_the_own_part)
+/* Guards against two nodes that name each other as the counting node, and a request that is sent back and forth between
+ * them. */
+START_TEST(two_nodes_that_redirect_to_each_other_leave_the_local_part)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -304,8 +307,8 @@
 }
 END_TEST
 
-/* Guards against a tenant that goes free since a node that does not count it has replied. */
-START_TEST(a_reply_that_names_another_node_says_nothing_else_of_the_tenant)
+/* Guards against a tenant that becomes free because a node that does not count it has replied. */
+START_TEST(a_redirect_does_not_change_the_mode)
 {
     quota_sent_t      sent = {.counter = COUNTER};
     cw_quota_share_t *share = create(&sent, 1000);
@@ -325,18 +328,18 @@
     Suite *suite = suite_create("quota share");
     TCase *cases = tcase_create("message by message");
 
-    tcase_add_test(cases, a_grant_that_comes_twice_is_taken_once_and_not_given_back);
-    tcase_add_test(cases, a_grant_that_comes_too_late_is_given_back_once);
-    tcase_add_test(cases, a_tenant_that_came_while_nobody_counted_is_reported_when_a_node_does);
+    tcase_add_test(cases, a_repeated_grant_is_taken_once_and_not_returned);
+    tcase_add_test(cases, a_late_grant_is_returned_once);
+    tcase_add_test(cases, a_tenant_admitted_without_a_counting_node_is_reported_to_the_next_one);
     tcase_add_test(cases, tokens_of_requests_that_did_not_run_expire);
-    tcase_add_test(cases, what_waits_is_decided_when_nobody_counts_any_more);
-    tcase_add_test(cases, a_tenant_that_its_counting_node_does_not_know_is_served_from_the_own_part);
-    tcase_add_test(cases, all_tenants_that_are_due_are_reported_at_once);
+    tcase_add_test(cases, waiting_requests_are_decided_when_no_node_counts_any_more);
+    tcase_add_test(cases, a_tenant_unknown_to_its_counting_node_is_served_from_the_local_part);
+    tcase_add_test(cases, all_due_tenants_are_reported_at_once);
     tcase_add_test(cases, tenants_of_a_report_without_a_reply_are_reported_again);
     tcase_add_test(cases, counting_nodes_that_are_gone_are_forgotten);
-    tcase_add_test(cases, a_request_follows_to_the_node_that_is_named);
-    tcase_add_test(cases, two_nodes_that_name_one_another_leave_the_own_part);
-    tcase_add_test(cases, a_reply_that_names_another_node_says_nothing_else_of_the_tenant);
+    tcase_add_test(cases, a_request_follows_a_redirect);
+    tcase_add_test(cases, two_nodes_that_redirect_to_each_other_leave_the_local_part);
+    tcase_add_test(cases, a_redirect_does_not_change_the_mode);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
