--- a/src/assignment/assigner.c
+++ b/src/assignment/assigner.c
@@ -1,7 +1,7 @@
 /**
  * @file assigner.c
- * @brief Creation, end, and what others may ask. The rules are in the header; the record is read and written in
- * assigner_record.c, written plans come into force in assigner_commit.c.
+ * @brief Creation, destruction and state queries. The rules are in the header. assigner_record.c reads and writes the
+ * record; assigner_commit.c applies written plans.
  */
 #include "assignment/assigner_internal.h"
 
@@ -38,7 +38,7 @@
 void cw_assigner_free(cw_assigner_t *assigner)
 {
     assigner->freed = true;
-    if (!assigner->calling) { /* else when the store's answer has come */
+    if (!assigner->calling) { /* otherwise it is freed when the store's reply arrives */
         cw_assigner_free_now(assigner);
     }
 }
@@ -68,7 +68,7 @@
     return sent_at + hold * (100 + MOVE_DRIFT_PERCENT) / 100 + CW_MS(MOVE_SLACK_MS);
 }
 
-bool cw_assigner_may_wake(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now)
+bool cw_assigner_late_order_possible(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now)
 {
     return range->unanswered_at != 0 &&
            now < cw_assigner_hold_end(range->unanswered_at + assigner->settings.late_orders,
--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -1,22 +1,26 @@
 /**
  * @file assigner.h
- * @brief The leader's care for one service divided by key: writes assignments, then sends grants and releases.
+ * @brief Assigns the keys of one service divided by key to its servers: writes the assignments to the store, then sends
+ * grants and releases. The leader runs one assigner for each such service.
  *
  * Rules:
- *  - Every change of owner is written to the store, under the record's revision, before the first order that follows
- *    from it. A new leader writes each record once more, with its own term, before its first order: so no write of a
- *    former leader can land behind what it read.
- *  - Renewing (the same call to the same server) needs no wait. A move needs one of: the former holder's answer to the
- *    release; proof that its life ended (another id at its address); or its hold, with the clocks' drift, run out since
- *    the last grant or renewal that may have reached it was sent.
- *  - Fences only rise, for each service.
- *  - No order leaves without the leader's authority at that moment; the caller passes it with each tick.
- *  - An order that went unanswered may wake a holder again after its hold has run out, and a node without a heartbeat
- * of the leader may still route to it: so after such an order the wait lasts at least as long as tables are valid.
- *  - A server may start anew under the name that it had, and takes any fence then. So an owner of such a name that an
- *    order did not reach is granted nothing more under a fence that it may have had: the next grant has a new one.
- *  - Orders under way are bounded, so that their answers are taken in time however many ranges there are.
- *  - A range is not moved for balance while an order to its owner went unanswered lately: it may still be carried out.
+ *  - Every change of owner is written to the store, conditional on the record's revision, before the first order that
+ *    follows from it. A new leader rewrites each record with its own term before it sends its first order. A late write
+ *    of an earlier leader then fails its condition, so it cannot replace the state that the new leader has read.
+ *  - A renewal repeats a grant to the same server and needs no wait. A move needs one of: the former holder's
+ *    confirmation of the release; proof that its incarnation has ended (another id at its address); or the expiry of
+ *    its hold, including clock drift, counted from the last grant or renewal sent that may have reached it.
+ *  - The fences of a service only increase.
+ *  - An order is sent only while the leader has authority. The caller states the authority with each tick.
+ *  - A server may carry out an unanswered order after its hold has expired, and a node that receives no heartbeat of
+ *    the leader may still route to it. After such an order a move therefore waits at least as long as a node's table of
+ *    ranges stays valid.
+ *  - A server may restart under its former name, and then it accepts any fence. When an order does not reach an owner
+ *    whose id is such a name, the owner gets no more grants with a fence that it may have received: the next grant
+ *    has a new fence.
+ *  - The number of orders in flight is bounded, so that their results are handled in time for any number of ranges.
+ *  - A range is not moved for balance while a recent order to its owner is unanswered, since the server may still
+ *    carry it out.
  */
 #ifndef CEDARWINCH_ASSIGNMENT_ASSIGNER_H
 #define CEDARWINCH_ASSIGNMENT_ASSIGNER_H
@@ -33,94 +37,101 @@
 typedef enum cw_order_result {
     CW_ORDER_DONE,
     CW_ORDER_FENCED,    /**< a higher fence was seen on one of the keys */
-    CW_ORDER_ENDED,     /**< another life of a server answers at the address: not done, and the one meant has ended */
-    CW_ORDER_REFUSED,   /**< another answer: not done */
-    CW_ORDER_NOT_SENT,  /**< proved: nothing left */
-    CW_ORDER_UNANSWERED /**< may be done, now or seconds later */
+    CW_ORDER_ENDED,     /**< not done: another incarnation answers at the address, so the addressed one has ended */
+    CW_ORDER_REFUSED,   /**< not done: any other answer */
+    CW_ORDER_NOT_SENT,  /**< certainly no byte of it was sent */
+    CW_ORDER_UNANSWERED /**< may have been carried out, or may be seconds later */
 } cw_order_result_t;
 
+/** An order to a server about a range of keys. */
 typedef struct cw_order {
     uint64_t        id;
     cw_order_kind_t kind;
-    char            server[CW_SERVER_ID_MAX]; /**< the life that is meant */
+    char            server[CW_SERVER_ID_MAX]; /**< id of the addressed incarnation */
     char            address[CW_SERVER_ADDRESS_MAX];
     uint32_t        low;
     uint32_t        last;
     uint64_t        fence;
     cw_time_us_t    hold;
     char            handover[CW_HANDOVER_MAX];
-    bool            fresh; /**< on a new connection: the last one brought no answer */
+    bool            fresh; /**< must use a new connection, since the last order got no answer */
     cw_time_us_t    timeout;
     cw_time_us_t    sent_at;
-    cw_time_us_t    until_before; /**< end of the owner's hold if this order never leaves */
+    cw_time_us_t    until_before; /**< end of the owner's hold if this order is not sent */
 } cw_order_t;
 
 typedef struct cw_assigner_settings {
-    cw_time_us_t hold;      /**< of grants on a calm day */
-    cw_time_us_t hold_long; /**< while the store cannot be reached */
-    cw_time_us_t hold_most; /**< that servers take */
+    cw_time_us_t hold;      /**< of grants while the store answers */
+    cw_time_us_t hold_long; /**< of grants while the store does not answer */
+    cw_time_us_t hold_most; /**< longest hold that servers accept */
     cw_time_us_t renew_every;
     cw_time_us_t order_timeout; /**< of a grant */
     cw_time_us_t release_timeout;
-    cw_time_us_t late_orders; /**< an unanswered order may be carried out this much later */
-    cw_time_us_t table_valid; /**< a node may route by a table that it has had no heartbeat for so long */
+    cw_time_us_t late_orders; /**< longest time after which a server may still carry out an unanswered order */
+    cw_time_us_t table_valid; /**< for how long a node may route by its table without a heartbeat of the leader */
 } cw_assigner_settings_t;
 
+/** Functions that the assigner calls. */
 typedef struct cw_assigner_ports {
     void            *context;
     cw_store_port_t *store;
-    void (*order)(void *context, const cw_order_t *order); /**< cw_assigner_order_done must follow, once */
-    void (*changed)(void *context);                        /**< what requests are routed by has changed */
-    /** One decision for the log: an event's name and its text. */
+    void (*order)(void *context, const cw_order_t *order); /**< sends it; cw_assigner_order_done must follow, once */
+    void (*changed)(void *context);                        /**< the ranges that requests are routed by have changed */
+    /** Logs one decision: the name of the event and a detail. */
     void (*note)(void *context, const char *service, const char *event, const cw_range_t *range, const char *detail);
 } cw_assigner_ports_t;
 
 typedef struct cw_assigner cw_assigner_t;
 
 typedef enum cw_assigner_state {
-    CW_ASSIGNER_NEW,     /**< the record is to be read */
-    CW_ASSIGNER_CALLING, /**< a store call is under way, or its outcome unknown */
-    CW_ASSIGNER_EMPTY,   /**< no record exists: ranges are to be made */
-    CW_ASSIGNER_READY,   /**< the record carries this leader's term */
-    CW_ASSIGNER_DEPOSED  /**< a later leader has written */
+    CW_ASSIGNER_NEW,     /**< the record has not been read yet */
+    CW_ASSIGNER_CALLING, /**< a store call is in flight, or its outcome is unknown */
+    CW_ASSIGNER_EMPTY,   /**< there is no usable record: the first assignment has to be planned */
+    CW_ASSIGNER_READY,   /**< the record has this leader's term */
+    CW_ASSIGNER_DEPOSED  /**< a later leader has written the record */
 } cw_assigner_state_t;
 
 cw_assigner_t *cw_assigner_create(const char *service, uint64_t term, uint64_t incarnation,
                                   const cw_assigner_settings_t *settings, const cw_assigner_ports_t *ports);
-/** Store answers and orders that come later are dropped by the caller's cw_assigner_order_done and by the assigner. */
+/** Ends the assigner. A store reply that arrives later is discarded by the assigner, results of orders by the caller.
+ */
 void cw_assigner_free(cw_assigner_t *assigner);
 
-/** Sends what is due. able: the leader has authority now. long_hold: the store does not answer. */
+/** Makes the store call and sends the orders that are due. able: the leader has authority now. long_hold: the store
+ * does not answer. */
 void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool able, bool long_hold,
                       cw_time_us_t now);
+/** Handles the result of an order. handover: of a release that was carried out; NULL: none. */
 void cw_assigner_order_done(cw_assigner_t *assigner, uint64_t order, cw_order_result_t result, const char *handover,
                             cw_time_us_t now);
 
-/** Renewals are to take so many orders a second: the pause between those of a range grows with the ranges, and holds
- * with it, as far as servers take it. */
+/** Limits renewals to this many orders per second. The pause between the renewals of a range then increases with the
+ * number of ranges, and the holds with it, up to the longest hold that servers accept. */
 void cw_assigner_set_pace(cw_assigner_t *assigner, double orders_per_s);
 
 cw_assigner_state_t    cw_assigner_state(const cw_assigner_t *assigner);
 const char            *cw_assigner_service(const cw_assigner_t *assigner);
 const cw_range_list_t *cw_assigner_ranges(const cw_assigner_t *assigner);
-/** May a plan be made now? Not while a write is under way. */
+/** Whether a plan can be made now. False while a write is in flight. */
 bool cw_assigner_may_plan(const cw_assigner_t *assigner);
 /** First assignment of all keys, in equal parts. Only when the state is CW_ASSIGNER_EMPTY. */
 void cw_assigner_plan_first(cw_assigner_t *assigner, const cw_server_entry_t *const *servers, size_t count,
                             cw_time_us_t now);
-/** Adds to the plan: keys low to last, within one range, go to `to`. */
+/** Adds a move to the plan: keys low to last, which lie within one range, are assigned to `to`. */
 void cw_assigner_plan_move(cw_assigner_t *assigner, uint32_t low, uint32_t last, const cw_server_entry_t *to,
                            const cw_server_list_t *servers);
-/** Adds to the plan: the range at `index` of the plan and the next one, of one owner, become one. */
+/** Adds a merge to the plan: the range of key `low` and the next one become one. False: they have different owners, or
+ * one of them is not held or is being moved. */
 bool cw_assigner_plan_merge(cw_assigner_t *assigner, uint32_t low);
-/** Writes the plan, if there is anything in it. */
+/** Writes the plan, unless it is empty. */
 void cw_assigner_plan_write(cw_assigner_t *assigner, cw_time_us_t now);
-/** May this range be moved for balance? */
+/** Whether this range may be moved for balance. */
 bool cw_assigner_is_settled(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now);
-/** The record still names former holders that have let go: it should be written once more. */
+/** Whether the record still names former holders that have released their keys, so that it should be rewritten. */
 bool cw_assigner_is_stale(const cw_assigner_t *assigner, cw_time_us_t now);
+/** Plans a rewrite of the record without any change of owners. */
 void cw_assigner_plan_refresh(cw_assigner_t *assigner);
-/** Owners that no order reaches, over all owners that hold ranges. */
+/** Share of the ranges whose owners have not answered orders for some time. */
 double cw_assigner_failing_share(const cw_assigner_t *assigner, cw_time_us_t now);
 
 #endif
--- a/src/assignment/assigner_commit.c
+++ b/src/assignment/assigner_commit.c
@@ -1,6 +1,6 @@
 /**
  * @file assigner_commit.c
- * @brief What a written plan means for each range: kept as it was, or begun as a move.
+ * @brief Applies a written plan: each range either keeps its state, or its move or grant begins.
  */
 #include "assignment/assigner_internal.h"
 
@@ -11,8 +11,8 @@
     return cw_range_list_find(&assigner->record.ranges, planned->low);
 }
 
-/* A range that the plan left with its owner and fence keeps all that is known of it. */
-static void carry_on(cw_range_t *planned, const cw_range_t *source)
+/* Copies the leader's state of a range whose owner and fence the plan did not change. */
+static void keep_state(cw_range_t *planned, const cw_range_t *source)
 {
     uint32_t low = planned->low;
     uint32_t last = planned->last;
@@ -23,14 +23,14 @@
     planned->orders = 0;
 }
 
-/* A range whose owner or fence the plan changed. */
+/* Sets the state of a range whose owner or fence the plan changed. */
 static void begin_move(const cw_assigner_t *assigner, cw_range_t *planned, const cw_range_t *source, cw_time_us_t now)
 {
     bool same_owner = source != NULL && strcmp(source->owner.id, planned->owner.id) == 0;
 
     planned->hold_until = same_owner ? source->hold_until : 0;
     planned->unanswered_at = same_owner ? source->unanswered_at : 0;
-    planned->taken_at = 0;
+    planned->confirmed_at = 0;
     planned->failing_since = same_owner ? source->failing_since : 0;
     planned->fence_used = false;
     planned->needs_fence = false;
@@ -49,7 +49,7 @@
     }
     planned->former_until =
         strcmp(planned->former.id, source->owner.id) == 0 ? source->hold_until : source->former_until;
-    if (cw_assigner_may_wake(assigner, source, now)) {
+    if (cw_assigner_late_order_possible(assigner, source, now)) {
         cw_time_us_t tables_end = cw_assigner_hold_end(now, assigner->settings.table_valid);
 
         planned->former_until = tables_end > planned->former_until ? tables_end : planned->former_until;
@@ -65,15 +65,16 @@
         const cw_range_t *source = source_of(assigner, planned);
 
         if (source != NULL && source->owner.fence == planned->owner.fence) {
-            carry_on(planned, source);
+            keep_state(planned, source);
         } else {
             begin_move(assigner, planned, source, now);
         }
     }
 }
 
-/* What a former leader did is known only by its record. It sent its last grant before this leader took the lock; how
- * long the record took to write makes no hold longer. */
+/* Sets the state of all ranges after an earlier leader's record was adopted. Only the record tells what that leader
+ * did. It sent its last grant before this leader took the lock, so holds are counted from there; the time that the
+ * write of the record took does not lengthen them. */
 static void commit_adoption(cw_assigner_t *assigner, cw_time_us_t now)
 {
     size_t index;
--- a/src/assignment/assigner_internal.h
+++ b/src/assignment/assigner_internal.h
@@ -16,50 +16,52 @@
     cw_assigner_state_t    state;
     cw_assignment_record_t record;
     uint64_t               revision; /**< of the record; 0: no object */
-    cw_assignment_record_t plan;     /**< being made or written; without ranges: none */
-    bool                   writing;  /**< the plan is handed in: it stays as it is until the store's outcome is known */
-    bool                   adopting;
-    bool                   calling; /**< a store call is under way */
+    cw_assignment_record_t plan;     /**< being made or written; without ranges: there is no plan */
+    bool                   writing; /**< the plan is submitted and must not change until the write's outcome is known */
+    bool                   adopting; /**< the plan is an earlier leader's record, rewritten with this leader's term */
+    bool                   calling;  /**< a store call is in flight */
     bool                   write_due;
     bool                   read_due;
     bool                   freed;
     bool                   long_hold;
-    size_t                 next_range;   /**< the next turn begins with this one */
-    double                 orders_per_s; /**< that renewals may take; 0: any number */
+    size_t                 next_range;   /**< index of the range at which the next tick begins to send orders */
+    double                 orders_per_s; /**< limit for renewals; 0: no limit */
     uint64_t               last_write;
-    cw_time_us_t           stale_since; /**< a move ended that the record still shows as under way; 0: none */
+    cw_time_us_t           stale_since; /**< when a move ended that the record still shows as unfinished; 0: none */
     cw_time_us_t           retry_at;
     cw_time_us_t           now;
-    cw_time_us_t           led_since; /**< first tick with authority: former leaders had lost theirs; 0: none yet */
-    cw_time_us_t first_grant_at;      /**< ranges of whose past nothing is known are not granted before; 0: none are */
-    cw_order_t  *orders;              /**< under way */
+    cw_time_us_t           led_since; /**< first tick with authority; earlier leaders had lost theirs. 0: none yet */
+    cw_time_us_t first_grant_at;      /**< no range is granted before, since former owners are unknown; 0: no limit */
+    cw_order_t  *orders;              /**< in flight */
     size_t       order_count;
     size_t       order_capacity;
     uint64_t     last_order;
 };
 
 /* ---- assigner.c ---- */
-/** Frees it at once. */
+/** Frees the assigner immediately. */
 void cw_assigner_free_now(cw_assigner_t *assigner);
-/** Can an order that went unanswered still be carried out, or its hold still be in force? */
-bool cw_assigner_may_wake(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now);
-/** When a hold ordered then has ended by any server's clock. */
+/** Whether an unanswered order can still be carried out, or a hold that it gave can still be in force. */
+bool cw_assigner_late_order_possible(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now);
+/** Time at which a hold that was granted at `sent_at` has ended by any server's clock. */
 cw_time_us_t cw_assigner_hold_end(cw_time_us_t sent_at, cw_time_us_t hold);
 
 /* ---- assigner_plan.c ---- */
-/** Hands the plan in: it is written as soon as the store can be called, and stays as it is until then. */
+/** Submits the plan. It is written as soon as the store can be called and must not change until then. */
 void cw_assigner_begin_write(cw_assigner_t *assigner);
-void cw_assigner_plan_refence(cw_assigner_t *assigner, const cw_range_t *range);
+/** Plans a new, highest fence for the range and its present owner. */
+void cw_assigner_plan_new_fence(cw_assigner_t *assigner, const cw_range_t *range);
 
 /* ---- assigner_commit.c ---- */
-/** The plan stands in the store under this revision: it is the record now. */
+/** Makes the plan, which the store now has under this revision, the record. */
 void cw_assigner_commit(cw_assigner_t *assigner, uint64_t revision, cw_time_us_t now);
 
 /* ---- assigner_record.c ---- */
-/** Makes the store call that is due, unless one is under way. */
+/** Makes the store call that is due, unless one is in flight. */
 void cw_assigner_call_store(cw_assigner_t *assigner, cw_time_us_t now);
 
 /* ---- assigner_orders.c ---- */
+/** Sends the orders that are due. long_hold: the store does not answer, so grants get the long hold. */
 void cw_assigner_send_orders(cw_assigner_t *assigner, const cw_server_list_t *servers, bool long_hold,
                              cw_time_us_t now);
 
--- a/src/assignment/assigner_orders.c
+++ b/src/assignment/assigner_orders.c
@@ -1,6 +1,6 @@
 /**
  * @file assigner_orders.c
- * @brief Grants, renewals and releases: when they are sent and what their answers mean.
+ * @brief Sends grants, renewals and releases when they are due, and handles their results.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,8 +12,8 @@
 enum {
     RESEND_MS = 150,
     RESEND_NOT_SENT_MS = 250,
-    ORDERS_FIRST = 32,
-    ORDERS_MOST = 512, /* under way: answers to all of them are taken well within the time that an order has */
+    INITIAL_ORDER_CAPACITY = 32,
+    ORDERS_IN_FLIGHT_MAX = 512, /* the results of so many are handled well within the timeout of an order */
     FAILING_MS = 1000
 };
 
@@ -22,7 +22,8 @@
 static cw_order_t *add_order(cw_assigner_t *assigner)
 {
     if (assigner->order_count == assigner->order_capacity) {
-        assigner->order_capacity = assigner->order_capacity == 0 ? ORDERS_FIRST : 2 * assigner->order_capacity;
+        assigner->order_capacity =
+            assigner->order_capacity == 0 ? INITIAL_ORDER_CAPACITY : 2 * assigner->order_capacity;
         assigner->orders = cw_memory_resize(assigner->orders, assigner->order_capacity * sizeof(*assigner->orders));
     }
     memset(&assigner->orders[assigner->order_count], 0, sizeof(*assigner->orders));
@@ -41,7 +42,7 @@
     memcpy(order->address, holder->address, sizeof(order->address));
     order->low = range->low;
     order->last = range->last;
-    order->fence = range->owner.fence; /* also of a release: it outranks what the former holder was sent */
+    order->fence = range->owner.fence; /* in a release, too: it is above the fence that the former holder received */
     order->hold = hold;
     order->sent_at = now;
     order->until_before = until_before;
@@ -51,14 +52,14 @@
         memcpy(order->handover, range->handover, sizeof(order->handover));
     }
     range->orders++;
-    copy = *order; /* the port may answer before it returns, and so move the array */
+    copy = *order; /* the port may report the result before it returns, which changes the array */
     assigner->ports.order(assigner->ports.context, &copy);
 }
 
 /* ---- how often ---- */
 
-/* Between renewals of a range: the more ranges there are, the longer, so that all orders together stay in their budget.
- */
+/* Pause between the renewals of a range. It increases with the number of ranges, so that all renewals together stay
+ * within orders_per_s. */
 static cw_time_us_t renew_pause(const cw_assigner_t *assigner)
 {
     const cw_assigner_settings_t *settings = &assigner->settings;
@@ -73,8 +74,9 @@
     return paced > settings->renew_every ? paced : settings->renew_every;
 }
 
-/* After a renewal that fails as much is left of it as where there are few ranges. */
-static cw_time_us_t hold_of(const cw_assigner_t *assigner, bool long_hold)
+/* Hold of the next grant. It is lengthened with the renewal pause, so that after a failed renewal as much of the hold
+ * is left as with few ranges. */
+static cw_time_us_t grant_hold(const cw_assigner_t *assigner, bool long_hold)
 {
     const cw_assigner_settings_t *settings = &assigner->settings;
     cw_time_us_t                  hold = settings->hold + renew_pause(assigner) - settings->renew_every;
@@ -91,7 +93,7 @@
 
 static void send_grant(cw_assigner_t *assigner, cw_range_t *range, bool long_hold, cw_time_us_t now)
 {
-    cw_time_us_t hold = hold_of(assigner, long_hold);
+    cw_time_us_t hold = grant_hold(assigner, long_hold);
     cw_time_us_t until = cw_assigner_hold_end(now, hold);
     cw_time_us_t before = range->hold_until;
 
@@ -114,8 +116,8 @@
     range->next_order = now;
 }
 
-static void step_releasing(cw_assigner_t *assigner, cw_range_t *range, const cw_server_list_t *servers,
-                           cw_time_us_t now)
+static void advance_release(cw_assigner_t *assigner, cw_range_t *range, const cw_server_list_t *servers,
+                            cw_time_us_t now)
 {
     bool ended = cw_server_list_find(servers, range->former.id) == NULL &&
                  cw_server_list_successor(servers, range->former.id, range->former.address) != NULL;
@@ -130,8 +132,8 @@
     }
 }
 
-/* A lost owner is not renewed, so that its hold can run out. */
-static bool is_wanted(const cw_server_list_t *servers, const cw_range_t *range)
+/* An owner whose incarnation has ended is not renewed, so that its hold can expire. */
+static bool may_renew_owner(const cw_server_list_t *servers, const cw_range_t *range)
 {
     const cw_server_entry_t *entry = cw_server_list_find(servers, range->owner.id);
 
@@ -141,10 +143,11 @@
     return entry != NULL || cw_server_list_successor(servers, range->owner.id, range->owner.address) == NULL;
 }
 
-/* A plan that is being written gives the range to another server. An owner that holds it is renewed until the write is
- * done, which may take as long as the store is down; one that has not been granted it must not get it behind the plan's
- * back, and one that cannot be reached is left to its hold's end. */
-static bool is_leaving(const cw_assigner_t *assigner, const cw_range_t *range)
+/* Whether the plan that is being written gives the range to another server and its present owner must get no grant. An
+ * owner that holds the range is renewed until the write is done, which may take as long as the store is down. An owner
+ * without a confirmed grant must not get one that the plan does not know of, and for an owner that cannot be reached
+ * the hold is left to expire. */
+static bool is_moved_by_plan(const cw_assigner_t *assigner, const cw_range_t *range)
 {
     const cw_range_t *planned;
 
@@ -155,24 +158,24 @@
     return planned != NULL && strcmp(planned->owner.id, range->owner.id) != 0;
 }
 
-static void step(cw_assigner_t *assigner, cw_range_t *range, const cw_server_list_t *servers, bool long_hold,
-                 cw_time_us_t now)
+static void send_due_order(cw_assigner_t *assigner, cw_range_t *range, const cw_server_list_t *servers, bool long_hold,
+                           cw_time_us_t now)
 {
     if (range->phase == CW_RANGE_RELEASING) {
-        step_releasing(assigner, range, servers, now);
+        advance_release(assigner, range, servers, now);
     }
     if (range->phase == CW_RANGE_RELEASING || range->orders > 0 || now < range->next_order || range->needs_fence) {
         return;
     }
-    if (!is_wanted(servers, range) || is_leaving(assigner, range)) {
+    if (!may_renew_owner(servers, range) || is_moved_by_plan(assigner, range)) {
         return;
     }
     send_grant(assigner, range, long_hold, now);
 }
 
-/* Ranges whose owners may have started anew under the name that they had (server_incarnation.h). One write serves all.
- */
-static void renew_fences(cw_assigner_t *assigner, cw_time_us_t now)
+/* Plans new fences for ranges whose owners may have restarted under their former name (server_incarnation.h). One write
+ * covers all of them. */
+static void plan_new_fences(cw_assigner_t *assigner, cw_time_us_t now)
 {
     bool   any = false;
     size_t index;
@@ -181,7 +184,7 @@
         const cw_range_t *range = &assigner->record.ranges.items[index];
 
         if (range->needs_fence && range->phase != CW_RANGE_RELEASING && !range->owner_ended) {
-            cw_assigner_plan_refence(assigner, range);
+            cw_assigner_plan_new_fence(assigner, range);
             any = true;
         }
     }
@@ -190,7 +193,8 @@
     }
 }
 
-/* Begins where the last turn had to stop: with many ranges due at once, each gets its turn. */
+/* Begins at the range where the last tick reached the limit of orders in flight, so that every range gets its orders
+ * even if many are due at once. */
 void cw_assigner_send_orders(cw_assigner_t *assigner, const cw_server_list_t *servers, bool long_hold, cw_time_us_t now)
 {
     size_t count = assigner->record.ranges.count;
@@ -204,26 +208,26 @@
         cw_range_t *range = &assigner->record.ranges.items[index];
 
         if (long_hold && !assigner->long_hold && range->phase == CW_RANGE_HELD) {
-            range->next_order = now; /* longer holds, while there is authority to give them */
+            range->next_order = now; /* grants the long hold while the leader still has authority */
         }
         any_needs_fence = any_needs_fence || range->needs_fence;
-        if (!is_full && assigner->order_count >= ORDERS_MOST) {
+        if (!is_full && assigner->order_count >= ORDERS_IN_FLIGHT_MAX) {
             is_full = true;
             assigner->next_range = index;
         }
         if (!is_full) {
-            step(assigner, range, servers, long_hold, now);
+            send_due_order(assigner, range, servers, long_hold, now);
         }
     }
     if (any_needs_fence) {
-        renew_fences(assigner, now);
+        plan_new_fences(assigner, now);
     }
     assigner->long_hold = long_hold;
 }
 
-/* ---- answers ---- */
+/* ---- results ---- */
 
-static bool take_order(cw_assigner_t *assigner, uint64_t id, cw_order_t *order)
+static bool remove_order(cw_assigner_t *assigner, uint64_t id, cw_order_t *order)
 {
     size_t index;
 
@@ -237,12 +241,13 @@
     return false;
 }
 
-static void granted(cw_assigner_t *assigner, cw_range_t *range, const cw_order_t *order, cw_time_us_t now)
+static void handle_confirmed_grant(cw_assigner_t *assigner, cw_range_t *range, const cw_order_t *order,
+                                   cw_time_us_t now)
 {
     bool first = range->phase == CW_RANGE_GRANTING;
 
     range->failing_since = 0;
-    range->taken_at = order->sent_at;
+    range->confirmed_at = order->sent_at;
     range->phase = CW_RANGE_HELD;
     range->fence_used = true;
     range->next_order = order->sent_at + renew_pause(assigner);
@@ -254,8 +259,8 @@
     (void)now;
 }
 
-static void grant_failed(cw_assigner_t *assigner, cw_range_t *range, const cw_order_t *order, cw_order_result_t result,
-                         cw_time_us_t now)
+static void handle_failed_grant(cw_assigner_t *assigner, cw_range_t *range, const cw_order_t *order,
+                                cw_order_result_t result, cw_time_us_t now)
 {
     if (result == CW_ORDER_UNANSWERED) {
         range->unanswered_at = now;
@@ -272,22 +277,22 @@
     range->next_order = now + CW_MS(result == CW_ORDER_NOT_SENT ? RESEND_NOT_SENT_MS : RESEND_MS);
 }
 
-static void answer_grant(cw_assigner_t *assigner, cw_range_t *range, const cw_order_t *order, cw_order_result_t result,
-                         cw_time_us_t now)
+static void handle_grant_result(cw_assigner_t *assigner, cw_range_t *range, const cw_order_t *order,
+                                cw_order_result_t result, cw_time_us_t now)
 {
     if (range->phase == CW_RANGE_RELEASING) {
         return;
     }
     switch (result) {
     case CW_ORDER_DONE:
-        granted(assigner, range, order, now);
+        handle_confirmed_grant(assigner, range, order, now);
         break;
     case CW_ORDER_FENCED:
         assigner->ports.note(assigner->ports.context, assigner->service, "grant fenced", range,
                              "a higher fence was seen");
         range->next_order = now + CW_MS(RESEND_NOT_SENT_MS);
         if (!assigner->writing) {
-            cw_assigner_plan_refence(assigner, range);
+            cw_assigner_plan_new_fence(assigner, range);
             cw_assigner_plan_write(assigner, now);
         }
         break;
@@ -299,13 +304,13 @@
     case CW_ORDER_REFUSED:
     case CW_ORDER_NOT_SENT:
     case CW_ORDER_UNANSWERED:
-        grant_failed(assigner, range, order, result, now);
+        handle_failed_grant(assigner, range, order, result, now);
         break;
     }
 }
 
-static void answer_release(cw_assigner_t *assigner, cw_range_t *range, cw_order_result_t result, const char *handover,
-                           cw_time_us_t now)
+static void handle_release_result(cw_assigner_t *assigner, cw_range_t *range, cw_order_result_t result,
+                                  const char *handover, cw_time_us_t now)
 {
     if (range->phase != CW_RANGE_RELEASING) {
         return;
@@ -331,11 +336,11 @@
     size_t            index;
 
     assigner->now = now;
-    if (!take_order(assigner, id, &order)) {
+    if (!remove_order(assigner, id, &order)) {
         return;
     }
     first =
-        cw_range_list_find(&assigner->record.ranges, order.low); /* in order of keys: the others are not looked at */
+        cw_range_list_find(&assigner->record.ranges, order.low); /* the ranges are sorted: earlier ones are skipped */
     index = first == NULL ? assigner->record.ranges.count : (size_t)(first - assigner->record.ranges.items);
     for (; index < assigner->record.ranges.count; index++) {
         cw_range_t *range = &assigner->record.ranges.items[index];
@@ -350,14 +355,14 @@
             range->orders--;
         }
         if (order.kind == CW_ORDER_GRANT) {
-            answer_grant(assigner, range, &order, result, now);
+            handle_grant_result(assigner, range, &order, result, now);
         } else {
-            answer_release(assigner, range, result, handover, now);
+            handle_release_result(assigner, range, result, handover, now);
         }
     }
 }
 
-/* ---- what planners ask ---- */
+/* ---- queries of the planner ---- */
 
 enum { STALE_MS = 1000 };
 
@@ -368,7 +373,8 @@
 
 bool cw_assigner_is_settled(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now)
 {
-    return range->phase == CW_RANGE_HELD && range->failing_since == 0 && !cw_assigner_may_wake(assigner, range, now);
+    return range->phase == CW_RANGE_HELD && range->failing_since == 0 &&
+           !cw_assigner_late_order_possible(assigner, range, now);
 }
 
 double cw_assigner_failing_share(const cw_assigner_t *assigner, cw_time_us_t now)
--- a/src/assignment/assigner_plan.c
+++ b/src/assignment/assigner_plan.c
@@ -1,6 +1,6 @@
 /**
  * @file assigner_plan.c
- * @brief Plans: the record as it is to be, until it is handed in to be written.
+ * @brief Builds a plan: a changed copy of the record, which is then submitted to be written.
  */
 #include "assignment/assigner_internal.h"
 
@@ -53,7 +53,7 @@
     cw_assigner_begin_write(assigner);
 }
 
-/* Who may still hold the keys when this range's owner changes, and what is known of its handover. */
+/* Before the range's owner changes: sets the holder that may still hold the keys, and clears the handover. */
 static void set_former(cw_range_t *range, const cw_server_list_t *servers)
 {
     bool ended =
@@ -61,7 +61,7 @@
                                cw_server_list_successor(servers, range->owner.id, range->owner.address) != NULL);
 
     if (range->former.id[0] != '\0') {
-        return; /* the move before this one is not finished: the same former holder has to let go */
+        return; /* the previous move is not finished: the same former holder still has to release the range */
     }
     if (ended || range->hold_until == 0) {
         return;
@@ -115,8 +115,8 @@
     return true;
 }
 
-/* The same owner, a fence above all: it saw a higher one than its own, or may have started anew. */
-void cw_assigner_plan_refence(cw_assigner_t *assigner, const cw_range_t *range)
+/* The owner stays and gets a fence above all others: it has seen a higher fence than its own, or may have restarted. */
+void cw_assigner_plan_new_fence(cw_assigner_t *assigner, const cw_range_t *range)
 {
     cw_range_t *planned;
 
--- a/src/assignment/assigner_record.c
+++ b/src/assignment/assigner_record.c
@@ -1,12 +1,12 @@
 /**
  * @file assigner_record.c
- * @brief The record in the store: read, written, adopted from a former leader, or lost to a later one.
+ * @brief Reads and writes the record in the store, adopts an earlier leader's record, and notices a later leader's.
  */
 #include "assignment/assigner_internal.h"
 
 enum {
-    RETRY_MS = 150,            /* after a refusal, and after a reading that brought nothing; chosen */
-    FENCES_OF_A_TERM_BITS = 32 /* with terms up to two millions, fences stay exact as numbers of JSON */
+    RETRY_MS = 150,      /* after a refused write and after a failed read */
+    TERM_FENCE_BITS = 32 /* fences stay exact as JSON numbers for terms up to two million */
 };
 
 static void on_written(void *data, const cw_store_reply_t *reply);
@@ -34,7 +34,7 @@
                                 assigner);
 }
 
-/* Writes the record once more, with this leader's term. */
+/* Rewrites the record with this leader's term. */
 static void adopt(cw_assigner_t *assigner, cw_assignment_record_t *record, uint64_t revision)
 {
     cw_range_list_clear(&assigner->plan.ranges);
@@ -44,19 +44,20 @@
     cw_assigner_begin_write(assigner);
 }
 
-/* Above all fences that can have been given, where the record does not say: a term gives fewer than such a part. */
-static uint64_t fence_of_term(const cw_assigner_t *assigner)
+/* A fence above all that may have been assigned, for when the record cannot be read. Each term has a range of 2^32
+ * fences, more than a term assigns. */
+static uint64_t first_free_fence(const cw_assigner_t *assigner)
 {
     uint64_t given = assigner->plan.last_fence > assigner->record.last_fence ? assigner->plan.last_fence
                                                                              : assigner->record.last_fence;
-    uint64_t first = assigner->term << FENCES_OF_A_TERM_BITS;
+    uint64_t first = assigner->term << TERM_FENCE_BITS;
 
     return first > given ? first : given;
 }
 
-/* What stands in the record cannot be read, so that its owners are not known: all keys are assigned anew, and granted
- * when the last holds that a former leader, or this one, can have given have ended. */
-static void forget_owners(cw_assigner_t *assigner, cw_time_us_t now)
+/* The record cannot be read, so the owners are unknown: all keys are assigned again. They are granted after the last
+ * holds have ended that an earlier leader, or this one, may have given. */
+static void discard_owners(cw_assigner_t *assigner, cw_time_us_t now)
 {
     cw_range_t   all_keys = {.low = 0, .last = CW_KEY_LAST};
     cw_time_us_t last_grant = assigner->record.ranges.count > 0 ? now : assigner->led_since;
@@ -64,14 +65,14 @@
     assigner->ports.note(assigner->ports.context, assigner->service, "record not readable", &all_keys,
                          "assigned anew once former holds have ended");
     assigner->first_grant_at = cw_assigner_hold_end(last_grant, assigner->settings.hold_long);
-    assigner->plan.last_fence = fence_of_term(assigner);
+    assigner->plan.last_fence = first_free_fence(assigner);
     assigner->state = CW_ASSIGNER_EMPTY;
     assigner->writing = false;
     assigner->adopting = false;
 }
 
-/* The object as it stands: this leader's own write, a former leader's, or a later one's. */
-static void take_object(cw_assigner_t *assigner, const cw_store_reply_t *reply, cw_time_us_t now)
+/* Handles the object that the store has: this leader's own write, an earlier leader's or a later leader's. */
+static void handle_object(cw_assigner_t *assigner, const cw_store_reply_t *reply, cw_time_us_t now)
 {
     cw_assignment_record_t record;
     bool                   readable = cw_assignment_record_from_json(&record, reply->value);
@@ -90,18 +91,18 @@
     }
     if (assigner->writing && reply->revision == assigner->revision) {
         cw_range_list_clear(&record.ranges);
-        assigner->write_due = true; /* not done so far: once more, under the same revision */
+        assigner->write_due = true; /* the write has not been done: it is repeated under the same revision */
         return;
     }
     if (!readable) {
         assigner->revision = reply->revision;
-        forget_owners(assigner, now);
+        discard_owners(assigner, now);
         return;
     }
     adopt(assigner, &record, reply->revision);
 }
 
-static bool take_back(cw_assigner_t *assigner)
+static bool end_call(cw_assigner_t *assigner)
 {
     assigner->calling = false;
     if (assigner->freed) {
@@ -115,7 +116,7 @@
 {
     cw_assigner_t *assigner = data;
 
-    if (!take_back(assigner)) {
+    if (!end_call(assigner)) {
         return;
     }
     assigner->write_due = false;
@@ -139,13 +140,13 @@
 {
     cw_assigner_t *assigner = data;
 
-    if (!take_back(assigner)) {
+    if (!end_call(assigner)) {
         return;
     }
     assigner->read_due = false;
     switch (reply->result) {
     case CW_STORE_DONE:
-        take_object(assigner, reply, assigner->now);
+        handle_object(assigner, reply, assigner->now);
         break;
     case CW_STORE_NOT_FOUND:
         assigner->revision = 0;
--- a/src/assignment/assigner_tick.c
+++ b/src/assignment/assigner_tick.c
@@ -1,6 +1,6 @@
 /**
  * @file assigner_tick.c
- * @brief What an assigner does with each tick.
+ * @brief The periodic step of an assigner.
  */
 #include "assignment/assigner_internal.h"
 
--- a/src/assignment/range.c
+++ b/src/assignment/range.c
@@ -11,12 +11,12 @@
 
 #include "base/memory.h"
 
-enum { FIRST_CAPACITY = 16, HEX_TEXT = 32 };
+enum { INITIAL_CAPACITY = 16, HEX_TEXT_BYTES = 32 };
 
 cw_range_t *cw_range_list_add(cw_range_list_t *list)
 {
     if (list->count == list->capacity) {
-        list->capacity = list->capacity == 0 ? FIRST_CAPACITY : 2 * list->capacity;
+        list->capacity = list->capacity == 0 ? INITIAL_CAPACITY : 2 * list->capacity;
         list->items = cw_memory_resize(list->items, list->capacity * sizeof(*list->items));
     }
     memset(&list->items[list->count], 0, sizeof(*list->items));
@@ -89,7 +89,7 @@
     return next == CW_KEY_LAST + 1;
 }
 
-/* ---- stored form: [low, last, owner, address, fence] and, during a move, former, address, fence ---- */
+/* ---- stored form: [low, last, owner, address, fence], followed by former, address, fence during a move ---- */
 
 static json_t *range_to_json(const cw_range_t *range)
 {
@@ -107,7 +107,7 @@
 json_t *cw_assignment_record_to_json(const cw_assignment_record_t *record)
 {
     json_t *ranges = json_array();
-    char    writer[HEX_TEXT];
+    char    writer[HEX_TEXT_BYTES];
     size_t  index;
 
     for (index = 0; index < record->ranges.count; index++) {
--- a/src/lease/leadership.c
+++ b/src/lease/leadership.c
@@ -1,6 +1,6 @@
 /**
  * @file leadership.c
- * @brief Leadership by a lock object in the store. The rules are in the header.
+ * @brief Leader election by a lock object in the store. The rules are in the header.
  */
 #include "lease/leadership.h"
 
@@ -10,14 +10,14 @@
 #include <string.h>
 
 enum {
-    DRIFT_PERCENT = 2, /* largest difference in pace between two clocks */
+    DRIFT_PERCENT = 2, /* largest difference in rate between two clocks */
     TAKE_SLACK_MS = 50,
-    RETRY_FIRST_MS = 50,
+    RETRY_INITIAL_MS = 50,
     RETRY_DOUBLINGS = 5,
-    RETRIES_A_HOLD = 12,   /* a leader that gets no answer tries at least so many times in its hold */
-    TAKERS_AT_ONCE = 8,    /* followers that look at a vacant lock within the first pause */
-    FOLLOWERS_PROMPT = 16, /* with so many followers the pause between their looks has doubled */
-    LOOK_RECENT_MS = 300,  /* a call to the store that is slow, and a tick */
+    RETRIES_PER_HOLD = 12,         /* least number of attempts in a hold of a leader that gets no answer */
+    FIRST_PAUSE_FOLLOWERS = 8,     /* followers that read a vacant lock within the first RETRY_INITIAL_MS */
+    PAUSE_DOUBLING_FOLLOWERS = 16, /* number of followers with which the pause between their reads has doubled */
+    READ_RECENT_MS = 300,          /* a slow call to the store and a tick */
     LONG_AGO_S = 3600
 };
 
@@ -33,7 +33,7 @@
                      lock->vacant, "nodes", (json_int_t)lock->nodes);
 }
 
-/* Not needed for the lock itself: one that a former release wrote has none, and a wrong one counts as unknown. */
+/* The field is optional: locks that an earlier release wrote do not have it, and an invalid value counts as unknown. */
 static uint32_t nodes_from_json(const json_t *value)
 {
     json_int_t nodes = json_integer_value(json_object_get(value, "nodes"));
@@ -67,8 +67,8 @@
 
 /* ---- state ---- */
 
-/* This node's moment within a time that nodes share. */
-static cw_time_us_t moment_within(const cw_leadership_t *leadership, cw_time_us_t time)
+/* This node's offset within a period over which the nodes spread their reads. */
+static cw_time_us_t offset_within(const cw_leadership_t *leadership, cw_time_us_t time)
 {
     return time <= 0 ? 0 : (cw_time_us_t)(leadership->settings.incarnation % (uint64_t)time);
 }
@@ -78,7 +78,7 @@
     memset(leadership, 0, sizeof(*leadership));
     leadership->settings = *settings;
     leadership->last_received_at = now - CW_SECONDS(LONG_AGO_S);
-    leadership->next_at = now + settings->first_look_after + moment_within(leadership, settings->first_look_within);
+    leadership->next_at = now + settings->first_look_after + offset_within(leadership, settings->first_look_within);
     leadership->pending = CW_LEADERSHIP_WAIT;
 }
 
@@ -87,12 +87,12 @@
     return leadership->leading && !leadership->resigning && now < leadership->authority_end;
 }
 
-static bool is_mine(const cw_leadership_t *leadership, const cw_lock_t *lock)
+static bool is_own_lock(const cw_leadership_t *leadership, const cw_lock_t *lock)
 {
     return lock->incarnation == leadership->settings.incarnation && strcmp(lock->node, leadership->settings.node) == 0;
 }
 
-static void note_seen(cw_leadership_t *leadership, uint64_t revision, cw_time_us_t now)
+static void record_revision(cw_leadership_t *leadership, uint64_t revision, cw_time_us_t now)
 {
     leadership->absent = false;
     if (leadership->revision != revision) {
@@ -112,23 +112,24 @@
     }
     leadership->received_term = term > leadership->received_term ? term : leadership->received_term;
     if (revision > leadership->revision) {
-        note_seen(leadership, revision, now);
-        leadership->must_read = true; /* whose it is, is not known yet */
+        record_revision(leadership, revision, now);
+        leadership->must_read = true; /* the holder is not known yet */
     }
 }
 
-/* One of the followers is enough: each has a moment of its own, and most hear of the new leader before. */
-static cw_time_us_t turn_of(const cw_leadership_t *leadership)
+/* Delay of this follower's read after the lock may be taken. One follower is enough to take it: the followers' delays
+ * differ, and most of them receive the new leader's heartbeat before theirs ends. */
+static cw_time_us_t take_offset(const cw_leadership_t *leadership)
 {
-    return moment_within(leadership, CW_MS(RETRY_FIRST_MS) * leadership->followers / TAKERS_AT_ONCE);
+    return offset_within(leadership, CW_MS(RETRY_INITIAL_MS) * leadership->followers / FIRST_PAUSE_FOLLOWERS);
 }
 
 void cw_leadership_receive_step_down(cw_leadership_t *leadership, cw_time_us_t now)
 {
     if (!leadership->leading) {
         leadership->last_received_at =
-            now - leadership->settings.heartbeat_timeout; /* what a deferring node waits besides, counts from now */
-        leadership->next_at = now + CW_MS(RETRY_FIRST_MS) + turn_of(leadership);
+            now - leadership->settings.heartbeat_timeout; /* a node with a take delay starts its extra wait now */
+        leadership->next_at = now + CW_MS(RETRY_INITIAL_MS) + take_offset(leadership);
     }
 }
 
@@ -142,9 +143,9 @@
     leadership->nodes = nodes;
 }
 
-void cw_leadership_defer(cw_leadership_t *leadership, cw_time_us_t deference)
+void cw_leadership_defer(cw_leadership_t *leadership, cw_time_us_t take_delay)
 {
-    leadership->deference = deference;
+    leadership->take_delay = take_delay;
 }
 
 void cw_leadership_resign(cw_leadership_t *leadership, cw_time_us_t now)
@@ -160,9 +161,9 @@
     leadership->follow_until = now + pause;
 }
 
-/* ---- what to do next ---- */
+/* ---- next action ---- */
 
-static cw_leadership_action_t begin(cw_leadership_t *leadership, cw_leadership_action_t action, cw_time_us_t now)
+static cw_leadership_action_t begin_action(cw_leadership_t *leadership, cw_leadership_action_t action, cw_time_us_t now)
 {
     leadership->pending = action;
     leadership->sent_at = now;
@@ -183,14 +184,14 @@
     write->nodes = leadership->nodes;
 }
 
-/* Does the lock stand for an earlier life of this node? That life has ended. */
-static bool is_of_earlier_life(const cw_leadership_t *leadership)
+/* Whether an earlier incarnation of this node, which has ended, holds the lock. */
+static bool is_of_earlier_incarnation(const cw_leadership_t *leadership)
 {
     return !leadership->lock.vacant && strcmp(leadership->lock.node, leadership->settings.node) == 0;
 }
 
-/* How long an unchanged lock stands before another node may take it. */
-static cw_time_us_t take_wait(const cw_leadership_t *leadership)
+/* How long the lock must be unchanged before another node may take it. */
+static cw_time_us_t takeover_wait(const cw_leadership_t *leadership)
 {
     if (leadership->lock.vacant) {
         return 0;
@@ -200,53 +201,54 @@
 
 static bool may_take(const cw_leadership_t *leadership, cw_time_us_t now)
 {
-    if (is_of_earlier_life(leadership)) {
+    if (is_of_earlier_incarnation(leadership)) {
         return true;
     }
-    return now - leadership->seen_at >= take_wait(leadership) + leadership->deference;
+    return now - leadership->seen_at >= takeover_wait(leadership) + leadership->take_delay;
 }
 
-/* A node that defers to more capable ones leaves them a hold's time to take the lock. */
-static cw_time_us_t silence_before_look(const cw_leadership_t *leadership)
+/* How long without a heartbeat before the lock is read. A node that defers to more capable ones leaves them an
+ * additional hold to take the lock. */
+static cw_time_us_t wait_before_read(const cw_leadership_t *leadership)
 {
-    return leadership->settings.heartbeat_timeout + (leadership->deference > 0 ? leadership->settings.hold : 0);
+    return leadership->settings.heartbeat_timeout + (leadership->take_delay > 0 ? leadership->settings.hold : 0);
 }
 
-/* Where many nodes follow, a look from a while ago is repeated before a write: most likely another has taken the lock.
- */
-static bool is_look_recent(const cw_leadership_t *leadership, cw_time_us_t now)
+/* Whether the lock was read recently enough to be taken. With many followers an older read is repeated before the
+ * write, since another node has probably taken the lock meanwhile. */
+static bool is_read_recent(const cw_leadership_t *leadership, cw_time_us_t now)
 {
-    return leadership->followers < FOLLOWERS_PROMPT || now - leadership->looked_at < CW_MS(LOOK_RECENT_MS);
+    return leadership->followers < PAUSE_DOUBLING_FOLLOWERS || now - leadership->looked_at < CW_MS(READ_RECENT_MS);
 }
 
 static cw_leadership_action_t follow(cw_leadership_t *leadership, cw_time_us_t now)
 {
     if (leadership->resigning || now < leadership->follow_until ||
-        now - leadership->last_received_at < silence_before_look(leadership)) {
+        now - leadership->last_received_at < wait_before_read(leadership)) {
         return CW_LEADERSHIP_WAIT;
     }
     if (leadership->absent) {
         prepare_write(leadership, 1);
-        return begin(leadership, CW_LEADERSHIP_CREATE, now);
+        return begin_action(leadership, CW_LEADERSHIP_CREATE, now);
     }
     if (leadership->revision != 0 && !leadership->must_read && may_take(leadership, now) &&
-        is_look_recent(leadership, now)) {
+        is_read_recent(leadership, now)) {
         prepare_write(leadership, leadership->lock.term + 1);
-        return begin(leadership, CW_LEADERSHIP_REPLACE, now);
+        return begin_action(leadership, CW_LEADERSHIP_REPLACE, now);
     }
-    return begin(leadership, CW_LEADERSHIP_READ, now);
+    return begin_action(leadership, CW_LEADERSHIP_READ, now);
 }
 
 static cw_leadership_action_t lead(cw_leadership_t *leadership, cw_time_us_t now)
 {
     if (leadership->must_read) {
-        return begin(leadership, CW_LEADERSHIP_READ, now);
+        return begin_action(leadership, CW_LEADERSHIP_READ, now);
     }
     if (leadership->resigned) {
         return CW_LEADERSHIP_WAIT;
     }
     prepare_write(leadership, leadership->lock.term);
-    return begin(leadership, CW_LEADERSHIP_REPLACE, now);
+    return begin_action(leadership, CW_LEADERSHIP_REPLACE, now);
 }
 
 cw_leadership_action_t cw_leadership_tick(cw_leadership_t *leadership, cw_time_us_t now)
@@ -259,9 +261,9 @@
 
 /* ---- answers ---- */
 
-static void lose(cw_leadership_t *leadership)
+static void stop_leading(cw_leadership_t *leadership)
 {
-    if (leadership->stepping_down) { /* another has taken it: that is as good */
+    if (leadership->stepping_down) { /* another node has taken the lock, which completes the step-down as well */
         leadership->stepping_down = false;
         leadership->resigning = false;
     }
@@ -269,18 +271,18 @@
     leadership->authority_end = 0;
 }
 
-static void written(cw_leadership_t *leadership, uint64_t revision, cw_time_us_t sent_at, cw_time_us_t now)
+static void handle_write_done(cw_leadership_t *leadership, uint64_t revision, cw_time_us_t sent_at, cw_time_us_t now)
 {
     leadership->lock = leadership->write;
     leadership->is_unreadable = false;
-    note_seen(leadership, revision, now);
+    record_revision(leadership, revision, now);
     leadership->must_read = false;
     leadership->failures = 0;
     if (leadership->write.vacant) {
         leadership->resigned = !leadership->stepping_down;
         leadership->resigning = !leadership->stepping_down;
         leadership->stepping_down = false;
-        lose(leadership);
+        stop_leading(leadership);
         return;
     }
     leadership->leading = true;
@@ -288,66 +290,68 @@
     leadership->next_at = sent_at + leadership->settings.renew_every;
 }
 
-/* Pause between looks at the lock: what all followers together ask of the store stays bounded. */
-static cw_time_us_t look_pause(const cw_leadership_t *leadership)
+/* Pause between a follower's reads of the lock. It keeps the rate of all followers' reads together bounded. */
+static cw_time_us_t read_pause(const cw_leadership_t *leadership)
 {
-    return leadership->settings.read_every * (FOLLOWERS_PROMPT + leadership->followers) / FOLLOWERS_PROMPT;
+    return leadership->settings.read_every * (PAUSE_DOUBLING_FOLLOWERS + leadership->followers) /
+           PAUSE_DOUBLING_FOLLOWERS;
 }
 
-/* When a follower looks again: in its turn once the lock may be taken, and from time to time before. */
-static cw_time_us_t next_look(const cw_leadership_t *leadership, cw_time_us_t now)
+/* When a follower reads the lock again: with its own delay after the lock may be taken, and periodically before. */
+static cw_time_us_t next_read(const cw_leadership_t *leadership, cw_time_us_t now)
 {
-    cw_time_us_t take_at = leadership->seen_at + take_wait(leadership) + leadership->deference;
-    cw_time_us_t pause_end = now + look_pause(leadership);
+    cw_time_us_t take_at = leadership->seen_at + takeover_wait(leadership) + leadership->take_delay;
+    cw_time_us_t pause_end = now + read_pause(leadership);
 
-    if (take_at <= now || is_of_earlier_life(leadership)) {
+    if (take_at <= now || is_of_earlier_incarnation(leadership)) {
         return now;
     }
-    take_at += turn_of(leadership);
+    take_at += take_offset(leadership);
     return take_at < pause_end ? take_at : pause_end;
 }
 
-/* The lock as the store has it, by a read or with a conflict. */
-static void take_lock(cw_leadership_t *leadership, const cw_store_reply_t *reply, cw_time_us_t now)
+/* Handles the value of the lock in the store, returned by a read or with a conflict. */
+static void handle_lock(cw_leadership_t *leadership, const cw_store_reply_t *reply, cw_time_us_t now)
 {
     cw_lock_t lock;
     bool      mine;
 
     memset(&lock, 0, sizeof(lock));
     leadership->is_unreadable = !cw_lock_from_json(&lock, reply->value);
-    if (leadership->is_unreadable) { /* somebody's, who may have authority: it is taken as any other node's lock */
+    if (leadership->is_unreadable) { /* its writer may have authority, so it is treated as another node's lock */
         lock.term =
             leadership->lock.term > leadership->received_term ? leadership->lock.term : leadership->received_term;
     }
     leadership->failures = 0;
     leadership->looked_at = now;
     if (reply->revision < leadership->revision) { /* an old copy */
-        leadership->next_at = now + look_pause(leadership);
+        leadership->next_at = now + read_pause(leadership);
         return;
     }
-    note_seen(leadership, reply->revision, now);
+    record_revision(leadership, reply->revision, now);
     leadership->must_read = false;
     leadership->lock = lock;
-    mine = is_mine(leadership, &lock) && !lock.vacant;
+    mine = is_own_lock(leadership, &lock) && !lock.vacant;
     if (mine) {
-        /* A write without an answer was done. It gives no authority: the next one does. */
+        /* An unanswered write was done. It gives no authority; the next write does. */
         leadership->leading = true;
         leadership->next_at = now;
     } else {
-        lose(leadership);
-        leadership->next_at = next_look(leadership, now);
+        stop_leading(leadership);
+        leadership->next_at = next_read(leadership, now);
     }
 }
 
-/* A leader needs the store back soon: its authority runs out. Of followers one is enough. */
+/* Pause after a failed call. A leader retries soon, since its authority expires; for followers it is enough that one of
+ * them gets an answer. */
 static cw_time_us_t pause_after_failure(const cw_leadership_t *leadership)
 {
     uint64_t     doublings = leadership->failures < RETRY_DOUBLINGS ? leadership->failures : RETRY_DOUBLINGS;
-    cw_time_us_t first = leadership->leading ? CW_MS(RETRY_FIRST_MS) : leadership->settings.read_every;
+    cw_time_us_t first = leadership->leading ? CW_MS(RETRY_INITIAL_MS) : leadership->settings.read_every;
     cw_time_us_t pause = first << doublings;
-    cw_time_us_t most = leadership->leading ? leadership->settings.hold / RETRIES_A_HOLD : look_pause(leadership);
+    cw_time_us_t longest = leadership->leading ? leadership->settings.hold / RETRIES_PER_HOLD : read_pause(leadership);
 
-    return pause < most ? pause : most;
+    return pause < longest ? pause : longest;
 }
 
 void cw_leadership_replied(cw_leadership_t *leadership, const cw_store_reply_t *reply, cw_time_us_t now)
@@ -359,23 +363,23 @@
     switch (reply->result) {
     case CW_STORE_DONE:
         if (action == CW_LEADERSHIP_READ) {
-            take_lock(leadership, reply, now);
+            handle_lock(leadership, reply, now);
         } else {
-            written(leadership, reply->revision, write_sent_at, now);
+            handle_write_done(leadership, reply->revision, write_sent_at, now);
         }
         break;
     case CW_STORE_NOT_FOUND:
         leadership->absent = true;
         leadership->must_read = false;
         leadership->next_at = now;
-        lose(leadership);
+        stop_leading(leadership);
         break;
     case CW_STORE_CONFLICT:
         leadership->absent = false;
         leadership->must_read = true;
         leadership->next_at = now;
         if (reply->value != NULL && reply->revision != 0) {
-            take_lock(leadership, reply, now);
+            handle_lock(leadership, reply, now);
         }
         break;
     case CW_STORE_REFUSED:
--- a/src/lease/leadership.h
+++ b/src/lease/leadership.h
@@ -1,22 +1,26 @@
 /**
  * @file leadership.h
- * @brief Leadership by a lock object in the store: a lease in the holder's own monotonic clock.
+ * @brief Leader election by a lock object in the store. The lease is measured by the holder's own monotonic clock.
  *
  * Rules:
- *  - The holder's authority ends `hold` after it SENT the last write of the lock that the store acknowledged. It is
- *    looked at again right before each order (cw_leadership_has_authority).
- *  - A follower times the unchanged revision of the lock on its own clock and takes the lock, by a write under that
- *    revision, once `hold` plus the clocks' drift has run out. Any write in between makes it fail.
- *  - A lock held by an earlier life of this very node may be taken at once: that life has ended. So may a vacant one.
- *  - A lock that cannot be read is somebody's: it is taken after the same time, under the last term that is known.
- *  - A write without an answer proves nothing: the lock is read, and the next write is made under what was read.
- *  - A node that knows of a more capable one in reach lets that one try first: it takes the lock `deference` later than
- *    it might. Its own earlier life's lock it takes at once all the same. This delays takes and permits none.
- *  - Calls that bring nothing are repeated after pauses that double: a leader's up to a fraction of its hold, a
- *    follower's up to the pause between its looks, which is longer the more nodes look.
+ *  - The holder's authority ends `hold` after it SENT the last write of the lock that the store acknowledged. The
+ *    authority is checked again directly before each order (cw_leadership_has_authority).
+ *  - A follower measures on its own clock for how long the lock's revision has not changed. After `hold` plus the clock
+ *    drift it takes the lock by a write that is conditional on that revision. Any write in between makes it fail.
+ *  - A lock that an earlier incarnation of the same node holds may be taken immediately, since that incarnation has
+ *    ended. A vacant lock may be taken immediately, too.
+ *  - A lock whose value cannot be decoded is treated as held by another node: it is taken after the same time, with a
+ *    term above the last one that is known.
+ *  - A write without an answer may have been done or not: the lock is read, and the next write is conditional on the
+ *    revision that was read.
+ *  - A node that knows a reachable, more capable node lets that node try first: it takes the lock `take_delay` later
+ *    than it could. It still takes the lock of its own earlier incarnation immediately. The delay only postpones an
+ *    attempt to take the lock; it never permits one.
+ *  - Failed calls are repeated after pauses that double. A leader's pause is limited by a fraction of its hold; a
+ *    follower's by the pause between its reads of the lock, which increases with the number of followers.
  *  - Wall clocks are never used.
  *
- * Model: spec/lease.pml. Operators: docs/OPERATIONS.md.
+ * Model: spec/lease.pml. For operators: docs/OPERATIONS.md.
  */
 #ifndef CEDARWINCH_LEASE_LEADERSHIP_H
 #define CEDARWINCH_LEASE_LEADERSHIP_H
@@ -34,10 +38,10 @@
     char     node[CW_NODE_NAME_MAX];
     char     address[CW_ADDRESS_MAX]; /**< IPv4 number of the holder */
     uint64_t incarnation;
-    uint64_t term; /**< rises with each change of holder */
-    uint64_t beat; /**< rises with each write of a holder */
+    uint64_t term; /**< increases with each change of holder */
+    uint64_t beat; /**< increases with each write of a holder */
     bool     vacant;
-    uint32_t nodes; /**< that there are, as the holder counts them, itself among them; 0: not known */
+    uint32_t nodes; /**< number of nodes that the holder knows, itself included; 0: not known */
 } cw_lock_t;
 
 typedef struct cw_leadership_settings {
@@ -46,12 +50,13 @@
     uint64_t     incarnation;
     cw_time_us_t hold;
     cw_time_us_t renew_every;
-    cw_time_us_t heartbeat_timeout; /**< without a heartbeat for so long, the lock is looked up in the store */
-    cw_time_us_t read_every;        /**< pause between looks */
-    cw_time_us_t first_look_after;  /**< the first look comes so much after the start, and */
-    cw_time_us_t first_look_within; /**< within this after that, each node's at a moment of its own */
+    cw_time_us_t heartbeat_timeout; /**< a follower without a heartbeat for so long reads the lock */
+    cw_time_us_t read_every;        /**< pause between a follower's reads of the lock */
+    cw_time_us_t first_look_after;  /**< delay of the first read after the start of the node */
+    cw_time_us_t first_look_within; /**< range of the additional delay, which depends on the node's incarnation */
 } cw_leadership_settings_t;
 
+/** The store call to make now. */
 typedef enum cw_leadership_action {
     CW_LEADERSHIP_WAIT,
     CW_LEADERSHIP_READ,
@@ -64,49 +69,52 @@
     bool                     leading;
     bool                     resigning;
     bool                     resigned;
-    bool                     stepping_down; /**< resigning, to follow again */
-    cw_time_us_t             follow_until;
+    bool                     stepping_down; /**< resigning, to be a follower afterwards */
+    cw_time_us_t             follow_until;  /**< end of the pause after a step-down; the lock is not taken before */
     cw_time_us_t             authority_end;
-    cw_lock_t                lock;             /**< as last seen */
-    uint64_t                 revision;         /**< of the lock as last seen; 0: none seen */
+    cw_lock_t                lock;             /**< last known value */
+    uint64_t                 revision;         /**< last known revision of the lock; 0: none */
     cw_time_us_t             seen_at;          /**< since when this revision is known */
     uint64_t                 received_term;    /**< highest term of a heartbeat */
     bool                     absent;           /**< a read found no lock */
-    bool                     is_unreadable;    /**< what the last read found is no lock of this program */
+    bool                     is_unreadable;    /**< the object that the last read returned is not a valid lock */
     cw_time_us_t             last_received_at; /**< last heartbeat of a leader with authority */
-    cw_time_us_t             looked_at;        /**< when the store last showed the lock */
+    cw_time_us_t             looked_at;        /**< when the store last returned the lock */
     bool                     must_read;
     cw_leadership_action_t   pending;
     cw_lock_t                write;
     cw_time_us_t             sent_at;
     cw_time_us_t             next_at;
-    uint32_t                 nodes;     /**< written into the lock */
-    uint32_t                 followers; /**< nodes that look at the lock besides this one, as far as known */
-    cw_time_us_t             deference; /**< how much later than it might it takes the lock; 0: at once */
+    uint32_t                 nodes;      /**< written into the lock */
+    uint32_t                 followers;  /**< known number of other nodes that read the lock */
+    cw_time_us_t             take_delay; /**< how much later than it could this node takes the lock */
     uint64_t                 last_beat;
-    uint64_t                 failures; /**< store calls in a row that brought nothing */
+    uint64_t                 failures; /**< consecutive failed store calls */
 } cw_leadership_t;
 
 void cw_leadership_init(cw_leadership_t *leadership, const cw_leadership_settings_t *settings, cw_time_us_t now);
-/** What is to be asked of the store now. Not WAIT: cw_leadership_replied must follow, once. */
+/** Returns the store call to make now. Unless it is WAIT, cw_leadership_replied must follow once. */
 cw_leadership_action_t cw_leadership_tick(cw_leadership_t *leadership, cw_time_us_t now);
+/** Handles the store's reply to the call that cw_leadership_tick returned. */
 void cw_leadership_replied(cw_leadership_t *leadership, const cw_store_reply_t *reply, cw_time_us_t now);
-/** A leader's heartbeat has come: its term, its lock's revision, and whether it has authority. */
+/** Handles a leader's heartbeat: its term, the revision of its lock and whether it has authority. */
 void cw_leadership_receive_heartbeat(cw_leadership_t *leadership, uint64_t term, uint64_t revision, bool has_authority,
                                      cw_time_us_t now);
-/** How many other nodes look at the lock: all of them together ask the store at a bounded rate. */
+/** Sets how many other nodes read the lock. Their reads together stay below a bounded rate. */
 void cw_leadership_set_followers(cw_leadership_t *leadership, uint32_t followers);
-/** How many nodes there are, this one among them: its lock says so to those that start later. */
+/** Sets the number of nodes, this one included. It is written into the lock for nodes that start later. */
 void cw_leadership_set_nodes(cw_leadership_t *leadership, uint32_t nodes);
-/** Set with each tick: so much later than it might this node takes the lock, since a more capable one is in reach. */
-void cw_leadership_defer(cw_leadership_t *leadership, cw_time_us_t deference);
-/** A leader's step-down notice has come: the lock is looked at soon. */
+/** Sets, with each tick, how much later than it could this node takes the lock because a more capable one is in reach.
+ * 0: no such node is in reach. */
+void cw_leadership_defer(cw_leadership_t *leadership, cw_time_us_t take_delay);
+/** Handles a leader's step-down notice: the lock is read soon. */
 void cw_leadership_receive_step_down(cw_leadership_t *leadership, cw_time_us_t now);
+/** Whether this node leads and its lease has not expired. */
 bool cw_leadership_has_authority(const cw_leadership_t *leadership, cw_time_us_t now);
-/** Gives the lock back: no authority from now on, and the lock is written as vacant. */
+/** Gives up the leadership: authority ends immediately, and the lock is written as vacant. */
 void cw_leadership_resign(cw_leadership_t *leadership, cw_time_us_t now);
 
-/** Gives the lock back, and does not take it again before the pause is over. */
+/** Gives up the leadership and does not take the lock again before the pause is over. */
 void cw_leadership_step_down(cw_leadership_t *leadership, cw_time_us_t now, cw_time_us_t pause);
 
 json_t *cw_lock_to_json(const cw_lock_t *lock);
--- a/src/placement/load_window.c
+++ b/src/placement/load_window.c
@@ -1,6 +1,6 @@
 /**
  * @file load_window.c
- * @brief Recent keys, each weighed by exp(-age / CW_LOAD_MEMORY): a rate that follows a change within seconds.
+ * @brief Keys of recent requests, weighted by exp(-age / memory_s), so that rates follow a change within seconds.
  */
 #include "placement/load_window.h"
 
@@ -12,7 +12,7 @@
 #include "base/memory.h"
 #include "model/region_mask.h"
 
-static const double memory_s = 1.0; /* time constant; shorter follows faster and sees more noise */
+static const double memory_s = 1.0; /* time constant; a shorter one follows changes faster and shows more noise */
 static const double horizon_s = 4.0;
 static const double span_min_s = 0.2;
 
@@ -39,7 +39,7 @@
     sample->from = seen->from;
     sample->at_ms = (uint32_t)(now / 1000);
     window->next = (window->next + 1) % CW_LOAD_SAMPLES_MAX;
-    if (window->count < CW_LOAD_SAMPLES_MAX) { /* else the oldest has been replaced: the rest is the newest sample */
+    if (window->count < CW_LOAD_SAMPLES_MAX) { /* otherwise the new sample has replaced the oldest one */
         window->count++;
     }
 }
@@ -52,7 +52,7 @@
     return a->key < b->key ? -1 : a->key > b->key;
 }
 
-static size_t join_same(cw_key_load_t *loads, size_t count)
+static size_t merge_same_keys(cw_key_load_t *loads, size_t count)
 {
     size_t index;
     size_t kept = 0;
@@ -67,7 +67,8 @@
     return kept;
 }
 
-/* A window that has only begun to fill holds less than its share of the rate. */
+/* Share of the rate that the samples show. It is below 1 while the window has been filling for less than some time
+ * constants. */
 static double filled_share(const cw_load_window_t *window, uint32_t now_ms)
 {
     double span_s = (double)(now_ms - window->first_ms) / 1000;
@@ -75,7 +76,7 @@
     return 1 - exp(-(span_s < span_min_s ? span_min_s : span_s) / memory_s);
 }
 
-/* Requests a second that a sample still stands for; 0: it is too old. */
+/* Requests per second that a sample still contributes; 0: it is too old. */
 static double present_rate(const cw_load_sample_t *sample, uint32_t now_ms, double share)
 {
     double age_s = (double)(now_ms - sample->at_ms) / 1000;
@@ -94,7 +95,7 @@
     return a->regions < b->regions ? -1 : a->regions > b->regions;
 }
 
-static size_t join_same_bound(cw_bound_load_t *loads, size_t count)
+static size_t merge_same_bounds(cw_bound_load_t *loads, size_t count)
 {
     size_t kept = 0;
     size_t index;
@@ -109,7 +110,7 @@
     return kept;
 }
 
-/* Regions of a sample as they count for a reading; CW_REGIONS_ANY: not at all. */
+/* Regions of a sample, by origin or by permission; CW_REGIONS_ANY: the sample is left out. */
 static uint32_t regions_of(const cw_load_sample_t *sample, bool by_origin)
 {
     uint32_t regions = by_origin ? sample->from : sample->regions;
@@ -138,7 +139,7 @@
         }
     }
     qsort(*loads, count, sizeof(**loads), compare_bound);
-    return join_same_bound(*loads, count);
+    return merge_same_bounds(*loads, count);
 }
 
 size_t cw_load_window_read_bound(const cw_load_window_t *window, cw_time_us_t now, cw_bound_load_t **loads)
@@ -187,7 +188,7 @@
         }
     }
     qsort(*loads, count, sizeof(**loads), compare_keys);
-    return join_same(*loads, count);
+    return merge_same_keys(*loads, count);
 }
 
 size_t cw_key_loads_first(const cw_key_load_t *loads, size_t count, uint32_t key)
--- a/src/placement/order_trust.c
+++ b/src/placement/order_trust.c
@@ -1,6 +1,6 @@
 /**
  * @file order_trust.c
- * @brief Failures in a row, and pauses that double.
+ * @brief Counts consecutive failures and doubles the pauses between tries.
  */
 #include "placement/order_trust.h"
 
@@ -11,9 +11,9 @@
 
 typedef struct doubt {
     uint32_t       server;
-    uint32_t       failures; /* in a row */
-    uint32_t       served;   /* answers to this node's requests at the last failure */
-    uint32_t       tries;    /* pauses that are over, or under way */
+    uint32_t       failures; /* consecutive */
+    uint32_t       served;   /* answers to this node's requests by the time of the last failure */
+    uint32_t       tries;    /* pauses begun so far */
     cw_time_us_t   until;    /* end of the pause; 0: none has begun */
     cw_time_us_t   failed_at;
     UT_hash_handle hh;
@@ -30,7 +30,7 @@
     return trust;
 }
 
-static void drop(cw_order_trust_t *trust, doubt_t *doubt)
+static void remove_doubt(cw_order_trust_t *trust, doubt_t *doubt)
 {
     HASH_DEL(trust->doubts, doubt); /* NOLINT(clang-analyzer-unix.Malloc): it does not follow uthash's macros */
     free(doubt);
@@ -43,7 +43,7 @@
 
     HASH_ITER(hh, trust->doubts, doubt, next)
     {
-        drop(trust, doubt);
+        remove_doubt(trust, doubt);
     }
     free(trust);
 }
@@ -56,7 +56,7 @@
     return doubt;
 }
 
-static doubt_t *doubt_of(cw_order_trust_t *trust, uint32_t server)
+static doubt_t *find_or_add(cw_order_trust_t *trust, uint32_t server)
 {
     doubt_t *doubt = find(trust, server);
 
@@ -68,7 +68,7 @@
     return doubt;
 }
 
-static cw_time_us_t pause_of(uint32_t tries)
+static cw_time_us_t pause_after(uint32_t tries)
 {
     cw_time_us_t pause = CW_SECONDS(CW_ORDER_DOUBT_FIRST_S);
 
@@ -80,13 +80,14 @@
 
 void cw_order_trust_note_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now)
 {
-    doubt_t *doubt = doubt_of(trust, server);
+    doubt_t *doubt = find_or_add(trust, server);
 
     doubt->failures++;
     doubt->served = served;
     doubt->failed_at = now;
-    if (doubt->failures >= CW_ORDER_FAILURES && now >= doubt->until) { /* several orders of one try count once */
-        doubt->until = now + pause_of(doubt->tries);
+    if (doubt->failures >= CW_ORDER_FAILURES &&
+        now >= doubt->until) { /* further failures of the same try do not count */
+        doubt->until = now + pause_after(doubt->tries);
         doubt->tries++;
     }
 }
@@ -96,7 +97,7 @@
     doubt_t *doubt = find(trust, server);
 
     if (doubt != NULL) {
-        drop(trust, doubt);
+        remove_doubt(trust, doubt);
     }
 }
 
@@ -105,7 +106,7 @@
     doubt_t *doubt = find(trust, server);
 
     if (doubt != NULL && served > doubt->served) {
-        drop(trust, doubt);
+        remove_doubt(trust, doubt);
         return false;
     }
     return doubt != NULL && now < doubt->until;
@@ -124,7 +125,7 @@
     HASH_ITER(hh, trust->doubts, doubt, next)
     {
         if (now - doubt->failed_at > 2 * CW_SECONDS(CW_ORDER_DOUBT_MOST_S)) {
-            drop(trust, doubt);
+            remove_doubt(trust, doubt);
         }
     }
 }
--- a/src/placement/ownership_measures.c
+++ b/src/placement/ownership_measures.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-static const double load_min_per_s = 5; /* with less load one request more or less decides */
+static const double load_min_per_s = 5; /* with less load single requests determine the imbalance */
 
 void cw_ownership_measures_clear(cw_ownership_measures_t *measures)
 {
@@ -22,7 +22,7 @@
     return (double)time / 1e6;
 }
 
-static uint64_t owner_of(const cw_range_t *range)
+static uint64_t owner_hash(const cw_range_t *range)
 {
     return range->owner.id[0] == '\0' ? 0 : XXH3_64bits(range->owner.id, strlen(range->owner.id));
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/* ---- one range against what was seen of its keys before ---- */
+/* ---- comparison of a range with the previous observation of its keys ---- */
 
 static void compare_part(cw_ownership_measures_t *measures, const cw_range_t *range, const cw_range_seen_t *before,
                          cw_range_seen_t *now_seen)
@@ -73,13 +73,13 @@
     return cw_range_is_routable(range) && range->failing_since == 0;
 }
 
-/* `first`: the first range seen before that may reach into this one; both are in order of keys. */
-static cw_range_seen_t look_at_range(cw_ownership_measures_t *measures, const cw_range_t *range, size_t *first,
+/* `first`: index of the first previously observed range that may overlap this one; both lists are sorted by key. */
+static cw_range_seen_t observe_range(cw_ownership_measures_t *measures, const cw_range_t *range, size_t *first,
                                      cw_time_us_t now)
 {
     cw_range_seen_t seen = {.low = range->low,
                             .last = range->last,
-                            .owner = owner_of(range),
+                            .owner = owner_hash(range),
                             .unavailable_since = is_available(range) ? 0 : now};
     size_t          index;
 
@@ -116,7 +116,7 @@
         abort();
     }
     for (index = 0; index < ranges->count; index++) {
-        seen[index] = look_at_range(measures, &ranges->items[index], &first, now);
+        seen[index] = observe_range(measures, &ranges->items[index], &first, now);
         if (measures->looked_at != 0) {
             count_unavailable(measures, &seen[index], now);
         }
@@ -129,7 +129,7 @@
 
 /* ---- imbalance ---- */
 
-/** Load of one owner. */
+/** Load on ranges of one owner. */
 typedef struct owner_load {
     uint64_t owner;
     double   per_s;
@@ -143,7 +143,7 @@
     return (first->owner > second->owner) - (first->owner < second->owner);
 }
 
-/* The loads of ranges, those of one owner side by side. */
+/* Loads of the ranges, sorted by owner. */
 static owner_load_t *loads_by_owner(const cw_ownership_measures_t *measures, const cw_range_list_t *ranges)
 {
     owner_load_t *loads = calloc(ranges->count + 1, sizeof(*loads));
@@ -153,7 +153,7 @@
         abort();
     }
     for (index = 0; index < ranges->count; index++) {
-        loads[index].owner = owner_of(&ranges->items[index]);
+        loads[index].owner = owner_hash(&ranges->items[index]);
         loads[index].per_s = load_between(measures, ranges->items[index].low, ranges->items[index].last);
     }
     qsort(loads, ranges->count, sizeof(*loads), compare_owners);
--- a/src/placement/ownership_measures.h
+++ b/src/placement/ownership_measures.h
@@ -1,16 +1,16 @@
 /**
  * @file ownership_measures.h
- * @brief The three measures of a service divided by key: imbalance of load across owners, churn of key ownership, and
- * unavailable time of keys. The leader counts them while it leads; sums over all nodes are those of the whole system.
+ * @brief Three measures of a service divided by key: imbalance of load across owners, churn of key ownership, and
+ * unavailable time of keys. A node counts them while it leads; the sums over all nodes are those of the whole system.
  *
- *  - Imbalance: load of the busiest owner over the mean of all owners, weighted by the time it stood so, while there is
- *    load enough for a figure.
- *  - Churn: keys whose owner changed, as a share of all keys (1: as if each key had moved once), the share of the load
- *    that was on them then, and the keys among them whose new owner got them without what the former one knew (cold).
- *    A key's first owner is no move.
- *  - Unavailable: a key is unavailable while requests for it may not go to its owner, or the owner does not answer the
- *    leader's orders. Counted in key-seconds, and the longest time without a pause. Where ranges with different gaps
- *    are joined, the longer gap is taken for both.
+ *  - Imbalance: load of the busiest owner divided by the mean of all owners, weighted by its duration. It is counted
+ *    while there is enough load for a meaningful value.
+ *  - Churn: keys whose owner changed, as a share of all keys (1: as if each key had moved once); the share of the load
+ *    on them at that time; and the keys among them that are cold, which means that the new owner got no handover from
+ *    the former one. The first assignment of a key is not a move.
+ *  - Unavailable: a key is unavailable while requests for it may not be sent to its owner, or while the owner does not
+ *    answer the leader's orders. Counted in key-seconds, and as the longest uninterrupted time. If ranges with
+ * different unavailable times are merged, the longer time counts for both.
  *
  * No I/O, no clock.
  */
@@ -20,39 +20,39 @@
 #include "assignment/range.h"
 #include "placement/load_window.h"
 
-/** What was seen of a range last. */
+/** State of a range at the last observation. */
 typedef struct cw_range_seen {
     uint32_t     low;
     uint32_t     last;
     uint64_t     owner;             /**< hash of its id; 0: none */
-    bool         is_moving;         /**< its owner has changed and has not taken it yet */
+    bool         is_moving;         /**< its owner has changed and has not confirmed the grant yet */
     cw_time_us_t unavailable_since; /**< 0: it is available */
 } cw_range_seen_t;
 
 typedef struct cw_ownership_measures {
-    double           imbalance;            /**< as last looked at; 0: no load */
-    double           imbalance_weighted_s; /**< sum over time: imbalance times seconds */
-    double           imbalance_s;          /**< over so many seconds */
+    double           imbalance;            /**< latest value; 0: no load */
+    double           imbalance_weighted_s; /**< sum of imbalance times its duration in seconds */
+    double           imbalance_s;          /**< sum of these durations in seconds */
     double           moved_keys;
     double           moved_cold_keys;
-    double           moved_load; /**< sum of shares of the load */
+    double           moved_load; /**< sum of the moved keys' shares of the load */
     double           unavailable_key_s;
     double           unavailable_longest_s;
     cw_range_seen_t *seen;
     size_t           seen_count;
     cw_time_us_t     looked_at;
     cw_time_us_t     load_at;
-    cw_key_load_t   *loads; /**< as last read */
+    cw_key_load_t   *loads; /**< latest reading of the load window */
     size_t           load_count;
 } cw_ownership_measures_t;
 
 void cw_ownership_measures_clear(cw_ownership_measures_t *measures);
-/** Looks at the ranges as they are now. Takes what has changed since the last look for what happened in between. */
+/** Observes the present ranges and counts the changes since the previous observation. */
 void cw_ownership_measures_look(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now);
-/** Looks at the load on the ranges; once a second or so. */
+/** Observes the load on the ranges; called about once per second. */
 void cw_ownership_measures_look_at_load(cw_ownership_measures_t *measures, const cw_range_list_t *ranges,
                                         const cw_load_window_t *window, cw_time_us_t now);
-/** Mean of the imbalance over time; 0: not known. */
+/** Time-weighted mean of the imbalance; 0: not known. */
 double cw_ownership_measures_imbalance(const cw_ownership_measures_t *measures);
 
 #endif
--- a/src/placement/plan_timing.c
+++ b/src/placement/plan_timing.c
@@ -1,6 +1,6 @@
 /**
  * @file plan_timing.c
- * @brief When keys are first assigned, and when a list is believed; rules in plan_timing.h.
+ * @brief Timing of the first plan and of trust in a list that lacks owners; the rules are in plan_timing.h.
  */
 #include "placement/plan_timing.h"
 
--- a/src/placement/planner.c
+++ b/src/placement/planner.c
@@ -1,6 +1,6 @@
 /**
  * @file planner.c
- * @brief A plan: what must move, then hot keys and balance, then joins.
+ * @brief Makes a plan: forced moves, then regions, hot keys and balance, then merges of ranges.
  */
 #include "placement/planner.h"
 
@@ -11,8 +11,8 @@
 
 enum {
     LOST_MS = 1200,
-    MOST_LOST_MS = 3000,   /* a leader that is cut off by itself has resigned by then: 900 ms, and reports of others */
-    SERVERS_OF_ERRORS = 14 /* servers among which the settings' errors were measured (docs/MEASUREMENTS.md) */
+    MANY_LOST_MS = 3000, /* a leader that is itself cut off has resigned by then: 900 ms plus other nodes' reports */
+    ERRORS_SERVERS = 14  /* number of servers with which settings.errors was measured (docs/MEASUREMENTS.md) */
 };
 
 static const double idle_per_s = 0.5;
@@ -20,7 +20,7 @@
 const cw_planner_settings_t cw_planner_defaults = {.gain_min = 1.5,
                                                    .move_price = 0.22,
                                                    .interruption = 0.5,
-                                                   .refusal = 20, /* its worth is lost, and it comes again */
+                                                   .refusal = 20, /* its value is lost and the caller repeats it */
                                                    .errors = 1.5,
                                                    .moves_max = 12,
                                                    .ranges_each = 4,
@@ -28,7 +28,7 @@
 
 /* ---- ranges and loads ---- */
 
-static void measure_servers(cw_planner_t *planner)
+static void compute_server_loads(cw_planner_t *planner)
 {
     const cw_range_list_t *ranges = cw_assigner_ranges(planner->assigner);
     size_t                 index;
@@ -51,7 +51,7 @@
     }
 }
 
-static void measure_busy(cw_planner_t *planner)
+static void compute_mean_busy(cw_planner_t *planner)
 {
     double slots = 0;
     double busy = 0;
@@ -66,26 +66,28 @@
     planner->busy = slots > 0 ? busy / slots : 0;
 }
 
-/* Of more servers the busiest looks busier by chance alone: by some sqrt(2 ln n) errors. */
-static double errors_among(double errors, size_t servers)
+/* The more servers there are, the busier the busiest one appears by random variation alone: by about sqrt(2 ln n)
+ * standard errors. */
+static double errors_for_servers(double errors, size_t servers)
 {
-    return servers <= SERVERS_OF_ERRORS ? errors : errors * sqrt(log((double)servers) / log(SERVERS_OF_ERRORS));
+    return servers <= ERRORS_SERVERS ? errors : errors * sqrt(log((double)servers) / log(ERRORS_SERVERS));
 }
 
-/* Each range is renewed by itself, and sent to each node: balance must not cut without end. */
-static bool is_in_pieces(const cw_planner_t *planner)
+/* Whether there are too many ranges to split more. Each range is renewed separately and sent to every node, so balance
+ * must not split ranges without a limit. */
+static bool is_fragmented(const cw_planner_t *planner)
 {
     return planner->ranges.count >= planner->settings->ranges_each * planner->server_count;
 }
 
-/* ---- what must move ---- */
+/* ---- forced moves ---- */
 
 static bool is_to_be_emptied(const cw_planner_server_t *server)
 {
     return server->entry->draining || server->is_barred;
 }
 
-static bool must_move(const cw_planner_t *planner, const cw_range_t *range)
+static bool is_move_forced(const cw_planner_t *planner, const cw_range_t *range)
 {
     const cw_planner_server_t *server = cw_planner_server_of(planner, range->owner.id);
 
@@ -93,7 +95,7 @@
         return true;
     }
     if (range->phase == CW_RANGE_RELEASING && range->hold_until > planner->now) {
-        return false; /* both its owner and the former holder may hold it: the move under way comes first */
+        return false; /* both the owner and the former holder may hold it: the present move has to end first */
     }
     if (server != NULL && is_to_be_emptied(server)) {
         return true;
@@ -105,17 +107,18 @@
            planner->now - range->failing_since > CW_MS(LOST_MS);
 }
 
-/* Most owners out of reach may be this leader's own fault: others get answers then, and it resigns. One that still
- * leads later, and gets answers from some owners, gives these the keys. Without any answer a move helps nobody. */
-static bool is_held_back(const cw_planner_t *planner, const cw_range_t *range, double failing_share)
+/* Whether a range of an unreachable owner stays for now. If most owners are unreachable, this leader itself may be cut
+ * off: then other nodes get answers, and the leader resigns. A leader that still leads later and gets answers from some
+ * owners moves the keys to these. If no owner answers, a move cannot help. */
+static bool is_move_postponed(const cw_planner_t *planner, const cw_range_t *range, double failing_share)
 {
     if (failing_share >= 1) {
         return true;
     }
-    return failing_share > 0.5 && planner->now - range->failing_since <= CW_MS(MOST_LOST_MS);
+    return failing_share > 0.5 && planner->now - range->failing_since <= CW_MS(MANY_LOST_MS);
 }
 
-static void plan_forced(cw_planner_t *planner)
+static void plan_forced_moves(cw_planner_t *planner)
 {
     /* The assigner's own list does not change while a plan is made. */
     const cw_range_list_t *ranges = cw_assigner_ranges(planner->assigner);
@@ -128,8 +131,8 @@
         cw_planner_server_t *to;
         cw_planner_piece_t   piece = {range->low, range->last, 0};
 
-        if (!must_move(planner, range) ||
-            (from != NULL && !is_to_be_emptied(from) && is_held_back(planner, range, failing_share))) {
+        if (!is_move_forced(planner, range) ||
+            (from != NULL && !is_to_be_emptied(from) && is_move_postponed(planner, range, failing_share))) {
             continue;
         }
         to = cw_planner_best_for(planner, &piece, range->owner.id);
@@ -140,8 +143,8 @@
     }
 }
 
-/* A server that orders did not reach may be given keys only where nothing else can. */
-static void set_doubted_aside(cw_planner_t *planner)
+/* Makes doubted servers unusable, unless there is no other usable server. */
+static void exclude_doubted(cw_planner_t *planner)
 {
     bool   any = false;
     size_t index;
@@ -154,9 +157,9 @@
     }
 }
 
-/* ---- joins ---- */
+/* ---- merges ---- */
 
-static void plan_joins(cw_planner_t *planner)
+static void plan_merge(cw_planner_t *planner)
 {
     const cw_range_list_t *ranges = cw_assigner_ranges(planner->assigner);
     size_t                 index;
@@ -212,22 +215,22 @@
     }
     planner.per_s = cw_planner_load_between(&planner, 0, CW_KEY_LAST);
     cw_range_list_copy(&planner.ranges, cw_assigner_ranges(planner.assigner));
-    planner.errors = errors_among(input->settings->errors, input->server_count);
-    planner.is_in_pieces = is_in_pieces(&planner);
-    set_doubted_aside(&planner);
-    measure_servers(&planner);
-    measure_busy(&planner);
+    planner.errors = errors_for_servers(input->settings->errors, input->server_count);
+    planner.is_fragmented = is_fragmented(&planner);
+    exclude_doubted(&planner);
+    compute_server_loads(&planner);
+    compute_mean_busy(&planner);
     planner.fastest_cost = cw_planner_fastest_cost(&planner);
-    plan_forced(&planner);
+    plan_forced_moves(&planner);
     if (planner.changes == 0 && planner.per_s < idle_per_s) {
         cw_planner_fill_idle(&planner);
     } else if (planner.changes == 0) {
-        cw_planner_obey_regions(&planner);
+        cw_planner_apply_regions(&planner);
         cw_planner_place_hot_keys(&planner);
         cw_planner_balance(&planner);
     }
     if (planner.changes == 0) {
-        plan_joins(&planner);
+        plan_merge(&planner);
     }
     if (planner.changes == 0 && cw_assigner_is_stale(planner.assigner, planner.now)) {
         cw_assigner_plan_refresh(planner.assigner);
--- a/src/placement/planner_balance.c
+++ b/src/placement/planner_balance.c
@@ -1,20 +1,21 @@
 /**
  * @file planner_balance.c
- * @brief Balance: pieces of ranges go from where one request more costs most to where it costs least.
+ * @brief Balance: moves pieces of ranges from the server with the highest marginal cost to the one with the lowest.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "placement/planner_internal.h"
 
-enum { MOVES_SERVERS = 3 /* a plan makes one move more for each so many servers */ };
+enum { SERVERS_PER_MOVE = 3 /* a plan may have one additional move for each so many servers */ };
 
-static const double fit_high = 1.5;        /* a piece is cut off before it would be so many times what should move */
-static const double spare_busy = 0.7;      /* busy share up to which a server is given more at once */
-static const double spare_over_mean = 1.2; /* or this much over the mean of all servers, where that is more */
+static const double piece_load_max = 1.5;    /* greatest load of a piece, as a multiple of the wanted load */
+static const double spare_busy = 0.7;        /* busy share up to which a single move may load a server */
+static const double spare_mean_factor = 1.2; /* or up to this multiple of the servers' mean, if that is higher */
 
-/* Shortest piece at one end of a range with at least the wanted load. */
-static cw_planner_piece_t cut_end(const cw_planner_t *planner, const cw_range_t *range, double wanted, bool at_low_end)
+/* Returns the shortest piece at one end of a range with at least the wanted load. */
+static cw_planner_piece_t end_piece(const cw_planner_t *planner, const cw_range_t *range, double wanted,
+                                    bool at_low_end)
 {
     cw_planner_piece_t piece = {range->low, range->last, 0};
     size_t             first = cw_key_loads_first(planner->loads, planner->load_count, range->low);
@@ -24,7 +25,8 @@
     for (step = 0; step < end - first; step++) {
         const cw_key_load_t *load = &planner->loads[at_low_end ? first + step : end - 1 - step];
 
-        if (cw_planner_is_hot(planner, load) || (piece.per_s > 0 && piece.per_s + load->per_s > wanted * fit_high)) {
+        if (cw_planner_is_hot(planner, load) ||
+            (piece.per_s > 0 && piece.per_s + load->per_s > wanted * piece_load_max)) {
             break;
         }
         piece.per_s += load->per_s;
@@ -40,22 +42,22 @@
     return piece;
 }
 
-/* The range itself, if it is not much more than what should move; else nothing. */
+/* Returns the whole range as a piece, with a load of 0 if its load is far above the wanted one. */
 static cw_planner_piece_t whole_range(const cw_planner_t *planner, const cw_range_t *range, double wanted)
 {
     cw_planner_piece_t piece = {range->low, range->last, cw_planner_load_between(planner, range->low, range->last)};
 
-    piece.per_s = piece.per_s > wanted * fit_high ? 0 : piece.per_s;
+    piece.per_s = piece.per_s > wanted * piece_load_max ? 0 : piece.per_s;
     return piece;
 }
 
-/* More than this no move away from a server can earn: the cost is convex. */
-static double most_gain(const cw_planner_server_t *from)
+/* Upper bound for the gain of any move away from a server, since the cost is convex. */
+static double gain_bound(const cw_planner_server_t *from)
 {
     return from->marginal * from->per_s;
 }
 
-/* Of those that a move could relieve at all. */
+/* Returns the untried server with the highest marginal cost among those where a move could gain enough. */
 static cw_planner_server_t *busiest(const cw_planner_t *planner, const bool *tried)
 {
     cw_planner_server_t *best = NULL;
@@ -64,7 +66,7 @@
     for (index = 0; index < planner->server_count; index++) {
         cw_planner_server_t *server = &planner->servers[index];
 
-        if (!tried[index] && most_gain(server) >= planner->settings->gain_min &&
+        if (!tried[index] && gain_bound(server) >= planner->settings->gain_min &&
             (best == NULL || server->marginal > best->marginal)) {
             best = server;
         }
@@ -78,7 +80,7 @@
            cw_planner_total_cost(to, to->per_s) - cw_planner_total_cost(to, to->per_s + per_s);
 }
 
-/* Rate whose move earns most, by halving: the cost is convex. */
+/* Returns the rate whose move gains most, by ternary search, which is possible because the cost is convex. */
 static double best_rate(const cw_planner_server_t *from, const cw_planner_server_t *to)
 {
     double low = 0;
@@ -97,9 +99,9 @@
     return (low + high) / 2;
 }
 
-/* What it would still earn if chance had made the busy one look busier, and the other less busy, than they are. */
-static double sure_gain(const cw_planner_t *planner, const cw_planner_server_t *from, const cw_planner_server_t *to,
-                        double per_s)
+/* Gain of a move if random variation made `from` appear busier, and `to` less busy, than they are. */
+static double certain_gain(const cw_planner_t *planner, const cw_planner_server_t *from, const cw_planner_server_t *to,
+                           double per_s)
 {
     cw_planner_server_t less = *from;
     cw_planner_server_t more = *to;
@@ -109,8 +111,8 @@
     return gain(&less, &more, per_s > less.per_s ? less.per_s : per_s);
 }
 
-/* The piece whose move earns most beyond its price, however small it is beside what should move: a server may hold its
- * load in many ranges. */
+/* Chooses the piece whose gain exceeds its price most. It may be much smaller than the wanted load, since a server's
+ * load may be spread over many ranges. */
 static bool choose_piece(const cw_planner_t *planner, const cw_planner_server_t *from, const cw_planner_server_t *to,
                          double wanted, cw_planner_piece_t *best)
 {
@@ -127,9 +129,9 @@
             continue;
         }
         for (at_low_end = 0; at_low_end < 2; at_low_end++) {
-            cw_planner_piece_t piece = planner->is_in_pieces ? whole_range(planner, range, wanted)
-                                                             : cut_end(planner, range, wanted, at_low_end);
-            double             profit = sure_gain(planner, from, to, piece.per_s) - cw_planner_price(planner, &piece) +
+            cw_planner_piece_t piece = planner->is_fragmented ? whole_range(planner, range, wanted)
+                                                              : end_piece(planner, range, wanted, at_low_end);
+            double profit = certain_gain(planner, from, to, piece.per_s) - cw_planner_price(planner, &piece) +
                             cw_planner_region_gain(planner, &piece, from, to);
 
             if (piece.per_s > 0 && profit > best_profit) {
@@ -141,16 +143,16 @@
     return best_profit > 0;
 }
 
-/* Rate that a server can be given without becoming the next one to relieve: it keeps what it got for a while. */
-static double spare_rate_of(const cw_planner_t *planner, const cw_planner_server_t *server)
+/* Rate that a server can get without becoming overloaded itself: it keeps moved keys for settings.rest. */
+static double spare_rate(const cw_planner_t *planner, const cw_planner_server_t *server)
 {
-    double most = planner->busy * spare_over_mean > spare_busy ? planner->busy * spare_over_mean : spare_busy;
+    double most = planner->busy * spare_mean_factor > spare_busy ? planner->busy * spare_mean_factor : spare_busy;
     double spare = most / server->cost_s - server->per_s;
 
     return spare > 0 ? spare : 0;
 }
 
-static bool relieve_to(cw_planner_t *planner, cw_planner_server_t *from, cw_planner_server_t *to)
+static bool move_load_to(cw_planner_t *planner, cw_planner_server_t *from, cw_planner_server_t *to)
 {
     double             wanted;
     double             spare;
@@ -160,7 +162,7 @@
         return false;
     }
     wanted = best_rate(from, to);
-    spare = spare_rate_of(planner, to);
+    spare = spare_rate(planner, to);
     wanted = wanted > spare ? spare : wanted;
     if (gain(from, to, wanted) < planner->settings->gain_min || !choose_piece(planner, from, to, wanted, &piece)) {
         return false;
@@ -169,20 +171,21 @@
     return true;
 }
 
-/* Where requests are bound to regions, the server that suits the busy one's own keys is tried before the least busy. */
-static bool relieve(cw_planner_t *planner, cw_planner_server_t *from)
+/* Moves load away from a server. If requests are restricted to regions, the least busy server of the same region is
+ * tried before the least busy one of all. */
+static bool move_load_away(cw_planner_t *planner, cw_planner_server_t *from)
 {
     cw_planner_server_t *best = cw_planner_least_busy(planner, from->entry->id);
     cw_planner_server_t *near = planner->bound_count == 0 ? best : cw_planner_least_busy_in(planner, from);
 
-    return (near != best && relieve_to(planner, from, near)) || relieve_to(planner, from, best);
+    return (near != best && move_load_to(planner, from, near)) || move_load_to(planner, from, best);
 }
 
 void cw_planner_balance(cw_planner_t *planner)
 {
     bool  *tried = calloc(planner->server_count + 1, sizeof(*tried));
     size_t moves = 0;
-    size_t most = planner->settings->moves_max + planner->server_count / MOVES_SERVERS;
+    size_t most = planner->settings->moves_max + planner->server_count / SERVERS_PER_MOVE;
 
     if (tried == NULL) {
         abort();
@@ -193,7 +196,7 @@
         if (from == NULL) {
             break;
         }
-        if (relieve(planner, from)) {
+        if (move_load_away(planner, from)) {
             moves++;
         } else {
             tried[from - planner->servers] = true;
@@ -202,9 +205,9 @@
     free(tried);
 }
 
-/* ---- before there is load ---- */
+/* ---- distribution without load ---- */
 
-/* The largest range of a server that can be cut; NULL: none. */
+/* Returns the largest range of a server that can be split; NULL: none. */
 static const cw_range_t *largest_range(const cw_planner_t *planner, const cw_planner_server_t *server)
 {
     const cw_range_t *largest = NULL;
@@ -222,8 +225,8 @@
     return largest;
 }
 
-/* Half of the largest range of the server with most keys goes to this one. */
-static bool give_half(cw_planner_t *planner, cw_planner_server_t *to)
+/* Moves half of the largest range of the server with most keys to this server. */
+static bool move_half_range(cw_planner_t *planner, cw_planner_server_t *to)
 {
     cw_planner_server_t *most = NULL;
     const cw_range_t    *range;
@@ -252,7 +255,7 @@
     for (index = 0; index < planner->server_count; index++) {
         cw_planner_server_t *server = &planner->servers[index];
 
-        if (server->keys == 0 && server->usable && !give_half(planner, server)) {
+        if (server->keys == 0 && server->usable && !move_half_range(planner, server)) {
             return;
         }
     }
--- a/src/placement/planner_cost.c
+++ b/src/placement/planner_cost.c
@@ -1,29 +1,29 @@
 /**
  * @file planner_cost.c
- * @brief What load costs at a server.
+ * @brief Cost of load at a server.
  */
 #include <math.h>
 #include <string.h>
 
 #include "placement/planner_internal.h"
 
-static const double key_weight = 1e-7; /* breaks ties by the number of keys held */
-static const double full = 0.92;       /* busy share from where the wait is taken to grow in a straight line */
-static const double pace_most = 3;     /* a server in trouble is no reason to move everything at once */
-static const double late_power = 1.0;  /* long times weigh more: they miss the aim */
+static const double key_weight = 1e-7;   /* breaks ties by the number of keys held */
+static const double linear_busy = 0.92;  /* busy share above which the wait is modelled as linear */
+static const double pace_max = 3;        /* limits the cost of a slow server, so that not all its keys move at once */
+static const double time_exponent = 1.0; /* above 1, long times count more, since they miss the latency objective */
 
-/* Mean time of a request over what is usual, at this rate: its pace and the wait for one of the slots. */
+/* Mean time of a request at this rate, in usual response times: the server's pace and the wait for a slot. */
 static double time_at(const cw_planner_server_t *server, double per_s)
 {
     double slots = server->entry->capacity == 0 ? 1 : server->entry->capacity;
     double busy = per_s * server->cost_s;
-    double bounded = busy > full ? full : busy;
+    double bounded = busy > linear_busy ? linear_busy : busy;
     double wait = pow(bounded, sqrt(2 * (slots + 1)) - 1) / (slots * (1 - bounded)); /* Sakasegawa's M/M/c */
 
-    if (busy > full) {
-        wait += (busy - full) * 20;
+    if (busy > linear_busy) {
+        wait += (busy - linear_busy) * 20;
     }
-    return pow((server->pace > pace_most ? pace_most : server->pace) * (1 + wait), late_power);
+    return pow((server->pace > pace_max ? pace_max : server->pace) * (1 + wait), time_exponent);
 }
 
 double cw_planner_total_cost(const cw_planner_server_t *server, double per_s)
--- a/src/placement/planner_move.c
+++ b/src/placement/planner_move.c
@@ -1,6 +1,6 @@
 /**
  * @file planner_move.c
- * @brief One move: which range may move, what the move has to earn, and what it changes in the plan.
+ * @brief A single move: whether a range may be moved, the price of a move, and its effect on the plan.
  */
 #include <string.h>
 
@@ -33,8 +33,7 @@
     return cw_key_loads_between(planner->loads, planner->load_count, low, last);
 }
 
-/* What the move of a piece has to earn: keys that change hands have a price each, and requests for them wait or are
- * refused meanwhile. */
+/* The price has a part for each moved key, and a part for the requests that wait or are refused during the move. */
 double cw_planner_price(const cw_planner_t *planner, const cw_planner_piece_t *piece)
 {
     double share = (double)(piece->last - piece->low + 1) / (CW_KEY_LAST + 1);
@@ -43,7 +42,7 @@
            planner->settings->interruption * piece->per_s;
 }
 
-static void note_move(cw_planner_t *planner, const cw_planner_piece_t *piece, const cw_planner_server_t *to)
+static void apply_move(cw_planner_t *planner, const cw_planner_piece_t *piece, const cw_planner_server_t *to)
 {
     size_t      index = (size_t)(cw_range_list_find(&planner->ranges, piece->low) - planner->ranges.items);
     cw_range_t *range;
@@ -62,7 +61,7 @@
                      cw_planner_server_t *to)
 {
     cw_assigner_plan_move(planner->assigner, piece->low, piece->last, to->entry, planner->list);
-    note_move(planner, piece, to);
+    apply_move(planner, piece, to);
     if (from != NULL) {
         from->per_s -= piece->per_s;
         from->keys -= piece->last - piece->low + 1;
--- a/src/placement/planner_regions.c
+++ b/src/placement/planner_regions.c
@@ -1,25 +1,27 @@
 /**
  * @file planner_regions.c
- * @brief Keys and regions: each key lies where most of its requests may go, and near to where they come from.
+ * @brief Places keys by region: in a region that may serve most of their requests, and near the origin of the requests.
  *
- * What an owner's region may not serve is refused at once, so a request that is refused costs as much as
- * `settings->refusal` requests of usual time. A run is a row of keys that would all be served in some other region; it
- * is moved there if that earns more than a move costs, what would be refused there instead included. Where one key is
- * asked for by requests of different regions, it stays with the larger part.
+ * A request that the owner's region may not serve is refused immediately. It counts as much as `settings->refusal`
+ * requests of usual response time. A run is a sequence of keys all of whose requests could be served in some other
+ * region. A run is moved there if the gain, reduced by the requests that would be refused there instead, exceeds the
+ * price of the move. A key with requests of different regions stays where the larger part may be served.
  *
- * A request that crosses a border costs its way and its bytes (balance/crossing_cost.h; short ones a fraction of a
- * usual time, large bodies several). That decides where a key goes that has to move, or moves for balance; a range is
- * moved for it alone only where it earns the price of a move, and never for what chance explains.
+ * A request from another region costs time for the distance and for its bytes (balance/crossing_cost.h): a fraction of
+ * a usual response time for short requests, several for large bodies. This cost counts when the target of a forced move
+ * or of a move for balance is chosen. A range is moved because of it alone only if the gain exceeds the price of a
+ * move, and never if random variation can explain the gain.
  */
 #include <string.h>
 
 #include "placement/planner_internal.h"
 
-/* Of several hundred ranges, each looked at three times a second, some look as if they had a home by chance: one in 3.5
- * million is five errors off. Ranges of less than 12.5 requests a second are never brought near for this. */
-static const double chance_errors = 5;
+/* Several hundred ranges are examined three times per second, so random variation makes some of them appear to belong
+ * to a region. A deviation of five standard errors happens once in 3.5 million cases. Because of this limit, ranges
+ * with less than 12.5 requests per second are never moved for nearness alone. */
+static const double random_errors = 5;
 
-static double outside(const cw_bound_load_t *loads, size_t count, const cw_planner_piece_t *piece, uint32_t region)
+static double load_outside(const cw_bound_load_t *loads, size_t count, const cw_planner_piece_t *piece, uint32_t region)
 {
     double per_s = 0;
     size_t index;
@@ -31,14 +33,16 @@
     return per_s;
 }
 
-static double refused(const cw_planner_t *planner, const cw_planner_piece_t *piece, const cw_planner_server_t *server)
+static double refused_load(const cw_planner_t *planner, const cw_planner_piece_t *piece,
+                           const cw_planner_server_t *server)
 {
-    return outside(planner->bounds, planner->bound_count, piece, server->region);
+    return load_outside(planner->bounds, planner->bound_count, piece, server->region);
 }
 
-static double crossing(const cw_planner_t *planner, const cw_planner_piece_t *piece, const cw_planner_server_t *server)
+static double crossing_load(const cw_planner_t *planner, const cw_planner_piece_t *piece,
+                            const cw_planner_server_t *server)
 {
-    return outside(planner->origins, planner->origin_count, piece, server->region);
+    return load_outside(planner->origins, planner->origin_count, piece, server->region);
 }
 
 static bool has_regions(const cw_planner_t *planner)
@@ -50,14 +54,15 @@
                               const cw_planner_server_t *server)
 {
     return !has_regions(planner) ? 0
-                                 : planner->settings->refusal * refused(planner, piece, server) +
-                                       planner->crossing * crossing(planner, piece, server);
+                                 : planner->settings->refusal * refused_load(planner, piece, server) +
+                                       planner->crossing * crossing_load(planner, piece, server);
 }
 
-/* Requests come from all regions by chance, too: what a few of them look like is no reason to move a key. */
-static double beyond_chance(const cw_planner_piece_t *piece, double difference)
+/* Reduces a difference towards 0 by what random variation can explain, since the origins of a few requests are no
+ * reason to move a key. */
+static double without_random_part(const cw_planner_piece_t *piece, double difference)
 {
-    double error = chance_errors * cw_load_error(piece->per_s);
+    double error = random_errors * cw_load_error(piece->per_s);
 
     if (difference > 0) {
         return difference > error ? difference - error : 0;
@@ -73,9 +78,9 @@
     if (!has_regions(planner)) {
         return 0;
     }
-    difference = crossing(planner, piece, from) - crossing(planner, piece, to);
-    return planner->settings->refusal * (refused(planner, piece, from) - refused(planner, piece, to)) +
-           planner->crossing * beyond_chance(piece, difference);
+    difference = crossing_load(planner, piece, from) - crossing_load(planner, piece, to);
+    return planner->settings->refusal * (refused_load(planner, piece, from) - refused_load(planner, piece, to)) +
+           planner->crossing * without_random_part(piece, difference);
 }
 
 cw_planner_server_t *cw_planner_best_for(const cw_planner_t *planner, const cw_planner_piece_t *piece,
@@ -117,22 +122,24 @@
     return best;
 }
 
-/* ---- runs of keys that are better off elsewhere ---- */
+/* ---- runs of keys that another region should serve ---- */
 
-/** Keys of one range, none of whose bound requests may go to the owner's region, and all to these. */
+/** Consecutive keys of one range whose restricted requests must not be sent to the owner's region, but may all be sent
+ * to `regions`. */
 typedef struct run {
     cw_planner_piece_t piece;
     uint32_t           regions;
-    size_t             end;      /**< index of the first bound load behind it */
-    bool               is_whole; /**< no other bound load lies in the range */
+    size_t             end;      /**< index of the first restricted load after the run */
+    bool               is_whole; /**< the range has no other restricted load */
 } run_t;
 
-static bool joins(const run_t *run, const cw_bound_load_t *load, uint32_t owner_region)
+static bool extends_run(const run_t *run, const cw_bound_load_t *load, uint32_t owner_region)
 {
     return !cw_region_mask_allows(load->regions, owner_region) && (run->regions & load->regions) != 0;
 }
 
-/* The run that begins with this bound load, or at the next one that may not go to the owner's region. */
+/* Returns the run that begins with this restricted load, or with the next one that must not be sent to the owner's
+ * region. */
 static run_t find_run(const cw_planner_t *planner, const cw_range_t *range, size_t begin, uint32_t owner_region)
 {
     size_t first = cw_bound_loads_first(planner->bounds, planner->bound_count, range->low);
@@ -143,7 +150,7 @@
         run.end++;
     }
     begin = run.end;
-    while (run.end < end && joins(&run, &planner->bounds[run.end], owner_region)) {
+    while (run.end < end && extends_run(&run, &planner->bounds[run.end], owner_region)) {
         run.regions &= planner->bounds[run.end].regions;
         run.end++;
     }
@@ -156,16 +163,16 @@
     return run;
 }
 
-static bool earns(const cw_planner_t *planner, const run_t *run, const cw_planner_server_t *from,
-                  const cw_planner_server_t *to)
+static bool is_worth_moving(const cw_planner_t *planner, const run_t *run, const cw_planner_server_t *from,
+                            const cw_planner_server_t *to)
 {
-    double served = refused(planner, &run->piece, from) - refused(planner, &run->piece, to);
+    double served = refused_load(planner, &run->piece, from) - refused_load(planner, &run->piece, to);
     double surely = served - planner->settings->errors * cw_load_error(served);
 
     return surely * planner->settings->refusal > cw_planner_price(planner, &run->piece);
 }
 
-/* Moves the first run of the range that earns its price. */
+/* Moves the first run of the range whose gain exceeds its price. */
 static bool move_run(cw_planner_t *planner, const cw_range_t *range)
 {
     cw_planner_server_t *from = cw_planner_server_of(planner, range->owner.id);
@@ -178,8 +185,8 @@
         run_t                run = find_run(planner, range, begin, from->region);
         cw_planner_server_t *to = cw_planner_best_for(planner, &run.piece, from->entry->id);
 
-        if (run.end > begin && run.regions != UINT32_MAX && to != NULL && (run.is_whole || !planner->is_in_pieces) &&
-            earns(planner, &run, from, to)) {
+        if (run.end > begin && run.regions != UINT32_MAX && to != NULL && (run.is_whole || !planner->is_fragmented) &&
+            is_worth_moving(planner, &run, from, to)) {
             cw_planner_move(planner, &run.piece, from, to);
             return true;
         }
@@ -188,8 +195,8 @@
     return false;
 }
 
-/* Moves a whole range to where its requests come from, if that earns its price. */
-static bool bring_near(cw_planner_t *planner, const cw_range_t *range)
+/* Moves a whole range to the region that its requests come from, if the gain exceeds the price. */
+static bool move_near_origin(cw_planner_t *planner, const cw_range_t *range)
 {
     cw_planner_piece_t   piece = {range->low, range->last, cw_planner_load_between(planner, range->low, range->last)};
     cw_planner_server_t *from = cw_planner_server_of(planner, range->owner.id);
@@ -203,15 +210,15 @@
     return true;
 }
 
-void cw_planner_obey_regions(cw_planner_t *planner)
+void cw_planner_apply_regions(cw_planner_t *planner)
 {
     size_t most = planner->settings->moves_max;
     size_t moves = 0;
     size_t index;
 
     for (index = 0; has_regions(planner) && index < planner->ranges.count && moves < most; index++) {
-        cw_range_t range = planner->ranges.items[index]; /* a move cuts the list */
+        cw_range_t range = planner->ranges.items[index]; /* a copy, since a move splits ranges of the list */
 
-        moves += move_run(planner, &range) || bring_near(planner, &range) ? 1 : 0;
+        moves += move_run(planner, &range) || move_near_origin(planner, &range) ? 1 : 0;
     }
 }
--- a/src/placement/region_owners.c
+++ b/src/placement/region_owners.c
@@ -1,6 +1,6 @@
 /**
  * @file region_owners.c
- * @brief Routes to a service, and the tenants whose requests they take.
+ * @brief Checks the regions of the routes to a service and of the tenants that may use them.
  */
 #include "placement/region_owners.h"
 
@@ -23,7 +23,7 @@
     return regions->count == 0 || cw_name_set_has(regions, region);
 }
 
-/* Is there anybody whose requests on this route may go there? */
+/* Whether some caller's requests on this route may be sent to the region. */
 static bool some_caller_may(const cw_configuration_t *configuration, const cw_route_t *route, const char *region)
 {
     const cw_tenant_t *owner = cw_configuration_tenant_of(configuration, route->name);
--- a/src/placement/region_owners.h
+++ b/src/placement/region_owners.h
@@ -1,10 +1,10 @@
 /**
  * @file region_owners.h
- * @brief In which regions a keyed service may have owners, where its routes or tenants are bound to regions.
+ * @brief Regions in which a keyed service may have owners if its routes or tenants are restricted to regions.
  *
- * An owner gets all requests for its keys, of all routes and tenants. What its region may not serve is refused, at once
- * and with the reason; nothing is sent there. So a region may own keys if some request for the service may go there;
- * which key lies where most of its own requests may go is the planner's affair (planner_regions.c).
+ * An owner gets all requests for its keys, from all routes and tenants. A request that the owner's region may not serve
+ * is refused immediately with the reason; it is not sent. A region may therefore own keys if some request for the
+ * service may be sent there. The planner places each key where most of its requests may be sent (planner_regions.c).
  *
  * No I/O, no clock.
  */
@@ -15,7 +15,8 @@
 
 #include "model/configuration.h"
 
-/** May some request for the service go to this region ("": it is not known)? True for a service without routes. */
+/** Whether some request for the service may be sent to this region ("": not known). True for a service without routes.
+ */
 bool cw_region_may_own(const cw_configuration_t *configuration, const char *service, const char *region);
 
 #endif
