--- a/src/model/configuration.c
+++ b/src/model/configuration.c
@@ -1,6 +1,6 @@
 /**
  * @file configuration.c
- * @brief Routes, services and limits.
+ * @brief Building, checking and searching of configurations.
  */
 #include "model/configuration.h"
 
@@ -13,7 +13,7 @@
 
 enum { DEFAULT_HEADER_BYTES = 16384, DEFAULT_BODY_BYTES = 1 << 20, DEFAULT_HEADER_S = 10, DEFAULT_IDLE_S = 60 };
 
-static void *grown(void *items, size_t count, size_t size)
+static void *add_item(void *items, size_t count, size_t size)
 {
     void *longer = cw_memory_resize(items, (count + 1) * size);
 
@@ -36,25 +36,25 @@
 
 cw_route_t *cw_configuration_add_route(cw_configuration_t *configuration)
 {
-    configuration->routes = grown(configuration->routes, configuration->route_count, sizeof(cw_route_t));
+    configuration->routes = add_item(configuration->routes, configuration->route_count, sizeof(cw_route_t));
     return &configuration->routes[configuration->route_count++];
 }
 
 cw_service_t *cw_configuration_add_service(cw_configuration_t *configuration)
 {
-    configuration->services = grown(configuration->services, configuration->service_count, sizeof(cw_service_t));
+    configuration->services = add_item(configuration->services, configuration->service_count, sizeof(cw_service_t));
     return &configuration->services[configuration->service_count++];
 }
 
 cw_tenant_t *cw_configuration_add_tenant(cw_configuration_t *configuration)
 {
-    configuration->tenants = grown(configuration->tenants, configuration->tenant_count, sizeof(cw_tenant_t));
+    configuration->tenants = add_item(configuration->tenants, configuration->tenant_count, sizeof(cw_tenant_t));
     return &configuration->tenants[configuration->tenant_count++];
 }
 
 void cw_route_add_part(cw_route_t *route, const char *service, double weight)
 {
-    route->parts = grown(route->parts, route->part_count, sizeof(cw_split_part_t));
+    route->parts = add_item(route->parts, route->part_count, sizeof(cw_split_part_t));
     route->parts[route->part_count].service = strdup(service);
     route->parts[route->part_count].weight = weight;
     route->part_count++;
@@ -168,7 +168,7 @@
     seal_tenants(configuration);
 }
 
-/** A tenant with a limit, by its hash. */
+/** Name hash of a tenant with a limit. */
 typedef struct limited_tenant {
     uint32_t    hash;
     const char *name;
@@ -182,7 +182,7 @@
     return one < other ? -1 : one > other;
 }
 
-/* Sorted by hash; to be freed. */
+/* Returns the tenants with limits, sorted by hash. The caller frees the array. */
 static limited_tenant_t *limited_tenants(const cw_configuration_t *configuration, size_t *count)
 {
     limited_tenant_t *limited = calloc(configuration->tenant_count + 1, sizeof(*limited));
@@ -203,8 +203,9 @@
     return limited;
 }
 
-/* Nodes count limits by the hash: such two would share one. */
-static bool has_shared_hash(const cw_configuration_t *configuration, char *problem, size_t size)
+/* Whether two tenants with limits have the same hash. Nodes count requests by the hash, so the two would share a limit.
+ */
+static bool have_same_hash(const cw_configuration_t *configuration, char *problem, size_t size)
 {
     size_t            count;
     limited_tenant_t *limited = limited_tenants(configuration, &count);
@@ -238,7 +239,7 @@
                  tenants[configuration->conflict.second].name);
         return false;
     }
-    return !has_shared_hash(configuration, problem, size);
+    return !have_same_hash(configuration, problem, size);
 }
 
 cw_configuration_t *cw_configuration_hold(cw_configuration_t *configuration)
@@ -296,7 +297,7 @@
     return NULL;
 }
 
-/* By bisection; NULL: none. The name is so long, and need not end there. */
+/* Returns the tenant by binary search; NULL: none. The name has this length and need not be terminated. */
 static const cw_tenant_t *tenant_named(const cw_configuration_t *configuration, const char *name, size_t length)
 {
     size_t low = 0;
@@ -340,8 +341,8 @@
     return order;
 }
 
-/* First route of a host, by bisection; route_count when there is none. */
-static size_t first_of_host(const cw_configuration_t *configuration, const char *host, size_t length)
+/* Returns the index of a host's first route by binary search; route_count if there is none. */
+static size_t first_host_route(const cw_configuration_t *configuration, const char *host, size_t length)
 {
     size_t low = 0;
     size_t high = configuration->route_count;
@@ -361,7 +362,7 @@
 const cw_route_t *cw_configuration_match(const cw_configuration_t *configuration, const char *host, const char *path)
 {
     size_t length = strcspn(host, ":");
-    size_t index = first_of_host(configuration, host, length);
+    size_t index = first_host_route(configuration, host, length);
 
     for (; index < configuration->route_count; index++) {
         const cw_route_t *route = &configuration->routes[index];
--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -1,9 +1,10 @@
 /**
  * @file configuration.h
- * @brief The operators' accepted configuration: routes, services and limits, as one immutable, counted value.
+ * @brief The operators' accepted configuration: routes, services, tenants and limits, as one immutable value with a
+ * reference count.
  *
- * A configuration is built once by an adapter, sealed, checked with cw_configuration_check and then only read. Versions
- * are ordered numbers; a process never goes back to a lower one.
+ * An adapter builds a configuration, seals it and checks it with cw_configuration_check; after that it is only read.
+ * Versions are ordered numbers; a process never applies a lower version than the one that it has.
  */
 #ifndef CEDARWINCH_MODEL_CONFIGURATION_H
 #define CEDARWINCH_MODEL_CONFIGURATION_H
@@ -21,31 +22,33 @@
 /** One part of a traffic split. */
 typedef struct cw_split_part {
     char  *service;
-    double weight; /**< share is weight over the sum of the weights */
+    double weight; /**< the part's share is its weight divided by the sum of the weights */
 } cw_split_part_t;
 
+/** Requests of a host and path prefix, and the rules for them. */
 typedef struct cw_route {
     char            *name;
     char            *host;
     char            *prefix;       /**< begins and ends with a slash */
-    bool             repeatable;   /**< requests may run more than once */
-    cw_time_us_t     timeout;      /**< longest time a request is held; 0: the caller's own */
-    cw_time_us_t     aim;          /**< an answer within it has its full worth; 0: not stated */
-    uint32_t         max_attempts; /**< servers one request may be sent to; at least 1 */
+    bool             repeatable;   /**< requests may be executed more than once */
+    cw_time_us_t     timeout;      /**< longest time for which a request is held; 0: the caller's own timeout */
+    cw_time_us_t     aim;          /**< latency objective: a response within it has its full value; 0: not stated */
+    uint32_t         max_attempts; /**< number of servers that a request may be sent to; at least 1 */
     uint32_t         priority;     /**< 0 is the most urgent */
     cw_split_part_t *parts;
     size_t           part_count;
-    cw_name_set_t    regions;          /**< its requests go to servers there only; empty: anywhere */
-    bool             allows_anonymous; /**< callers need no key, also where the configuration has tenants with keys */
+    cw_name_set_t    regions;          /**< its requests may be sent to servers there only; empty: anywhere */
+    bool             allows_anonymous; /**< callers need no key, even if the configuration has tenants with keys */
 } cw_route_t;
 
+/** A group of servers that execute the same requests. */
 typedef struct cw_service {
     char        *name;
-    bool         keyed; /**< divided by key: a server runs only requests for keys it was granted */
+    bool         keyed; /**< divided by key: a server executes only requests for keys that it was granted */
     uint32_t     max_connections;
-    cw_time_us_t warm_time;  /**< keys without their last holder's handover are slow for so long */
-    cw_time_us_t cold_time;  /**< a server is cold for so long after its start */
-    double       cold_per_s; /**< requests a second that a cold server bears; 0: no bound */
+    cw_time_us_t warm_time;  /**< how long keys are slow that were granted without the last holder's handover */
+    cw_time_us_t cold_time;  /**< how long a server is cold after its start */
+    double       cold_per_s; /**< requests per second that a cold server can handle; 0: no limit */
 } cw_service_t;
 
 typedef struct cw_configuration {
@@ -58,46 +61,50 @@
     size_t           tenant_count;
     cw_http_limits_t limits;
     int              references;
-    /* set when it is sealed */
-    cw_credential_index_t   *credentials;  /**< tenants' keys */
-    bool                     needs_keys;   /**< some tenant's callers are known by keys */
-    bool                     has_conflict; /**< a key stands at two tenants */
+    /* set by cw_configuration_seal */
+    cw_credential_index_t   *credentials;  /**< index of the tenants' keys */
+    bool                     needs_keys;   /**< the callers of some tenant are identified by keys */
+    bool                     has_conflict; /**< two tenants have the same key */
     cw_credential_conflict_t conflict;
 } cw_configuration_t;
 
-/** One reference, held by the caller. Never NULL. */
+/** Creates a configuration with one reference, which the caller holds. Never NULL. */
 cw_configuration_t *cw_configuration_create(uint64_t version);
-/** Room for one more; the strings in it are to be allocated and become the configuration's. */
+/** Adds an empty item. Its strings must be allocated by the caller; the configuration takes ownership of them. */
 cw_route_t   *cw_configuration_add_route(cw_configuration_t *configuration);
 cw_service_t *cw_configuration_add_service(cw_configuration_t *configuration);
 cw_tenant_t  *cw_configuration_add_tenant(cw_configuration_t *configuration);
 void          cw_route_add_part(cw_route_t *route, const char *service, double weight);
-/** Sorts routes for matching and tenants, and indexes tenants' keys; to be called once after the last was added. */
+/** Sorts routes and tenants and indexes the tenants' keys. To be called once, after the last item was added. */
 void cw_configuration_seal(cw_configuration_t *configuration);
 
 enum { CW_PROBLEM_BYTES = 200 };
-/** May a sealed configuration come into force? False: a key or a name stands at two tenants; *problem says which. */
+/** Whether a sealed configuration may be applied. False: two tenants have the same key or name, or two with limits have
+ * the same hash; *problem says which. */
 bool cw_configuration_check(const cw_configuration_t *configuration, char *problem, size_t size);
 
-/** Order of routes in a sealed configuration: by host, then by longer prefix first, then by prefix. */
+/** Compares by the order of routes in a sealed configuration: by host, then by longer prefix first, then by prefix. */
 int cw_route_compare(const cw_route_t *left, const cw_route_t *right);
-/** Same services with the same weights, in the same order. */
+/** Whether both have the same services with the same weights, in the same order. */
 bool cw_route_same_parts(const cw_route_t *left, const cw_route_t *right);
-/** Same name, place, limits and parts. */
+/** Whether both have the same name, host, prefix, limits, regions and parts. */
 bool cw_route_same(const cw_route_t *left, const cw_route_t *right);
 /** Adds a copy of a route to a configuration that is not sealed yet. */
 void cw_configuration_copy_route(cw_configuration_t *configuration, const cw_route_t *route);
 
-/** The same for a tenant. */
+/** Adds a copy of a tenant to a configuration that is not sealed yet. */
 void cw_configuration_copy_tenant(cw_configuration_t *configuration, const cw_tenant_t *tenant);
 
+/** Takes another reference. */
 cw_configuration_t *cw_configuration_hold(cw_configuration_t *configuration);
 void                cw_configuration_release(cw_configuration_t *configuration); /**< NULL is allowed */
 
+/** Returns the service of this name; NULL: none. */
 const cw_service_t *cw_configuration_service(const cw_configuration_t *configuration, const char *name);
-/** Tenant that owns a route or service of this name, in a sealed configuration; NULL: none. */
+/** Returns the tenant that owns a route or service of this name, in a sealed configuration; NULL: none. */
 const cw_tenant_t *cw_configuration_tenant_of(const cw_configuration_t *configuration, const char *name);
-/** Route of a host (a port behind it is ignored) and path: the longest prefix that begins the path; NULL: none. */
+/** Returns the route of a host (a port after it is ignored) whose prefix is the longest that the path begins with;
+ * NULL: none. */
 const cw_route_t *cw_configuration_match(const cw_configuration_t *configuration, const char *host, const char *path);
 
 #endif
--- a/src/model/credential_index.c
+++ b/src/model/credential_index.c
@@ -1,6 +1,6 @@
 /**
  * @file credential_index.c
- * @brief Open-addressing table of keys' digests.
+ * @brief Open-addressing hash table of the digests of keys.
  */
 #include "model/credential_index.h"
 
@@ -12,11 +12,12 @@
 
 enum {
     SLOTS_MIN = 8,
-    LOAD_PERCENT = 75 /* slots in use at most: 1.2 to 8.5 slots are looked at in the mean, for a hit or a miss */
+    LOAD_PERCENT =
+        75 /* largest share of used slots: a lookup probes 1.2 to 8.5 slots on average, for a hit or a miss */
 };
 
 typedef struct slot {
-    uint32_t tenant; /* position plus one; 0: empty */
+    uint32_t tenant; /* position plus one; 0: the slot is empty */
     uint32_t key;    /* position in the tenant's list */
 } slot_t;
 
@@ -27,7 +28,7 @@
     size_t             count;
 };
 
-static size_t slots_for(size_t keys)
+static size_t slot_count_for(size_t keys)
 {
     size_t slots = SLOTS_MIN;
 
@@ -45,7 +46,7 @@
     return (size_t)start & (index->slot_count - 1);
 }
 
-/* The slot of this key, or the empty one where it belongs. */
+/* Returns the slot of this key, or the empty slot where it would be inserted. */
 static slot_t *slot_of(const cw_credential_index_t *index, const cw_key_digest_t *key)
 {
     size_t position = first_slot(index, key);
@@ -73,7 +74,7 @@
     return keys;
 }
 
-/* False: another tenant has it already, *other. */
+/* Inserts a key. False: the tenant *other has it already. */
 static bool insert(cw_credential_index_t *index, size_t tenant, size_t key, size_t *other)
 {
     slot_t *slot = slot_of(index, &index->tenants[tenant].keys[key]);
@@ -99,7 +100,7 @@
         abort();
     }
     index->tenants = tenants;
-    index->slot_count = slots_for(count_keys(tenants, count));
+    index->slot_count = slot_count_for(count_keys(tenants, count));
     index->slots = cw_memory_zeroed_items(index->slot_count, sizeof(*index->slots));
     *has_conflict = false;
     for (tenant = 0; tenant < count; tenant++) {
--- a/src/model/name_set.c
+++ b/src/model/name_set.c
@@ -1,6 +1,6 @@
 /**
  * @file name_set.c
- * @brief Sorted names. Deployments have a few zones and regions, so searches are linear.
+ * @brief Sorted set of names. Deployments have only a few zones and regions, so searches are linear.
  */
 #include "model/name_set.h"
 
--- a/src/model/name_set.h
+++ b/src/model/name_set.h
@@ -1,6 +1,6 @@
 /**
  * @file name_set.h
- * @brief A set of names of zones or regions.
+ * @brief Set of names of zones or regions.
  */
 #ifndef CEDARWINCH_MODEL_NAME_SET_H
 #define CEDARWINCH_MODEL_NAME_SET_H
@@ -15,8 +15,9 @@
     size_t count;
 } cw_name_set_t;
 
+/** Adds a copy of a name, unless the set has it. */
 void cw_name_set_add(cw_name_set_t *set, const char *name);
-/** Replaces what `to` holds. */
+/** Replaces the contents of `to` by a copy. */
 void     cw_name_set_copy(cw_name_set_t *to, const cw_name_set_t *from);
 void     cw_name_set_clear(cw_name_set_t *set);
 bool     cw_name_set_has(const cw_name_set_t *set, const char *name);
--- a/src/model/region_mask.c
+++ b/src/model/region_mask.c
@@ -1,6 +1,6 @@
 /**
  * @file region_mask.c
- * @brief Regions of the settings in order, and masks over them.
+ * @brief Sorted regions of the settings, and masks of them.
  */
 #include "model/region_mask.h"
 
@@ -49,7 +49,7 @@
     return 0;
 }
 
-static bool binds(const cw_name_set_t *set)
+static bool restricts(const cw_name_set_t *set)
 {
     return set != NULL && set->count > 0;
 }
@@ -59,12 +59,12 @@
     uint32_t mask = 0;
     size_t   index;
 
-    if ((!binds(first) && !binds(second)) || table->is_cut) {
+    if ((!restricts(first) && !restricts(second)) || table->is_cut) {
         return CW_REGIONS_ANY;
     }
     for (index = 0; index < table->count; index++) {
-        bool in_first = !binds(first) || cw_name_set_has(first, table->names[index]);
-        bool in_second = !binds(second) || cw_name_set_has(second, table->names[index]);
+        bool in_first = !restricts(first) || cw_name_set_has(first, table->names[index]);
+        bool in_second = !restricts(second) || cw_name_set_has(second, table->names[index]);
 
         mask |= in_first && in_second ? 1u << index : 0;
     }
--- a/src/model/server_absence.c
+++ b/src/model/server_absence.c
@@ -1,6 +1,6 @@
 /**
  * @file server_absence.c
- * @brief Missing entries after an outage of the list.
+ * @brief Keeps servers whose entries are missing after an outage.
  */
 #include "model/server_absence.h"
 
@@ -10,28 +10,28 @@
 enum {
     OUTAGE_MS = 1500,
     GRACE_MIN_MS = 1500,
-    GRACE_MAX_MS = 2000,   /* entries are back within about two seconds of the store's return */
+    GRACE_MAX_MS = 2000,   /* servers have written their entries about two seconds after the store is available again */
     GRACE_SLACK_MS = 700,  /* a server's first write after the outage may fail or wait */
-    DRAIN_MARGIN_MS = 250, /* the last requests leave so long before the drain time ends */
+    DRAIN_MARGIN_MS = 250, /* the last requests are sent so long before the drain time ends */
     MANY_PERCENT = 50
 };
 
-static cw_time_us_t at_least(cw_time_us_t value, cw_time_us_t least)
+static cw_time_us_t not_below(cw_time_us_t value, cw_time_us_t least)
 {
     return value < least ? least : value;
 }
 
-static cw_time_us_t at_most(cw_time_us_t value, cw_time_us_t most)
+static cw_time_us_t not_above(cw_time_us_t value, cw_time_us_t most)
 {
     return value > most ? most : value;
 }
 
 cw_absence_settings_t cw_absence_settings_of(cw_time_us_t heartbeat, cw_time_us_t drain)
 {
-    cw_time_us_t grace = at_least(heartbeat + CW_MS(GRACE_SLACK_MS), CW_MS(GRACE_MIN_MS));
+    cw_time_us_t grace = not_below(heartbeat + CW_MS(GRACE_SLACK_MS), CW_MS(GRACE_MIN_MS));
 
-    grace = at_most(grace, CW_MS(GRACE_MAX_MS));
-    grace = at_most(grace, drain - CW_MS(DRAIN_MARGIN_MS));
+    grace = not_above(grace, CW_MS(GRACE_MAX_MS));
+    grace = not_above(grace, drain - CW_MS(DRAIN_MARGIN_MS));
     return (cw_absence_settings_t){.outage = CW_MS(OUTAGE_MS), .grace = grace};
 }
 
@@ -45,7 +45,7 @@
     return !entry->draining && cw_server_list_find(reading, entry->id) == NULL;
 }
 
-/* Servers that are missing for the first time. */
+/* Number of servers that are missing for the first time. */
 static size_t count_newly_missing(const cw_server_list_t *reading, const cw_server_list_t *known)
 {
     size_t count = 0;
@@ -59,10 +59,10 @@
     return count;
 }
 
-/* Entries to keep, marked, in a list of their own: adding them to the reading would spoil the order that looking up
- * needs. */
-static cw_server_list_t *kept_entries(const cw_absence_settings_t *settings, const cw_server_list_t *reading,
-                                      const cw_server_list_t *known, bool after_outage, cw_time_us_t now)
+/* Returns the entries to keep, with their missing_since, in a separate list: adding them to the reading here would
+ * break the order that lookups in it need. */
+static cw_server_list_t *entries_to_keep(const cw_absence_settings_t *settings, const cw_server_list_t *reading,
+                                         const cw_server_list_t *known, bool after_outage, cw_time_us_t now)
 {
     cw_server_list_t *kept = cw_server_list_create();
     size_t            index;
@@ -94,8 +94,8 @@
     if (known == NULL) {
         return 0;
     }
-    kept =
-        kept_entries(settings, reading, known, after_outage || newly * 100 > known->count * (size_t)MANY_PERCENT, now);
+    kept = entries_to_keep(settings, reading, known, after_outage || newly * 100 > known->count * (size_t)MANY_PERCENT,
+                           now);
     count = kept->count;
     for (index = 0; index < count; index++) {
         cw_server_list_put(reading, 0, &kept->entries[index]);
--- a/src/model/server_absence.h
+++ b/src/model/server_absence.h
@@ -1,35 +1,37 @@
 /**
  * @file server_absence.h
- * @brief Which servers that are missing in a reading of the list are taken for gone.
+ * @brief Decides which servers that are missing in a reading of the list have left.
  *
  * Rules:
- *  - A missing entry is taken for the server's leaving: some leave without a word, and requests to them have to end.
- *  - Except where servers could not keep their entries: the reading follows an outage (the list is old, and calls of
- * this node to the store have failed since it was true), or more than half of the servers are missing in it at once.
- * Such servers are kept, as they were last known, until they have had time to sign in again. A server that cannot reach
- * the store goes on serving.
- *  - The time counts from the first reading in which the server was missing, and further outages do not lengthen it: it
- *    ends before requests to a server that has left would break the drain time.
- *  - A server at whose address another one has signed in has ended; one that was leaving anyway is not kept.
+ *  - A server whose entry is missing has left: some servers leave without notice, and requests to them have to end.
+ *  - The exception is when servers may have been unable to keep their entries: the reading follows an outage (the list
+ *    in force is old, and calls of this node to the store have failed since the list was valid), or more than half of
+ *    the servers are missing in it at once. Such servers are kept, as they were last known, until they have had time to
+ *    register again. A server that cannot reach the store continues to serve.
+ *  - This grace time counts from the first reading in which the server was missing, and further outages do not lengthen
+ *    it, so that it ends before requests to a server that has left would exceed the drain time.
+ *  - A server has ended if another one has registered at its address. A server that was leaving already is not kept.
  */
 #ifndef CEDARWINCH_MODEL_SERVER_ABSENCE_H
 #define CEDARWINCH_MODEL_SERVER_ABSENCE_H
 
 #include "model/server_list.h"
 
+/** Times that decide how long missing servers are kept. */
 typedef struct cw_absence_settings {
-    cw_time_us_t outage; /**< a list as old as that may follow an outage; without a failed call it was just not read */
-    cw_time_us_t grace;  /**< time for servers to sign in again */
+    cw_time_us_t outage; /**< age of a list that indicates an outage, provided that a call to the store has failed */
+    cw_time_us_t grace;  /**< time for servers to register again */
 } cw_absence_settings_t;
 
-/** Settings for servers that write their entries this often and may get requests for `drain` after they left. */
+/** Settings for servers that write their entries at the interval `heartbeat` and may get requests for `drain` after
+ * they left. */
 cw_absence_settings_t cw_absence_settings_of(cw_time_us_t heartbeat, cw_time_us_t drain);
-/** Is this kept entry's time over? */
+/** Whether the grace time of a kept entry is over. */
 bool cw_absence_is_over(const cw_absence_settings_t *settings, const cw_server_entry_t *entry, cw_time_us_t now);
 /**
- * Adds to a sealed reading the servers of `known` that are missing in it and kept, marked with since when, and seals
- * it. known: NULL is allowed. known_at: when the known list was surely true; store_failed: calls to the store have
- * failed since. Returns how many were added.
+ * Adds the servers of `known` that are missing in a sealed reading and have to be kept, with the time since when they
+ * are missing, and seals the reading again. known: NULL is allowed. known_at: when the known list was certainly valid;
+ * store_failed: calls to the store have failed since then. Returns how many servers were added.
  */
 size_t cw_server_absence_fill(const cw_absence_settings_t *settings, cw_server_list_t *reading,
                               const cw_server_list_t *known, cw_time_us_t known_at, bool store_failed,
--- a/src/model/server_incarnation.c
+++ b/src/model/server_incarnation.c
@@ -1,6 +1,6 @@
 /**
  * @file server_incarnation.c
- * @brief A name and the time of a start, written as one id.
+ * @brief Ids that consist of a name and a start time.
  */
 #include "model/server_incarnation.h"
 
--- a/src/model/server_list.c
+++ b/src/model/server_list.c
@@ -2,7 +2,8 @@
  * @file server_list.c
  * @brief Snapshot of the servers.
  *
- * Most of a snapshot is in the next one as well: names and addresses are kept once, and counted.
+ * Most servers of a snapshot are in the next one as well, so their names and addresses are stored once with a reference
+ * count.
  */
 #include "model/server_list.h"
 
@@ -13,7 +14,7 @@
 #include "base/memory.h"
 #include "model/server_incarnation.h"
 
-enum { FIRST_CAPACITY = 16 };
+enum { INITIAL_CAPACITY = 16 };
 
 struct cw_server_identity {
     size_t   references;
@@ -28,7 +29,7 @@
     return strlen(text) + 1;
 }
 
-static char *move_text(char **place, const char *text)
+static char *copy_text(char **place, const char *text)
 {
     char *copy = *place;
 
@@ -50,7 +51,7 @@
     return entry->identity != NULL ? entry->identity->hash : hash_of_texts(entry);
 }
 
-/* An entry whose texts are memory of an identity that it holds. */
+/* Returns a copy of an entry whose texts belong to a new identity. */
 static cw_server_entry_t with_identity(const cw_server_entry_t *entry)
 {
     size_t size = size_of(entry->id) + size_of(entry->service) + size_of(entry->address) + size_of(entry->zone);
@@ -64,10 +65,10 @@
     identity->references = 1;
     identity->hash = hash_of_texts(entry);
     place = identity->texts;
-    copy.id = move_text(&place, entry->id);
-    copy.service = move_text(&place, entry->service);
-    copy.address = move_text(&place, entry->address);
-    copy.zone = move_text(&place, entry->zone);
+    copy.id = copy_text(&place, entry->id);
+    copy.service = copy_text(&place, entry->service);
+    copy.address = copy_text(&place, entry->address);
+    copy.zone = copy_text(&place, entry->zone);
     copy.identity = identity;
     return copy;
 }
@@ -134,7 +135,7 @@
 cw_server_entry_t *cw_server_list_add(cw_server_list_t *list)
 {
     if (list->count == list->capacity) {
-        reserve(list, list->capacity == 0 ? FIRST_CAPACITY : 2 * list->capacity);
+        reserve(list, list->capacity == 0 ? INITIAL_CAPACITY : 2 * list->capacity);
     }
     memset(&list->entries[list->count], 0, sizeof(*list->entries));
     return &list->entries[list->count++];
@@ -173,7 +174,7 @@
     return strcmp(*(char *const *)left, *(char *const *)right);
 }
 
-/* The ids in order, to be freed. */
+/* Returns a sorted copy of the array of ids, which the caller frees. */
 static char **sort_ids(char *const *ids, size_t count)
 {
     char **sorted = cw_memory_zeroed_items(count + 1, sizeof(*sorted));
@@ -202,7 +203,7 @@
     return copy;
 }
 
-/* Entries are in order of their ids, and each id stands once: a sum tells lists apart. */
+/* The hash is a sum over the entries. Entries are sorted and ids are unique, so the sum distinguishes lists. */
 uint64_t cw_server_list_hash(const cw_server_list_t *list)
 {
     uint64_t hash = list->count + cw_name_set_hash(&list->zones_out);
@@ -241,9 +242,9 @@
     free(list);
 }
 
-/* ---- looking up ---- */
+/* ---- lookup ---- */
 
-/* Place of the first entry whose id is not before this one. */
+/* Returns the index of the first entry whose id is not less than this one. */
 static size_t place_of(const cw_server_list_t *list, const char *id)
 {
     size_t low = 0;
@@ -269,7 +270,7 @@
                                                                                            : NULL;
 }
 
-/* Ids of one server stand together, but for one without a time of start. */
+/* Finds the latest incarnation. Ids of one server are adjacent, except an id without a start time. */
 static const cw_server_entry_t *find_newest(const cw_server_list_t *list, const char *name, size_t length)
 {
     const cw_server_entry_t *newest = NULL;
@@ -306,7 +307,7 @@
     return find_newest(list, name, strlen(name));
 }
 
-static const cw_server_list_t *sorted_list; /* for compare_addresses, which qsort gives no context */
+static const cw_server_list_t *sorted_list; /* for compare_addresses, since qsort passes no context */
 
 static int compare_addresses(const void *left, const void *right)
 {
@@ -330,7 +331,7 @@
     return places;
 }
 
-/* First of the places in order of addresses that is not before this address. */
+/* Returns the first position in by_address whose address is not less than this one. */
 static size_t first_at_address(const cw_server_list_t *list, const char *address)
 {
     size_t low = 0;
@@ -373,7 +374,8 @@
         return NULL;
     }
     if (list->by_address == NULL) {
-        ((cw_server_list_t *)list)->by_address = sort_by_address(list); /* of what the list holds, not a change of it */
+        ((cw_server_list_t *)list)->by_address =
+            sort_by_address(list); /* a cache, which does not change the list's contents */
     }
     found = other_at_address(list, id, address);
     if (found == NULL) {
@@ -383,7 +385,7 @@
     return found;
 }
 
-/* ---- comparing ---- */
+/* ---- comparison ---- */
 
 void cw_server_lists_compare(const cw_server_list_t *before, cw_server_list_t *after, cw_server_compared_t compared,
                              void *context)
--- a/src/model/server_list.h
+++ b/src/model/server_list.h
@@ -1,9 +1,9 @@
 /**
  * @file server_list.h
- * @brief The servers as the platform lists them: one snapshot, immutable and counted.
+ * @brief One snapshot of the servers that the platform lists, immutable and with a reference count.
  *
- * A server's id names one incarnation of it (server_incarnation.h). A missing entry proves nothing about a server's
- * end; another id at its address does, and so does a later incarnation of the same server.
+ * A server's id identifies one of its incarnations (server_incarnation.h). A missing entry does not prove that a server
+ * has ended; another id at its address does, and so does a later incarnation of the same server.
  */
 #ifndef CEDARWINCH_MODEL_SERVER_LIST_H
 #define CEDARWINCH_MODEL_SERVER_LIST_H
@@ -15,62 +15,72 @@
 #include "base/time.h"
 #include "model/name_set.h"
 
-/** What never changes of an incarnation, kept once for all lists that it stands in. */
+/** The constant data of an incarnation, stored once for all lists that contain it. */
 typedef struct cw_server_identity cw_server_identity_t;
 
+/** A server as it is listed. */
+
 typedef struct cw_server_entry {
     char                 *id;
     char                 *service;
     char                 *address; /**< "IPv4:PORT" */
     char                 *zone;
-    cw_server_identity_t *identity; /**< holds these four; NULL: each is memory of its own, until the first copy */
-    uint32_t              capacity; /**< requests it works on at once */
+    cw_server_identity_t *identity; /**< owns these four texts; NULL: each is allocated separately, until a copy */
+    uint32_t              capacity; /**< number of requests that it processes at the same time */
     bool                  draining;
-    uint64_t              sequence; /**< rises with each heartbeat */
-    uint64_t     changed_in; /**< number of the leader's list in which it last changed; 0 at nodes that do not lead */
-    cw_time_us_t cold_time;  /**< its warm-up still took so long when it wrote this; 0: it is warm */
-    cw_time_us_t missing_since; /**< kept though its entry has been missing since then; 0: it has an entry */
+    uint64_t              sequence; /**< increases with each heartbeat */
+    uint64_t     changed_in; /**< number of the leader's list in which it last changed; 0 on nodes that do not lead */
+    cw_time_us_t cold_time;  /**< remaining warm-up time when the server wrote the entry; 0: it is warm */
+    cw_time_us_t missing_since; /**< since when its entry is missing although the server is kept; 0: it has an entry */
 } cw_server_entry_t;
 
 typedef struct cw_server_list {
     cw_server_entry_t *entries; /**< sorted by id */
     size_t             count;
     size_t             capacity;
-    cw_name_set_t      zones_out;  /**< out of service; of the same snapshot (zone_service.h) */
-    uint32_t          *by_address; /**< places of the entries in order of their addresses; NULL: not looked for yet */
+    cw_name_set_t      zones_out;  /**< zones out of service in the same snapshot (zone_service.h) */
+    uint32_t          *by_address; /**< indexes of the entries, sorted by address; NULL: not computed yet */
     int                references;
 } cw_server_list_t;
 
-cw_server_list_t  *cw_server_list_create(void);
+/** Creates an empty list with one reference. */
+cw_server_list_t *cw_server_list_create(void);
+/** Appends an entry of zeros. */
 cw_server_entry_t *cw_server_list_add(cw_server_list_t *list);
-void               cw_server_list_seal(cw_server_list_t *list); /**< sorts; once, after the last was added */
-/** Adds a copy of an entry, or replaces the one of its id; `sealed` entries are searched. To be sealed again. */
+/** Sorts the list; to be called once, after the last entry was added. */
+void cw_server_list_seal(cw_server_list_t *list);
+/** Adds a copy of an entry, or replaces the entry with the same id among the first `sealed` ones. The list has to be
+ * sealed again. */
 void cw_server_list_put(cw_server_list_t *list, size_t sealed, const cw_server_entry_t *entry);
-/** A copy without the entries whose ids are given. */
+/** Returns a copy without the entries whose ids are given. */
 cw_server_list_t *cw_server_list_copy_without(const cw_server_list_t *list, char *const *ids, size_t count);
-/** Makes an entry a copy of another one of the same server. */
+/** Replaces an entry by a copy of another entry of the same server. */
 void cw_server_entry_replace(cw_server_entry_t *entry, const cw_server_entry_t *with);
-/** Same for the same servers in the same states. */
-uint64_t          cw_server_list_hash(const cw_server_list_t *list);
+/** Hash of the servers, their states and the zones out of service; independent of sequences and times. */
+uint64_t cw_server_list_hash(const cw_server_list_t *list);
+/** Takes another reference. */
 cw_server_list_t *cw_server_list_hold(cw_server_list_t *list);
 void              cw_server_list_release(cw_server_list_t *list); /**< NULL is allowed */
 
+/** Returns the entry with this id; NULL: none. */
 const cw_server_entry_t *cw_server_list_find(const cw_server_list_t *list, const char *id);
-/** The latest incarnation of the server whose id this is; NULL: none is listed. */
+/** Returns the latest listed incarnation of the server with this id; NULL: none is listed. */
 const cw_server_entry_t *cw_server_list_newest(const cw_server_list_t *list, const char *id);
-/** The same by the server's name. */
+/** Returns the latest listed incarnation of the server with this name; NULL: none is listed. */
 const cw_server_entry_t *cw_server_list_named(const cw_server_list_t *list, const char *name);
-/** Entry that shows the incarnation's end: at this address with another id, or a later one of the same server; NULL:
- * none. */
+/** Returns an entry that proves the end of the incarnation: another id at this address, or a later incarnation of the
+ * same server; NULL: none. */
 const cw_server_entry_t *cw_server_list_successor(const cw_server_list_t *list, const char *id, const char *address);
-/** What two lists have in common, in order of ids: each entry of either comes once. One of both is NULL where the other
- * list lacks the id. before: NULL for none. */
+/** Called for an id in either of two lists; the entry of a list that lacks the id is NULL. */
 typedef void (*cw_server_compared_t)(void *context, const cw_server_entry_t *before, cw_server_entry_t *after);
+/** Calls `compared` for each id in either list, sorted by id. before: NULL counts as empty. */
 void cw_server_lists_compare(const cw_server_list_t *before, cw_server_list_t *after, cw_server_compared_t compared,
                              void *context);
-/** Same server in the same state (leaving, kept though missing, cold); sequences and times are not compared. */
+/** Whether both are the same server in the same state (capacity, leaving, kept though missing, cold); sequences and
+ * times are not compared. */
 bool cw_server_entry_same(const cw_server_entry_t *left, const cw_server_entry_t *right);
-/** Same servers in the same states, and the same zones out of service; sequences and times are not compared. */
+/** Whether both have the same servers in the same states and the same zones out of service; sequences and times are not
+ * compared. */
 bool cw_server_list_same(const cw_server_list_t *left, const cw_server_list_t *right);
 
 #endif
--- a/src/model/server_view.c
+++ b/src/model/server_view.c
@@ -1,6 +1,6 @@
 /**
  * @file server_view.c
- * @brief The list in force, and what has been seen of servers' leaving.
+ * @brief The list in force, and the departures of servers.
  */
 #include "model/server_view.h"
 
@@ -10,7 +10,7 @@
 #include "base/memory.h"
 #include "model/server_incarnation.h"
 
-enum { FORGET_S = 60 }; /* longer than anything about a server that has left can be under way */
+enum { FORGET_S = 60 }; /* longer than any message or write about a server that has left can be delayed */
 
 void cw_server_view_init(cw_server_view_t *view, const cw_absence_settings_t *absence)
 {
@@ -32,7 +32,7 @@
 
 /* ---- departures ---- */
 
-/* Place of an id among the departures, or where it would stand. */
+/* Returns the index of an id among the departures, or the index at which it would be inserted. */
 static size_t place_of(const cw_server_view_t *view, const char *id)
 {
     size_t low = 0;
@@ -118,16 +118,16 @@
     departure->last_noted_at = now;
 }
 
-/** A list that comes into force. */
-typedef struct departures_look {
+/** Context of note_departure: the list that is applied. */
+typedef struct departures_context {
     cw_server_view_t *view;
-    uint64_t          latest; /* no change after this revision is in it */
+    uint64_t          latest; /* the list contains no change after this revision */
     cw_time_us_t      now;
-} departures_look_t;
+} departures_context_t;
 
 static void note_departure(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
 {
-    const departures_look_t *look = context;
+    const departures_context_t *look = context;
 
     if (after == NULL) {
         note_missing(look->view, before, look->latest, look->now);
@@ -141,17 +141,17 @@
     }
 }
 
-/* Who has left, or is leaving, by the list that comes into force. */
+/* Records the servers that are missing or leaving in the list that is applied. */
 static void note_departures(cw_server_view_t *view, cw_server_list_t *list, uint64_t latest, cw_time_us_t now)
 {
-    departures_look_t look = {.view = view, .latest = latest, .now = now};
+    departures_context_t look = {.view = view, .latest = latest, .now = now};
 
     cw_server_lists_compare(view->list, list, note_departure, &look);
 }
 
-/* ---- what is known against an entry ---- */
+/* ---- correction of entries ---- */
 
-/* Has a later incarnation of the same server left? */
+/* Whether a later incarnation of the same server is known to have left. */
 static bool has_later_departure(const cw_server_view_t *view, const char *id)
 {
     size_t length = cw_server_id_name_length(id);
@@ -170,7 +170,9 @@
     return false;
 }
 
-/* An entry of a former incarnation, written late: the later one stands for it. False: that one has left. */
+/* Replaces a late-written entry of a former incarnation by that of the later incarnation. False: the later one has
+ * left.
+ */
 static bool use_latest_incarnation(const cw_server_view_t *view, cw_server_entry_t *entry)
 {
     const cw_server_entry_t *newest;
@@ -186,7 +188,7 @@
     return !has_later_departure(view, entry->id);
 }
 
-/* Does the entry show that a server that was missing is back? */
+/* Whether the entry proves that a server that was missing is present again. */
 static bool is_back(const cw_server_departure_t *departure, const cw_server_entry_t *entry,
                     const cw_server_reading_t *reading)
 {
@@ -195,7 +197,7 @@
     return entry->missing_since == 0 && reading->revision > departure->revision && (reading->is_told || !is_earlier);
 }
 
-/* Brings an entry in line with what has been seen of its server. False: it is not to be in the list. */
+/* Corrects an entry by what is known of its server's departure. False: the entry must be removed from the list. */
 static bool correct(const cw_server_view_t *view, cw_server_entry_t *entry, const cw_server_reading_t *reading,
                     cw_time_us_t now)
 {
@@ -213,8 +215,9 @@
     return !cw_absence_is_over(&view->absence, entry, now);
 }
 
-/* The list with each entry corrected; the one given is released. */
-static cw_server_list_t *correct_all(const cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now)
+/* Returns the list with all entries corrected, and releases the given one if a new list was made. */
+static cw_server_list_t *correct_entries(const cw_server_view_t *view, const cw_server_reading_t *reading,
+                                         cw_time_us_t now)
 {
     cw_server_list_t *list = reading->list;
     char            **dropped = calloc(list->count + 1, sizeof(*dropped));
@@ -242,7 +245,7 @@
 
 /* ---- the list in force ---- */
 
-/* The same servers in the same states: just how far their heartbeats are, and since when they are missing, is new. */
+/* Updates the list in force from a list with the same servers in the same states: only sequences and times are new. */
 static void refresh_entries(cw_server_list_t *list, const cw_server_list_t *newer)
 {
     size_t index;
@@ -287,9 +290,9 @@
         cw_server_list_release(reading->list);
         return CW_VIEW_OLDER;
     }
-    list = correct_all(view, reading, now);
+    list = correct_entries(view, reading, now);
     if (!reading->is_told) {
-        /* How many were added is seen in the list, and logged by the caller. */
+        /* The caller finds the number of added servers in the list and logs it. */
         (void)cw_server_absence_fill(&view->absence, list, view->list, view->true_at, reading->store_failed, now);
     }
     note_departures(view, list, latest, now);
@@ -304,7 +307,7 @@
     view->true_at = true_at > view->true_at ? true_at : view->true_at;
 }
 
-static bool is_any_over(const cw_server_view_t *view, cw_time_us_t now)
+static bool has_expired_entry(const cw_server_view_t *view, cw_time_us_t now)
 {
     size_t index;
 
@@ -321,7 +324,7 @@
     cw_server_reading_t unchanged = {.revision = view->revision, .is_told = true};
 
     *before = NULL;
-    if (!is_any_over(view, now)) {
+    if (!has_expired_entry(view, now)) {
         return CW_VIEW_SAME;
     }
     unchanged.list = cw_server_list_copy_without(view->list, NULL, 0);
--- a/src/model/tenant.c
+++ b/src/model/tenant.c
@@ -24,7 +24,7 @@
     return strncmp(name, tenant, length) == 0 && name[length] == '/';
 }
 
-/* Position of the first key that is not below this one. */
+/* Returns the position of the first key that is not less than this one. */
 static size_t position_of(const cw_tenant_t *tenant, const cw_key_digest_t *key)
 {
     size_t low = 0;
--- a/src/model/zone_service.c
+++ b/src/model/zone_service.c
@@ -9,14 +9,14 @@
 
 #include "base/memory.h"
 
-/* Share of the bound in which owners of keys may still be sent requests: what is left covers the way to the server and
- * a node that runs late. */
+/* Share of the bound in which requests may still be sent to owners of keys. The rest covers the network delay to the
+ * server and a node that is late. */
 enum { OWNERS_PERCENT = 60 };
 
 typedef struct zone_state {
     char        *zone;
     bool         is_out;
-    cw_time_us_t owners_until; /**< requests for keys may go there until then */
+    cw_time_us_t owners_until; /**< requests for keys may be sent there until then */
     cw_time_us_t put_back_at;
 } zone_state_t;
 
@@ -58,7 +58,7 @@
     return NULL;
 }
 
-static zone_state_t *state_of(cw_zone_service_t *zones, const char *zone)
+static zone_state_t *find_or_add(cw_zone_service_t *zones, const char *zone)
 {
     zone_state_t *state = find(zones, zone);
 
@@ -89,7 +89,7 @@
     size_t index;
 
     for (index = 0; index < out->count; index++) {
-        zone_state_t *state = state_of(zones, out->names[index]);
+        zone_state_t *state = find_or_add(zones, out->names[index]);
 
         if (!state->is_out) {
             take_out(zones, state, before_true_at);
