--- a/tests/assigner_world.c
+++ b/tests/assigner_world.c
@@ -1,6 +1,6 @@
 /**
  * @file assigner_world.c
- * @brief An assigner with a store of one object and servers whose orders the test answers.
+ * @brief Test fixture: an assigner with a store of one object, and servers whose orders the test answers.
  */
 #include "assigner_world.h"
 
@@ -9,14 +9,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void give(assigner_world_t *world, cw_store_replied_t replied, void *data, cw_store_reply_t *reply)
+static void deliver(assigner_fixture_t *fixture, cw_store_replied_t replied, void *data, cw_store_reply_t *reply)
 {
-    if (world->hold_answers) {
-        ck_assert_ptr_null(world->waiting);
-        world->waiting = replied;
-        world->waiting_data = data;
-        world->waiting_reply = *reply;
-        world->waiting_value = json_deep_copy(reply->value);
+    if (fixture->hold_answers) {
+        ck_assert_ptr_null(fixture->waiting);
+        fixture->waiting = replied;
+        fixture->waiting_data = data;
+        fixture->waiting_reply = *reply;
+        fixture->waiting_value = json_deep_copy(reply->value);
         return;
     }
     replied(data, reply);
@@ -24,66 +24,67 @@
 
 static void read_object(void *context, const char *kind, const char *name, cw_store_replied_t replied, void *data)
 {
-    assigner_world_t *world = context;
-    cw_store_reply_t  reply = {.result = world->object == NULL ? CW_STORE_NOT_FOUND : CW_STORE_DONE,
-                               .revision = world->object == NULL ? 0 : world->revision,
-                               .value = world->object};
+    assigner_fixture_t *fixture = context;
+    cw_store_reply_t    reply = {.result = fixture->object == NULL ? CW_STORE_NOT_FOUND : CW_STORE_DONE,
+                                 .revision = fixture->object == NULL ? 0 : fixture->revision,
+                                 .value = fixture->object};
 
     (void)kind;
     (void)name;
-    give(world, replied, data, &reply);
+    deliver(fixture, replied, data, &reply);
 }
 
-static void write_object(assigner_world_t *world, bool allowed, json_t *value, cw_store_replied_t replied, void *data)
+static void write_object(assigner_fixture_t *fixture, bool allowed, json_t *value, cw_store_replied_t replied,
+                         void *data)
 {
-    cw_store_reply_t  reply = {.result = CW_STORE_CONFLICT, .revision = world->revision, .value = world->object};
-    cw_store_result_t fail = world->fail_next;
+    cw_store_reply_t  reply = {.result = CW_STORE_CONFLICT, .revision = fixture->revision, .value = fixture->object};
+    cw_store_result_t fail = fixture->fail_next;
 
-    world->fail_next = CW_STORE_DONE;
-    if (allowed && (fail == CW_STORE_DONE || world->done_before_fail)) {
-        json_decref(world->object);
-        world->object = json_deep_copy(value);
-        world->revision++;
-        world->writes++;
-        reply = (cw_store_reply_t){.result = CW_STORE_DONE, .revision = world->revision, .value = world->object};
+    fixture->fail_next = CW_STORE_DONE;
+    if (allowed && (fail == CW_STORE_DONE || fixture->done_before_fail)) {
+        json_decref(fixture->object);
+        fixture->object = json_deep_copy(value);
+        fixture->revision++;
+        fixture->writes++;
+        reply = (cw_store_reply_t){.result = CW_STORE_DONE, .revision = fixture->revision, .value = fixture->object};
     }
     if (fail != CW_STORE_DONE) {
         reply = (cw_store_reply_t){.result = fail};
     }
-    give(world, replied, data, &reply);
+    deliver(fixture, replied, data, &reply);
 }
 
 static void create_object(void *context, const char *kind, const char *name, json_t *value, cw_store_replied_t replied,
                           void *data)
 {
-    assigner_world_t *world = context;
+    assigner_fixture_t *fixture = context;
 
     (void)kind;
     (void)name;
-    write_object(world, world->object == NULL, value, replied, data);
+    write_object(fixture, fixture->object == NULL, value, replied, data);
 }
 
 static void replace_object(void *context, const char *kind, const char *name, uint64_t revision, json_t *value,
                            cw_store_replied_t replied, void *data)
 {
-    assigner_world_t *world = context;
+    assigner_fixture_t *fixture = context;
 
     (void)kind;
     (void)name;
-    write_object(world, world->object != NULL && world->revision == revision, value, replied, data);
+    write_object(fixture, fixture->object != NULL && fixture->revision == revision, value, replied, data);
 }
 
 static void take_order(void *context, const cw_order_t *order)
 {
-    assigner_world_t *world = context;
+    assigner_fixture_t *fixture = context;
 
-    ck_assert_uint_lt(world->order_count, ASSIGNER_ORDERS_MAX);
-    world->orders[world->order_count++] = *order;
+    ck_assert_uint_lt(fixture->order_count, ASSIGNER_ORDERS_MAX);
+    fixture->orders[fixture->order_count++] = *order;
 }
 
 static void note_change(void *context)
 {
-    ((assigner_world_t *)context)->changes++;
+    ((assigner_fixture_t *)context)->changes++;
 }
 
 static void note(void *context, const char *service, const char *event, const cw_range_t *range, const char *detail)
@@ -95,7 +96,7 @@
     (void)detail;
 }
 
-static void create_assigner(assigner_world_t *world, uint64_t term)
+static void create_assigner(assigner_fixture_t *fixture, uint64_t term)
 {
     cw_assigner_settings_t settings = {.hold = CW_MS(5000),
                                        .hold_long = CW_MS(8000),
@@ -106,37 +107,37 @@
                                        .late_orders = CW_SECONDS(13),
                                        .table_valid = CW_MS(4000)};
     cw_assigner_ports_t    ports = {
-           .context = world, .store = &world->port, .order = take_order, .changed = note_change, .note = note};
+           .context = fixture, .store = &fixture->port, .order = take_order, .changed = note_change, .note = note};
 
-    world->assigner = cw_assigner_create("service", term, 1000 + term, &settings, &ports);
+    fixture->assigner = cw_assigner_create("service", term, 1000 + term, &settings, &ports);
 }
 
-void assigner_world_init(assigner_world_t *world, uint64_t term)
+void assigner_fixture_init(assigner_fixture_t *fixture, uint64_t term)
 {
-    memset(world, 0, sizeof(*world));
-    world->now = CW_SECONDS(100);
-    world->port =
-        (cw_store_port_t){.context = world, .read = read_object, .create = create_object, .replace = replace_object};
-    create_assigner(world, term);
+    memset(fixture, 0, sizeof(*fixture));
+    fixture->now = CW_SECONDS(100);
+    fixture->port =
+        (cw_store_port_t){.context = fixture, .read = read_object, .create = create_object, .replace = replace_object};
+    create_assigner(fixture, term);
 }
 
-void assigner_world_take_over(assigner_world_t *world, uint64_t term)
+void assigner_fixture_take_over(assigner_fixture_t *fixture, uint64_t term)
 {
-    cw_assigner_free(world->assigner);
-    world->waiting = NULL;
-    world->answered = world->order_count;
-    create_assigner(world, term);
+    cw_assigner_free(fixture->assigner);
+    fixture->waiting = NULL;
+    fixture->answered = fixture->order_count;
+    create_assigner(fixture, term);
 }
 
-void assigner_world_clear(assigner_world_t *world)
+void assigner_fixture_clear(assigner_fixture_t *fixture)
 {
-    cw_assigner_free(world->assigner);
-    cw_server_list_release(world->servers);
-    json_decref(world->object);
-    json_decref(world->waiting_value);
+    cw_assigner_free(fixture->assigner);
+    cw_server_list_release(fixture->servers);
+    json_decref(fixture->object);
+    json_decref(fixture->waiting_value);
 }
 
-void assigner_world_servers(assigner_world_t *world, const char *const *texts)
+void assigner_fixture_set_servers(assigner_fixture_t *fixture, const char *const *texts)
 {
     cw_server_list_t *list = cw_server_list_create();
     char              id[64];
@@ -157,67 +158,67 @@
         entry->draining = strchr(*texts, '!') != NULL;
     }
     cw_server_list_seal(list);
-    cw_server_list_release(world->servers);
-    world->servers = list;
+    cw_server_list_release(fixture->servers);
+    fixture->servers = list;
 }
 
-void assigner_world_tick(assigner_world_t *world, cw_time_us_t passed)
+void assigner_fixture_tick(assigner_fixture_t *fixture, cw_time_us_t passed)
 {
-    world->now += passed;
-    cw_assigner_tick(world->assigner, world->servers, true, false, world->now);
+    fixture->now += passed;
+    cw_assigner_tick(fixture->assigner, fixture->servers, true, false, fixture->now);
 }
 
-void assigner_world_answer(assigner_world_t *world, cw_order_result_t result, const char *handover)
+void assigner_fixture_answer(assigner_fixture_t *fixture, cw_order_result_t result, const char *handover)
 {
-    while (world->answered < world->order_count) {
-        cw_order_t order = world->orders[world->answered++];
+    while (fixture->answered < fixture->order_count) {
+        cw_order_t order = fixture->orders[fixture->answered++];
 
-        cw_assigner_order_done(world->assigner, order.id, result, handover, world->now);
+        cw_assigner_order_done(fixture->assigner, order.id, result, handover, fixture->now);
     }
 }
 
-void assigner_world_answer_store(assigner_world_t *world)
+void assigner_fixture_answer_store(assigner_fixture_t *fixture)
 {
-    cw_store_replied_t replied = world->waiting;
-    cw_store_reply_t   reply = world->waiting_reply;
-    json_t            *value = world->waiting_value;
+    cw_store_replied_t replied = fixture->waiting;
+    cw_store_reply_t   reply = fixture->waiting_reply;
+    json_t            *value = fixture->waiting_value;
 
     ck_assert_ptr_nonnull(replied);
-    world->waiting = NULL;
-    world->waiting_value = NULL;
+    fixture->waiting = NULL;
+    fixture->waiting_value = NULL;
     reply.value = value;
-    replied(world->waiting_data, &reply);
+    replied(fixture->waiting_data, &reply);
     json_decref(value);
 }
 
-void assigner_world_settle(assigner_world_t *world)
+void assigner_fixture_settle(assigner_fixture_t *fixture)
 {
     const cw_server_entry_t *entries[16];
     size_t                   index;
 
-    assigner_world_tick(world, 0);
-    ck_assert_int_eq(cw_assigner_state(world->assigner), CW_ASSIGNER_EMPTY);
-    for (index = 0; index < world->servers->count; index++) {
-        entries[index] = &world->servers->entries[index];
+    assigner_fixture_tick(fixture, 0);
+    ck_assert_int_eq(cw_assigner_state(fixture->assigner), CW_ASSIGNER_EMPTY);
+    for (index = 0; index < fixture->servers->count; index++) {
+        entries[index] = &fixture->servers->entries[index];
     }
-    cw_assigner_plan_first(world->assigner, entries, world->servers->count, world->now);
-    assigner_world_tick(world, CW_MS(20));
-    assigner_world_tick(world, CW_MS(20));
-    assigner_world_answer(world, CW_ORDER_DONE, NULL);
+    cw_assigner_plan_first(fixture->assigner, entries, fixture->servers->count, fixture->now);
+    assigner_fixture_tick(fixture, CW_MS(20));
+    assigner_fixture_tick(fixture, CW_MS(20));
+    assigner_fixture_answer(fixture, CW_ORDER_DONE, NULL);
 }
 
-size_t assigner_world_count(const assigner_world_t *world, cw_order_kind_t kind, size_t from)
+size_t assigner_fixture_count(const assigner_fixture_t *fixture, cw_order_kind_t kind, size_t from)
 {
     size_t count = 0;
     size_t index;
 
-    for (index = from; index < world->order_count; index++) {
-        count += world->orders[index].kind == kind ? 1 : 0;
+    for (index = from; index < fixture->order_count; index++) {
+        count += fixture->orders[index].kind == kind ? 1 : 0;
     }
     return count;
 }
 
-const cw_range_t *assigner_world_range(const assigner_world_t *world, uint32_t key)
+const cw_range_t *assigner_fixture_range(const assigner_fixture_t *fixture, uint32_t key)
 {
-    return cw_range_list_find(cw_assigner_ranges(world->assigner), key);
+    return cw_range_list_find(cw_assigner_ranges(fixture->assigner), key);
 }
--- a/tests/process/dead_servers_listed.sh
+++ b/tests/process/dead_servers_listed.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Two servers are killed and their entries stay in the list: their keys go to servers that live, though the dead ones look
-# idle. Bound in polls: a hold (5 s), and as long again.
+# Two servers are killed and their entries stay in the list. Their keys must move to live servers, although the dead ones
+# appear idle. The limit in polls is a hold (5 s) and as long again.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 usual_cluster 3
 served() {
@@ -18,7 +18,7 @@
         sleep 1
     done
 }
-check "all keys are served" served_within 5
+check "all keys are served before" served_within 5
 kill -KILL "${SERVER_PIDS[m1]}" "${SERVER_PIDS[m4]}"
-check "and after two servers were killed" served_within 12
+check "all keys are served after two servers were killed" served_within 12
 finish_test
--- a/tests/process/hand_over.sh
+++ b/tests/process/hand_over.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# A small node that leads hands over to a more capable one: the others take the lock at its word, not when they miss it.
+# A leader with little capability hands over to a more capable node. The others take the lock after its step-down notice,
+# not after a heartbeat timeout.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 NODE_SETTINGS="cpu_share: 0.1"
 cluster_start 1
@@ -18,6 +19,6 @@
 wait "$callers"
 check "a more capable node leads" [ "$(leader)" != 1 ]
 check "no node missed the leader's heartbeat" [ "$(cat "$WORK"/node[23].log | grep -c '"leader silent"')" = 0 ]
-check "all answered" at_least "$(sum_of over s200)" 499
+check "nearly all requests were answered" at_least "$(sum_of over s200)" 499
 check "records agree" cluster_check
 finish_test
--- a/tests/process/server_born_again.sh
+++ b/tests/process/server_born_again.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Servers are killed and start again at once, under their names and at their addresses: they are other owners, with higher
-# fences, and all keys are served again. What the records of all incarnations show is checked.
+# Servers are killed and restart immediately with the same names and addresses. They must count as other owners, with
+# higher fences, and all keys must be served again. The records of all incarnations are checked.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 3
 named() { # NUMBER
@@ -15,7 +15,7 @@
     curl -sf "http://$NET.1:8081/status" | jq -r '.servers[] | .id' | grep "^$1@"
 }
 before=$(listed i-named2)
-check "its start is part of its id" [ -n "$before" ]
+check "the start time is part of the server's id" [ -n "$before" ]
 cluster_callers during --rate 60 --count 600 &
 callers=$!
 sleep 1
@@ -25,10 +25,10 @@
 done
 born_again() { local id; id=$(listed i-named2) && [ -n "$id" ] && [ "$id" != "$before" ]; }
 until_true born_again
-check "it is another server" born_again
+check "the restarted server has another id" born_again
 wait "$callers"
 until_true serves_all_keys 1
-check "all keys are served" serves_all_keys 1
-check "most were answered meanwhile" at_least "$(sum_of during s200)" 450
+check "all keys are served after the restart" serves_all_keys 1
+check "most requests were answered meanwhile" at_least "$(sum_of during s200)" 450
 check "records agree" cluster_check
 finish_test
--- a/tests/test_configuration.c
+++ b/tests/test_configuration.c
@@ -1,6 +1,6 @@
 /**
  * @file test_configuration.c
- * @brief Matching of routes, and the list of servers.
+ * @brief Tests of route matching, configurations and the list of servers.
  */
 #include <string.h>
 
@@ -50,7 +50,7 @@
 }
 END_TEST
 
-START_TEST(host_is_compared_whole_without_case_and_port)
+START_TEST(hosts_are_compared_completely_without_case_and_port)
 {
     cw_configuration_t *configuration = some_configuration();
 
@@ -81,7 +81,7 @@
 }
 END_TEST
 
-START_TEST(a_held_configuration_outlives_its_release)
+START_TEST(a_configuration_with_a_reference_outlives_a_release)
 {
     cw_configuration_t *configuration = some_configuration();
     cw_configuration_t *held = cw_configuration_hold(configuration);
@@ -120,7 +120,7 @@
 }
 END_TEST
 
-START_TEST(lists_differ_by_state_not_by_heartbeat)
+START_TEST(lists_differ_by_state_but_not_by_heartbeat)
 {
     cw_server_list_t *left = cw_server_list_create();
     cw_server_list_t *right = cw_server_list_create();
@@ -142,11 +142,11 @@
     TCase *cases = tcase_create("configuration");
 
     tcase_add_test(cases, longest_prefix_wins);
-    tcase_add_test(cases, host_is_compared_whole_without_case_and_port);
+    tcase_add_test(cases, hosts_are_compared_completely_without_case_and_port);
     tcase_add_test(cases, a_copied_route_keeps_its_regions_and_differs_without_them);
-    tcase_add_test(cases, a_held_configuration_outlives_its_release);
+    tcase_add_test(cases, a_configuration_with_a_reference_outlives_a_release);
     tcase_add_test(cases, servers_are_found_by_id_and_successors_by_address);
-    tcase_add_test(cases, lists_differ_by_state_not_by_heartbeat);
+    tcase_add_test(cases, lists_differ_by_state_but_not_by_heartbeat);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_leadership.c
+++ b/tests/test_leadership.c
@@ -1,6 +1,6 @@
 /**
  * @file test_leadership.c
- * @brief The leader's lock: who may take it when, and when authority ends.
+ * @brief Tests of the leader's lock: which node may take it at which time, and when authority ends.
  */
 #include <stdio.h>
 #include <string.h>
@@ -51,7 +51,7 @@
     return lock;
 }
 
-/* Makes it the leader at `now`, by creating the lock. */
+/* Returns a leader that has created the lock at `now`. */
 static cw_leadership_t new_leader(cw_time_us_t now)
 {
     cw_leadership_t leadership = new_leadership("n1", 11, now);
@@ -95,7 +95,7 @@
 }
 END_TEST
 
-START_TEST(a_follower_waits_until_the_unchanged_lock_has_run_out)
+START_TEST(a_follower_waits_until_the_unchanged_lock_has_expired)
 {
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
     cw_lock_t       lock = lock_of("n2", 22, 4);
@@ -120,7 +120,7 @@
 }
 END_TEST
 
-START_TEST(a_changed_revision_starts_the_wait_anew)
+START_TEST(a_changed_revision_restarts_the_wait)
 {
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
     cw_lock_t       lock = lock_of("n2", 22, 4);
@@ -133,7 +133,7 @@
 }
 END_TEST
 
-START_TEST(the_lock_of_an_earlier_life_of_this_node_is_taken_at_once)
+START_TEST(the_lock_of_an_earlier_incarnation_of_this_node_is_taken_immediately)
 {
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
     cw_lock_t       lock = lock_of("n1", 10, 4);
@@ -144,7 +144,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_that_is_heard_is_left_alone)
+START_TEST(a_leader_whose_heartbeats_arrive_keeps_the_lock)
 {
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
     cw_time_us_t    now;
@@ -156,7 +156,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_without_authority_is_not_left_alone)
+START_TEST(the_lock_is_read_when_heartbeats_have_no_authority)
 {
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
 
@@ -178,7 +178,7 @@
 }
 END_TEST
 
-START_TEST(resigning_ends_authority_at_once_and_writes_a_vacant_lock)
+START_TEST(resigning_ends_authority_immediately_and_writes_a_vacant_lock)
 {
     cw_leadership_t leadership = new_leader(0);
 
@@ -192,7 +192,7 @@
 }
 END_TEST
 
-START_TEST(a_vacant_lock_is_taken_at_once)
+START_TEST(a_vacant_lock_is_taken_immediately)
 {
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
     cw_lock_t       lock = lock_of("n2", 22, 4);
@@ -204,7 +204,7 @@
 }
 END_TEST
 
-START_TEST(a_lock_that_cannot_be_read_is_held_until_a_hold_has_passed)
+START_TEST(an_unreadable_lock_is_taken_only_after_a_hold)
 {
     cw_leadership_t  leadership = new_leadership("n1", 11, 0);
     cw_lock_t        lock = lock_of("n2", 22, 4);
@@ -216,7 +216,7 @@
     ck_assert_int_eq(cw_leadership_tick(&leadership, now), CW_LEADERSHIP_READ);
     answer.value = json_pack("{s:s}", "holder", "of another form");
     cw_leadership_replied(&leadership, &answer, now);
-    for (; now < CW_MS(400) + HOLD; now += CW_MS(20)) { /* whoever wrote it may have authority for so long */
+    for (; now < CW_MS(400) + HOLD; now += CW_MS(20)) { /* the writer may have authority until then */
         cw_leadership_action_t action = cw_leadership_tick(&leadership, now);
 
         ck_assert_int_ne(action, CW_LEADERSHIP_REPLACE);
@@ -234,7 +234,7 @@
 }
 END_TEST
 
-START_TEST(a_lock_that_cannot_be_read_is_taken_above_the_term_of_heartbeats)
+START_TEST(an_unreadable_lock_is_taken_with_a_term_above_that_of_heartbeats)
 {
     cw_leadership_t  leadership = new_leadership("n1", 11, 0);
     cw_lock_t        lock = lock_of("n2", 22, 4);
@@ -243,7 +243,8 @@
 
     ck_assert_int_eq(cw_leadership_tick(&leadership, 0), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 9, &lock, 0);
-    cw_leadership_receive_heartbeat(&leadership, 7, 9, true, CW_MS(500)); /* the lock is not read while these come */
+    cw_leadership_receive_heartbeat(&leadership, 7, 9, true,
+                                    CW_MS(500)); /* the lock is not read while heartbeats arrive */
     answer.value = json_pack("{s:s}", "holder", "of another form");
     for (; now < CW_SECONDS(10); now += CW_MS(20)) {
         cw_leadership_action_t action = cw_leadership_tick(&leadership, now);
@@ -270,14 +271,14 @@
     ck_assert_int_eq(cw_leadership_tick(&leadership, 0), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 9, &lock, 0);
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_MS(20)),
-                     CW_LEADERSHIP_WAIT); /* nor does it read all the time */
+                     CW_LEADERSHIP_WAIT); /* the lock is not read continually either */
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_MS(400)), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 9, &lock, CW_MS(400));
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_MS(800)), CW_LEADERSHIP_REPLACE);
 }
 END_TEST
 
-START_TEST(a_node_takes_its_own_earlier_lock_at_once_also_beside_a_more_capable_one)
+START_TEST(a_node_takes_its_own_earlier_lock_immediately_despite_a_more_capable_one)
 {
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
     cw_lock_t       lock = lock_of("n1", 10, 4);
@@ -289,7 +290,7 @@
 }
 END_TEST
 
-START_TEST(after_stepping_down_it_follows_and_may_lead_again_later)
+START_TEST(after_stepping_down_a_node_follows_and_may_lead_again_later)
 {
     cw_leadership_t leadership = new_leader(0);
     cw_lock_t       vacant;
@@ -304,7 +305,7 @@
 }
 END_TEST
 
-START_TEST(a_lock_survives_its_text)
+START_TEST(a_lock_is_decoded_as_encoded)
 {
     cw_lock_t lock = lock_of("n2", 0xfedcba9876543210u, 4);
     cw_lock_t back;
@@ -321,7 +322,7 @@
 }
 END_TEST
 
-/* Calls in a time in which the store answers none of them. */
+/* Returns the number of calls in a time in which the store answers none of them. */
 static unsigned int count_calls(cw_leadership_t *leadership, cw_time_us_t from, cw_time_us_t time)
 {
     unsigned int calls = 0;
@@ -336,7 +337,7 @@
     return calls;
 }
 
-START_TEST(followers_ask_a_store_that_does_not_answer_less_and_less)
+START_TEST(followers_call_an_unresponsive_store_less_and_less_often)
 {
     cw_leadership_t alone = new_leadership("n1", 11, 0);
     cw_leadership_t one_of_many = new_leadership("n1", 11, 0);
@@ -347,7 +348,7 @@
 }
 END_TEST
 
-START_TEST(nodes_that_start_together_look_for_a_leader_in_turns)
+START_TEST(nodes_that_start_together_read_the_lock_at_different_times)
 {
     cw_leadership_settings_t settings = settings_of("n1", 700123);
     cw_leadership_t          leadership;
@@ -355,14 +356,15 @@
     settings.first_look_within = CW_SECONDS(1);
     cw_leadership_init(&leadership, &settings, CW_SECONDS(5));
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_SECONDS(5) + 700122), CW_LEADERSHIP_WAIT);
-    cw_leadership_receive_heartbeat(&leadership, 1, 9, true, CW_SECONDS(5) + 600000); /* another one was first */
+    cw_leadership_receive_heartbeat(&leadership, 1, 9, true,
+                                    CW_SECONDS(5) + 600000); /* another node has become the leader */
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_SECONDS(5) + 700123), CW_LEADERSHIP_WAIT);
     cw_leadership_init(&leadership, &settings, CW_SECONDS(5));
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_SECONDS(5) + 700123), CW_LEADERSHIP_READ);
 }
 END_TEST
 
-START_TEST(a_vacant_lock_is_looked_at_in_turns)
+START_TEST(followers_read_a_vacant_lock_at_different_times)
 {
     cw_leadership_t follower = new_leadership("n1", 111111, 0);
 
@@ -374,7 +376,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_goes_on_asking_for_its_lease)
+START_TEST(a_leader_keeps_trying_to_renew_its_lease)
 {
     cw_leadership_t leader = new_leader(0);
     unsigned int    calls = count_calls(&leader, 0, HOLD);
@@ -384,7 +386,7 @@
 }
 END_TEST
 
-/* Reads the lock once, as another node holds it under revision 7. */
+/* Returns a follower that has read the lock once: another node holds it, with revision 7. */
 static cw_leadership_t new_follower(uint32_t followers, cw_time_us_t now)
 {
     cw_leadership_t leadership = new_leadership("n2", 22, now);
@@ -396,13 +398,13 @@
     return leadership;
 }
 
-START_TEST(among_many_followers_a_look_from_long_ago_is_repeated_before_the_lock_is_taken)
+START_TEST(with_many_followers_an_old_read_is_repeated_before_the_lock_is_taken)
 {
     cw_time_us_t    now = CW_SECONDS(100);
     cw_leadership_t leadership = new_follower(300, now);
     cw_lock_t       lock = lock_of("n1", 11, 3);
 
-    now += CW_SECONDS(8); /* the hold is over for long */
+    now += CW_SECONDS(8); /* the hold has expired long ago */
     ck_assert_int_eq(cw_leadership_tick(&leadership, now), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 7, &lock, now);
     ck_assert_int_eq(cw_leadership_tick(&leadership, now), CW_LEADERSHIP_REPLACE);
@@ -424,7 +426,7 @@
 }
 END_TEST
 
-START_TEST(the_lock_of_an_earlier_life_is_taken_right_after_the_look)
+START_TEST(the_lock_of_an_earlier_incarnation_is_taken_right_after_the_read)
 {
     cw_time_us_t    now = CW_SECONDS(100);
     cw_leadership_t leadership = new_leadership("n2", 22, now);
@@ -437,7 +439,7 @@
 }
 END_TEST
 
-START_TEST(a_node_that_defers_looks_at_the_lock_a_hold_later)
+START_TEST(a_deferring_node_reads_the_lock_a_hold_later)
 {
     cw_time_us_t    now = CW_SECONDS(100);
     cw_leadership_t leadership = new_follower(4, now);
@@ -456,28 +458,28 @@
 
     tcase_add_test(cases, authority_counts_from_the_sending_of_the_acknowledged_write);
     tcase_add_test(cases, an_unanswered_write_gives_no_authority_even_when_it_was_done);
-    tcase_add_test(cases, a_follower_waits_until_the_unchanged_lock_has_run_out);
-    tcase_add_test(cases, a_changed_revision_starts_the_wait_anew);
-    tcase_add_test(cases, the_lock_of_an_earlier_life_of_this_node_is_taken_at_once);
-    tcase_add_test(cases, a_leader_that_is_heard_is_left_alone);
-    tcase_add_test(cases, followers_ask_a_store_that_does_not_answer_less_and_less);
-    tcase_add_test(cases, nodes_that_start_together_look_for_a_leader_in_turns);
-    tcase_add_test(cases, a_vacant_lock_is_looked_at_in_turns);
-    tcase_add_test(cases, a_leader_goes_on_asking_for_its_lease);
-    tcase_add_test(cases, a_leader_without_authority_is_not_left_alone);
+    tcase_add_test(cases, a_follower_waits_until_the_unchanged_lock_has_expired);
+    tcase_add_test(cases, a_changed_revision_restarts_the_wait);
+    tcase_add_test(cases, the_lock_of_an_earlier_incarnation_of_this_node_is_taken_immediately);
+    tcase_add_test(cases, a_leader_whose_heartbeats_arrive_keeps_the_lock);
+    tcase_add_test(cases, followers_call_an_unresponsive_store_less_and_less_often);
+    tcase_add_test(cases, nodes_that_start_together_read_the_lock_at_different_times);
+    tcase_add_test(cases, followers_read_a_vacant_lock_at_different_times);
+    tcase_add_test(cases, a_leader_keeps_trying_to_renew_its_lease);
+    tcase_add_test(cases, the_lock_is_read_when_heartbeats_have_no_authority);
     tcase_add_test(cases, a_conflict_with_another_holder_ends_authority);
-    tcase_add_test(cases, resigning_ends_authority_at_once_and_writes_a_vacant_lock);
-    tcase_add_test(cases, a_vacant_lock_is_taken_at_once);
-    tcase_add_test(cases, a_lock_that_cannot_be_read_is_held_until_a_hold_has_passed);
-    tcase_add_test(cases, a_lock_that_cannot_be_read_is_taken_above_the_term_of_heartbeats);
+    tcase_add_test(cases, resigning_ends_authority_immediately_and_writes_a_vacant_lock);
+    tcase_add_test(cases, a_vacant_lock_is_taken_immediately);
+    tcase_add_test(cases, an_unreadable_lock_is_taken_only_after_a_hold);
+    tcase_add_test(cases, an_unreadable_lock_is_taken_with_a_term_above_that_of_heartbeats);
     tcase_add_test(cases, a_node_lets_a_more_capable_one_try_first);
-    tcase_add_test(cases, a_node_takes_its_own_earlier_lock_at_once_also_beside_a_more_capable_one);
-    tcase_add_test(cases, after_stepping_down_it_follows_and_may_lead_again_later);
-    tcase_add_test(cases, a_lock_survives_its_text);
-    tcase_add_test(cases, among_many_followers_a_look_from_long_ago_is_repeated_before_the_lock_is_taken);
+    tcase_add_test(cases, a_node_takes_its_own_earlier_lock_immediately_despite_a_more_capable_one);
+    tcase_add_test(cases, after_stepping_down_a_node_follows_and_may_lead_again_later);
+    tcase_add_test(cases, a_lock_is_decoded_as_encoded);
+    tcase_add_test(cases, with_many_followers_an_old_read_is_repeated_before_the_lock_is_taken);
     tcase_add_test(cases, an_old_copy_of_the_lock_is_ignored);
-    tcase_add_test(cases, the_lock_of_an_earlier_life_is_taken_right_after_the_look);
-    tcase_add_test(cases, a_node_that_defers_looks_at_the_lock_a_hold_later);
+    tcase_add_test(cases, the_lock_of_an_earlier_incarnation_is_taken_right_after_the_read);
+    tcase_add_test(cases, a_deferring_node_reads_the_lock_a_hold_later);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_lease_sim.c
+++ b/tests/test_lease_sim.c
@@ -1,6 +1,6 @@
 /**
  * @file test_lease_sim.c
- * @brief The lease simulator on fixed seeds: among them those that once showed a violation.
+ * @brief Runs the lease simulator with fixed seeds, among them seeds that once showed a violation.
  */
 #include <stdio.h>
 
@@ -21,15 +21,15 @@
     ck_assert_uint_gt(result.requests, 5000);
 }
 
-START_TEST(rough_seeds_show_no_violation)
+START_TEST(random_faults_cause_no_violation)
 {
     expect_clean((uint64_t)_i + 1);
 }
 END_TEST
 
-/* 307: a renewal carried out after its hold's end. 7110: a node that routed by the record during a move. 18017: a late
- * grant whose hold outlived the time in which orders may come late. */
-START_TEST(seeds_that_once_showed_one_show_none)
+/* Faults that seeds showed: 307, a renewal was carried out after the end of the owner's hold; 7110, a node routed by
+ * the record during a move; 18017, the hold of a late grant lasted longer than the time in which orders may be late. */
+START_TEST(seeds_with_former_violations_show_none)
 {
     static const uint64_t seeds[] = {307, 1444, 1676, 2040, 7110, 18017};
 
@@ -37,7 +37,7 @@
 }
 END_TEST
 
-START_TEST(a_seed_gives_the_same_run_twice)
+START_TEST(the_same_seed_gives_the_same_run)
 {
     cw_sim_settings_t settings;
     cw_sim_result_t   first;
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-START_TEST(a_calm_run_serves_nearly_all)
+START_TEST(a_run_without_faults_serves_nearly_all_requests)
 {
     cw_sim_settings_t settings = {.seed = 3, .length = CW_SECONDS(60), .calm_at = 0, .moves = 1};
     cw_sim_result_t   result;
@@ -70,10 +70,10 @@
     TCase *cases = tcase_create("lease simulation");
 
     tcase_set_timeout(cases, 120);
-    tcase_add_loop_test(cases, rough_seeds_show_no_violation, 0, SEEDS);
-    tcase_add_loop_test(cases, seeds_that_once_showed_one_show_none, 0, 6);
-    tcase_add_test(cases, a_seed_gives_the_same_run_twice);
-    tcase_add_test(cases, a_calm_run_serves_nearly_all);
+    tcase_add_loop_test(cases, random_faults_cause_no_violation, 0, SEEDS);
+    tcase_add_loop_test(cases, seeds_with_former_violations_show_none, 0, 6);
+    tcase_add_test(cases, the_same_seed_gives_the_same_run);
+    tcase_add_test(cases, a_run_without_faults_serves_nearly_all_requests);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_order_trust.c
+++ b/tests/test_order_trust.c
@@ -1,6 +1,6 @@
 /**
  * @file test_order_trust.c
- * @brief Servers that are listed and dead: they do not get keys by turns.
+ * @brief Tests that dead servers which are still listed do not get the same keys alternately.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -19,7 +19,7 @@
     }
 }
 
-START_TEST(one_failure_is_no_reason_to_doubt_and_two_in_a_row_are)
+START_TEST(a_server_is_doubted_after_two_failures_in_a_row)
 {
     cw_order_trust_t *trust = cw_order_trust_create();
 
@@ -50,7 +50,7 @@
 }
 END_TEST
 
-START_TEST(a_doubted_server_is_tried_ever_later)
+START_TEST(pauses_between_tries_of_a_doubted_server_double)
 {
     cw_order_trust_t *trust = cw_order_trust_create();
     cw_time_us_t      now = CW_SECONDS(1);
@@ -68,7 +68,7 @@
 }
 END_TEST
 
-START_TEST(servers_that_are_given_no_orders_any_more_are_forgotten)
+START_TEST(servers_without_orders_are_discarded)
 {
     cw_order_trust_t *trust = cw_order_trust_create();
 
@@ -81,8 +81,8 @@
 }
 END_TEST
 
-/* The first two servers are dead from now on. Lets so many seconds pass under load, the servers in the list all the
- * while; returns the grants that went to the dead ones. */
+/* Runs so many seconds with load while the first two servers are dead but still listed. Returns the number of grants
+ * sent to the dead ones. */
 static size_t pass_seconds(node_fixture_t *node, int seconds)
 {
     uint32_t keys[KEYS_SAMPLED];
@@ -118,7 +118,7 @@
     return keys;
 }
 
-START_TEST(keys_of_two_dead_servers_that_stay_listed_do_not_go_from_one_to_the_other)
+START_TEST(keys_do_not_alternate_between_two_dead_servers_that_stay_listed)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -126,9 +126,9 @@
     ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
     ck_assert_uint_eq(keys_not_held(node), 0);
-    (void)pass_seconds(node, 12); /* a lost owner's keys are held for a hold's time */
+    (void)pass_seconds(node, 12); /* keys of a lost owner cannot move before its hold expires */
     ck_assert_uint_eq(keys_not_held(node), 0);
-    ck_assert_uint_le(pass_seconds(node, 60), 24); /* tried again, ever later */
+    ck_assert_uint_le(pass_seconds(node, 60), 24); /* they are tried again after increasing pauses */
     node_fixture_free(node);
 }
 END_TEST
@@ -139,11 +139,11 @@
     TCase *cases = tcase_create("servers that orders do not reach");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, one_failure_is_no_reason_to_doubt_and_two_in_a_row_are);
+    tcase_add_test(cases, a_server_is_doubted_after_two_failures_in_a_row);
     tcase_add_test(cases, a_server_that_answers_an_order_or_a_request_is_trusted_again);
-    tcase_add_test(cases, a_doubted_server_is_tried_ever_later);
-    tcase_add_test(cases, servers_that_are_given_no_orders_any_more_are_forgotten);
-    tcase_add_test(cases, keys_of_two_dead_servers_that_stay_listed_do_not_go_from_one_to_the_other);
+    tcase_add_test(cases, pauses_between_tries_of_a_doubted_server_double);
+    tcase_add_test(cases, servers_without_orders_are_discarded);
+    tcase_add_test(cases, keys_do_not_alternate_between_two_dead_servers_that_stay_listed);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_ownership_measures.c
+++ b/tests/test_ownership_measures.c
@@ -1,6 +1,6 @@
 /**
  * @file test_ownership_measures.c
- * @brief Imbalance, churn and unavailable time, from ranges and loads that are known.
+ * @brief Tests of imbalance, churn and unavailable time with known ranges and loads.
  */
 #include <stdio.h>
 #include <string.h>
@@ -48,7 +48,7 @@
     range->phase = CW_RANGE_HELD;
 }
 
-START_TEST(first_owners_are_no_churn)
+START_TEST(the_first_assignment_is_not_churn)
 {
     add_range(0, 32767, "");
     add_range(32768, 65535, "");
@@ -59,7 +59,7 @@
 }
 END_TEST
 
-START_TEST(moved_keys_are_counted_and_the_cold_ones_apart)
+START_TEST(moved_keys_and_cold_ones_are_counted_separately)
 {
     add_range(0, 32767, "a");
     add_range(32768, 65535, "b");
@@ -81,7 +81,7 @@
 }
 END_TEST
 
-START_TEST(unavailable_time_is_keys_times_seconds_and_the_longest_gap_goes_on_through_cuts)
+START_TEST(unavailable_time_is_in_key_seconds_and_the_longest_gap_continues_through_splits)
 {
     add_range(0, 65535, "a");
     cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(1));
@@ -93,13 +93,13 @@
     cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(4));
     ranges.items[1].failing_since = 0;
     cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(5));
-    /* all keys from the look at 2 s on for 1 s, then 100 of them for 1 s: what was between two looks is not known */
+    /* all keys for 1 s from the observation at 2 s, then 100 keys for 1 s: changes between observations are not seen */
     ck_assert_double_eq_tol(measures.unavailable_key_s, 65536 + 100, 0.01);
     ck_assert_double_eq_tol(measures.unavailable_longest_s, 2, 1e-9);
 }
 END_TEST
 
-/* Two owners, a and b; three of four requests of the last two seconds are for a's keys. */
+/* Two owners, a and b: three quarters of the requests of the last two seconds are for a's keys. */
 static void add_three_quarters_on_a(cw_load_window_t *window, cw_time_us_t now)
 {
     int index;
@@ -111,7 +111,7 @@
     }
 }
 
-START_TEST(imbalance_is_the_busiest_over_the_mean_weighted_by_time)
+START_TEST(imbalance_is_the_time_weighted_ratio_of_busiest_to_mean)
 {
     cw_load_window_t window = {0};
     cw_time_us_t     now = CW_SECONDS(10);
@@ -126,7 +126,7 @@
 }
 END_TEST
 
-START_TEST(load_that_moved_is_its_share)
+START_TEST(moved_load_is_counted_as_a_share)
 {
     cw_load_window_t window = {0};
     cw_time_us_t     now = CW_SECONDS(10);
@@ -147,11 +147,11 @@
     TCase *cases = tcase_create("ownership_measures");
 
     tcase_add_checked_fixture(cases, setup, teardown);
-    tcase_add_test(cases, first_owners_are_no_churn);
-    tcase_add_test(cases, moved_keys_are_counted_and_the_cold_ones_apart);
-    tcase_add_test(cases, unavailable_time_is_keys_times_seconds_and_the_longest_gap_goes_on_through_cuts);
-    tcase_add_test(cases, imbalance_is_the_busiest_over_the_mean_weighted_by_time);
-    tcase_add_test(cases, load_that_moved_is_its_share);
+    tcase_add_test(cases, the_first_assignment_is_not_churn);
+    tcase_add_test(cases, moved_keys_and_cold_ones_are_counted_separately);
+    tcase_add_test(cases, unavailable_time_is_in_key_seconds_and_the_longest_gap_continues_through_splits);
+    tcase_add_test(cases, imbalance_is_the_time_weighted_ratio_of_busiest_to_mean);
+    tcase_add_test(cases, moved_load_is_counted_as_a_share);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_plan_timing.c
+++ b/tests/test_plan_timing.c
@@ -1,6 +1,6 @@
 /**
  * @file test_plan_timing.c
- * @brief When keys are first assigned, and when a list that lacks owners is believed.
+ * @brief Tests of the time of the first plan, and of the trust in a list that lacks owners.
  */
 #include <check.h>
 
@@ -9,8 +9,8 @@
 
 enum { START_S = 100, HEARTBEAT_MS = 900, GRACE_MS = 1600 };
 
-static const double few = 0.4;
-static const double most = 0.5;
+static const double few_missing = 0.4;
+static const double many_missing = 0.5;
 
 static bool is_due(cw_plan_timing_t *timing, size_t servers, cw_time_us_t now)
 {
@@ -26,20 +26,20 @@
 }
 END_TEST
 
-START_TEST(the_first_plan_waits_until_no_more_servers_come)
+START_TEST(the_first_plan_waits_until_the_number_of_servers_is_stable)
 {
     cw_plan_timing_t timing = {0};
     cw_time_us_t     now = CW_SECONDS(START_S);
-    cw_time_us_t     calm = CW_MS(HEARTBEAT_MS + CW_FIRST_PLAN_CALM_MS);
+    cw_time_us_t     stable_time = CW_MS(HEARTBEAT_MS + CW_FIRST_PLAN_CALM_MS);
 
     ck_assert(!is_due(&timing, 1, now));
-    ck_assert(!is_due(&timing, 2, now + calm)); /* one more: the time begins anew */
-    ck_assert(!is_due(&timing, 2, now + 2 * calm - 1));
-    ck_assert(is_due(&timing, 2, now + 2 * calm));
+    ck_assert(!is_due(&timing, 2, now + stable_time)); /* one more server: the time starts again */
+    ck_assert(!is_due(&timing, 2, now + 2 * stable_time - 1));
+    ck_assert(is_due(&timing, 2, now + 2 * stable_time));
 }
 END_TEST
 
-START_TEST(servers_that_keep_coming_do_not_put_it_off_for_ever)
+START_TEST(a_steadily_growing_number_of_servers_delays_the_first_plan_only_for_a_limited_time)
 {
     cw_plan_timing_t timing = {0};
     cw_time_us_t     now = CW_SECONDS(START_S);
@@ -53,33 +53,33 @@
 }
 END_TEST
 
-START_TEST(a_list_that_lacks_few_owners_is_believed)
+START_TEST(a_list_that_lacks_few_owners_is_trusted)
 {
     cw_plan_timing_t timing = {0};
 
-    ck_assert(!cw_plan_timing_doubts_list(&timing, few, CW_MS(GRACE_MS), CW_SECONDS(START_S)));
+    ck_assert(!cw_plan_timing_doubts_list(&timing, few_missing, CW_MS(GRACE_MS), CW_SECONDS(START_S)));
 }
 END_TEST
 
-START_TEST(a_list_that_lacks_most_owners_is_doubted_for_the_grace)
+START_TEST(a_list_that_lacks_many_owners_is_not_trusted_during_the_grace_time)
 {
     cw_plan_timing_t timing = {0};
     cw_time_us_t     now = CW_SECONDS(START_S);
 
-    ck_assert(cw_plan_timing_doubts_list(&timing, most, CW_MS(GRACE_MS), now));
-    ck_assert(cw_plan_timing_doubts_list(&timing, most, CW_MS(GRACE_MS), now + CW_MS(GRACE_MS) - 1));
-    ck_assert(!cw_plan_timing_doubts_list(&timing, most, CW_MS(GRACE_MS), now + CW_MS(GRACE_MS)));
+    ck_assert(cw_plan_timing_doubts_list(&timing, many_missing, CW_MS(GRACE_MS), now));
+    ck_assert(cw_plan_timing_doubts_list(&timing, many_missing, CW_MS(GRACE_MS), now + CW_MS(GRACE_MS) - 1));
+    ck_assert(!cw_plan_timing_doubts_list(&timing, many_missing, CW_MS(GRACE_MS), now + CW_MS(GRACE_MS)));
 }
 END_TEST
 
-START_TEST(owners_that_are_back_end_the_doubt)
+START_TEST(a_list_is_trusted_when_owners_are_listed_again)
 {
     cw_plan_timing_t timing = {0};
     cw_time_us_t     now = CW_SECONDS(START_S);
 
-    (void)cw_plan_timing_doubts_list(&timing, most, CW_MS(GRACE_MS), now);
-    (void)cw_plan_timing_doubts_list(&timing, few, CW_MS(GRACE_MS), now + 1);
-    ck_assert(cw_plan_timing_doubts_list(&timing, most, CW_MS(GRACE_MS), now + CW_MS(GRACE_MS)));
+    (void)cw_plan_timing_doubts_list(&timing, many_missing, CW_MS(GRACE_MS), now);
+    (void)cw_plan_timing_doubts_list(&timing, few_missing, CW_MS(GRACE_MS), now + 1);
+    ck_assert(cw_plan_timing_doubts_list(&timing, many_missing, CW_MS(GRACE_MS), now + CW_MS(GRACE_MS)));
 }
 END_TEST
 
@@ -89,11 +89,11 @@
     TCase *cases = tcase_create("timing");
 
     tcase_add_test(cases, without_servers_there_is_no_first_plan);
-    tcase_add_test(cases, the_first_plan_waits_until_no_more_servers_come);
-    tcase_add_test(cases, servers_that_keep_coming_do_not_put_it_off_for_ever);
-    tcase_add_test(cases, a_list_that_lacks_few_owners_is_believed);
-    tcase_add_test(cases, a_list_that_lacks_most_owners_is_doubted_for_the_grace);
-    tcase_add_test(cases, owners_that_are_back_end_the_doubt);
+    tcase_add_test(cases, the_first_plan_waits_until_the_number_of_servers_is_stable);
+    tcase_add_test(cases, a_steadily_growing_number_of_servers_delays_the_first_plan_only_for_a_limited_time);
+    tcase_add_test(cases, a_list_that_lacks_few_owners_is_trusted);
+    tcase_add_test(cases, a_list_that_lacks_many_owners_is_not_trusted_during_the_grace_time);
+    tcase_add_test(cases, a_list_is_trusted_when_owners_are_listed_again);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_planner.c
+++ b/tests/test_planner.c
@@ -1,6 +1,6 @@
 /**
  * @file test_planner.c
- * @brief Which ranges move: what must, what earns it, and what stays.
+ * @brief Tests of the planner: forced moves, moves that gain more than their price, and ranges that stay.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,91 +12,91 @@
 
 static const char *const four[] = {"i-a@10.0.0.1:80", "i-b@10.0.0.2:80", "i-c@10.0.0.3:80", "i-d@10.0.0.4:80", NULL};
 
-typedef struct planner_world {
-    assigner_world_t    assigner;
+typedef struct planner_fixture {
+    assigner_fixture_t  assigner;
     cw_load_window_t    window;
     cw_planner_server_t servers[8];
     size_t              server_count;
-    double              crossing; /* usual times of a request that crosses a region's border */
-} planner_world_t;
+    double              crossing; /* cost of a request from another region, in usual response times */
+} planner_fixture_t;
 
-static void refresh_servers(planner_world_t *world)
+static void refresh_servers(planner_fixture_t *fixture)
 {
     size_t index;
 
-    world->server_count = world->assigner.servers->count;
-    for (index = 0; index < world->server_count; index++) {
-        const cw_server_entry_t *entry = &world->assigner.servers->entries[index];
+    fixture->server_count = fixture->assigner.servers->count;
+    for (index = 0; index < fixture->server_count; index++) {
+        const cw_server_entry_t *entry = &fixture->assigner.servers->entries[index];
 
-        world->servers[index] =
+        fixture->servers[index] =
             (cw_planner_server_t){.entry = entry, .usable = !entry->draining, .pace = 1, .cost_s = 0.1 / 2};
     }
 }
 
-static void init(planner_world_t *world, const char *const *texts)
+static void init(planner_fixture_t *fixture, const char *const *texts)
 {
-    memset(world, 0, sizeof(*world));
-    assigner_world_init(&world->assigner, 1);
-    assigner_world_servers(&world->assigner, texts);
-    assigner_world_settle(&world->assigner);
-    world->assigner.now += CW_SECONDS(2);
-    refresh_servers(world);
+    memset(fixture, 0, sizeof(*fixture));
+    assigner_fixture_init(&fixture->assigner, 1);
+    assigner_fixture_set_servers(&fixture->assigner, texts);
+    assigner_fixture_settle(&fixture->assigner);
+    fixture->assigner.now += CW_SECONDS(2);
+    refresh_servers(fixture);
 }
 
-static void clear(planner_world_t *world)
+static void clear(planner_fixture_t *fixture)
 {
-    cw_load_window_clear(&world->window);
-    assigner_world_clear(&world->assigner);
+    cw_load_window_clear(&fixture->window);
+    assigner_fixture_clear(&fixture->assigner);
 }
 
-/* Requests of the last two seconds, spread evenly over keys low to last. */
-static void add_load(planner_world_t *world, uint32_t low, uint32_t last, double per_s)
+/* Adds requests of the last two seconds, distributed evenly over keys low to last. */
+static void add_load(planner_fixture_t *fixture, uint32_t low, uint32_t last, double per_s)
 {
     size_t count = (size_t)(per_s * 2);
     size_t index;
 
     for (index = 0; index < count; index++) {
-        cw_time_us_t at = world->assigner.now - CW_SECONDS(2) + (cw_time_us_t)((double)CW_SECONDS(2) * index / count);
+        cw_time_us_t at = fixture->assigner.now - CW_SECONDS(2) + (cw_time_us_t)((double)CW_SECONDS(2) * index / count);
 
-        cw_load_window_add(&world->window, low + (uint32_t)((uint64_t)(last - low) * ((index * 7919) % count) / count),
-                           1, at);
+        cw_load_window_add(&fixture->window,
+                           low + (uint32_t)((uint64_t)(last - low) * ((index * 7919) % count) / count), 1, at);
     }
 }
 
-static size_t plan_by_list(planner_world_t *world, bool doubts_list)
+static size_t plan_by_list(planner_fixture_t *fixture, bool doubts_list)
 {
-    return cw_planner_run(&(cw_planner_input_t){.assigner = world->assigner.assigner,
+    return cw_planner_run(&(cw_planner_input_t){.assigner = fixture->assigner.assigner,
                                                 .settings = &cw_planner_defaults,
-                                                .servers = world->servers,
-                                                .server_count = world->server_count,
-                                                .list = world->assigner.servers,
-                                                .window = &world->window,
-                                                .crossing = world->crossing,
+                                                .servers = fixture->servers,
+                                                .server_count = fixture->server_count,
+                                                .list = fixture->assigner.servers,
+                                                .window = &fixture->window,
+                                                .crossing = fixture->crossing,
                                                 .doubts_list = doubts_list,
-                                                .now = world->assigner.now});
+                                                .now = fixture->assigner.now});
 }
 
-static size_t plan(planner_world_t *world)
+static size_t plan(planner_fixture_t *fixture)
 {
-    return plan_by_list(world, false);
+    return plan_by_list(fixture, false);
 }
 
-/* Plans and carries the moves out, some rounds. */
-static void run_rounds(planner_world_t *world, int rounds)
+/* Plans and executes the moves, for some rounds. */
+static void run_rounds(planner_fixture_t *fixture, int rounds)
 {
     while (rounds-- > 0) {
-        (void)plan(world);
-        assigner_world_tick(&world->assigner, CW_MS(20));
-        assigner_world_tick(&world->assigner, CW_MS(20));
-        assigner_world_answer(&world->assigner, CW_ORDER_DONE, "token");
-        assigner_world_tick(&world->assigner, CW_MS(20));
-        assigner_world_answer(&world->assigner, CW_ORDER_DONE, NULL);
+        (void)plan(fixture);
+        assigner_fixture_tick(&fixture->assigner, CW_MS(20));
+        assigner_fixture_tick(&fixture->assigner, CW_MS(20));
+        assigner_fixture_answer(&fixture->assigner, CW_ORDER_DONE, "token");
+        assigner_fixture_tick(&fixture->assigner, CW_MS(20));
+        assigner_fixture_answer(&fixture->assigner, CW_ORDER_DONE, NULL);
     }
 }
 
-static size_t keys_of(const planner_world_t *world, const char *id)
+static size_t keys_of(const planner_fixture_t *fixture, const char *id)
 {
-    const cw_range_list_t *ranges = cw_assigner_ranges(world->assigner.assigner);
+    const cw_range_list_t *ranges = cw_assigner_ranges(fixture->assigner.assigner);
     size_t                 keys = 0;
     size_t                 index;
 
@@ -108,8 +108,8 @@
     return keys;
 }
 
-/* Share of the load on keys low to last that its busiest owner has. */
-static double busiest_share(const planner_world_t *world, uint32_t low, uint32_t last)
+/* Share of the load on keys low to last that the busiest of their owners has. */
+static double busiest_share(const planner_fixture_t *fixture, uint32_t low, uint32_t last)
 {
     uint32_t counts[8] = {0};
     uint32_t key;
@@ -117,13 +117,14 @@
     size_t   index;
 
     for (key = low; key <= last; key++) {
-        for (index = 0; index < world->server_count; index++) {
-            counts[index] +=
-                strcmp(assigner_world_range(&world->assigner, key)->owner.id, world->servers[index].entry->id) == 0 ? 1
-                                                                                                                    : 0;
+        for (index = 0; index < fixture->server_count; index++) {
+            counts[index] += strcmp(assigner_fixture_range(&fixture->assigner, key)->owner.id,
+                                    fixture->servers[index].entry->id) == 0
+                                 ? 1
+                                 : 0;
         }
     }
-    for (index = 0; index < world->server_count; index++) {
+    for (index = 0; index < fixture->server_count; index++) {
         most = counts[index] > most ? counts[index] : most;
     }
     return (double)most / (last - low + 1);
@@ -131,140 +132,140 @@
 
 START_TEST(nothing_moves_under_even_load)
 {
-    planner_world_t world;
+    planner_fixture_t fixture;
 
-    init(&world, four);
-    add_load(&world, 0, CW_KEY_LAST, 40);
-    ck_assert_uint_eq(plan(&world), 0);
-    clear(&world);
+    init(&fixture, four);
+    add_load(&fixture, 0, CW_KEY_LAST, 40);
+    ck_assert_uint_eq(plan(&fixture), 0);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_hot_piece_is_spread_in_one_plan)
+START_TEST(a_hot_part_of_the_keys_is_spread_in_one_plan)
 {
-    planner_world_t world;
+    planner_fixture_t fixture;
 
-    init(&world, four);
-    add_load(&world, 1000, 1199, 50);
-    ck_assert_double_eq(busiest_share(&world, 1000, 1199), 1);
-    run_rounds(&world, 1);
-    ck_assert_double_le(busiest_share(&world, 1000, 1199), 0.55);
-    clear(&world);
+    init(&fixture, four);
+    add_load(&fixture, 1000, 1199, 50);
+    ck_assert_double_eq(busiest_share(&fixture, 1000, 1199), 1);
+    run_rounds(&fixture, 1);
+    ck_assert_double_le(busiest_share(&fixture, 1000, 1199), 0.55);
+    clear(&fixture);
 }
 END_TEST
 
-/* Those that take pieces over keep them for a while: none may be given so much that it is the next one overloaded. */
-START_TEST(a_hot_piece_of_many_servers_load_is_spread_without_overloading_any)
+/* A server keeps the pieces that it gets for some time, so none may get so much that it becomes overloaded itself. */
+START_TEST(a_hot_part_with_the_load_of_many_servers_is_spread_without_overloading_any)
 {
     static const char *const eight[] = {"i-a@10.0.0.1:80", "i-b@10.0.0.2:80", "i-c@10.0.0.3:80",
                                         "i-d@10.0.0.4:80", "i-e@10.0.0.5:80", "i-f@10.0.0.6:80",
                                         "i-g@10.0.0.7:80", "i-h@10.0.0.8:80", NULL};
-    planner_world_t          world;
+    planner_fixture_t        fixture;
 
-    init(&world, eight);
-    add_load(&world, 1000, 1199, 100); /* each can serve 20 a second */
-    run_rounds(&world, 1);
-    ck_assert_double_le(busiest_share(&world, 1000, 1199), 0.25);
-    clear(&world);
+    init(&fixture, eight);
+    add_load(&fixture, 1000, 1199, 100); /* each server can serve 20 requests per second */
+    run_rounds(&fixture, 1);
+    ck_assert_double_le(busiest_share(&fixture, 1000, 1199), 0.25);
+    clear(&fixture);
 }
 END_TEST
 
-static cw_planner_server_t *server_named(planner_world_t *world, const char *id)
+static cw_planner_server_t *server_named(planner_fixture_t *fixture, const char *id)
 {
     size_t index;
 
-    for (index = 0; index < world->server_count; index++) {
-        if (strcmp(world->servers[index].entry->id, id) == 0) {
-            return &world->servers[index];
+    for (index = 0; index < fixture->server_count; index++) {
+        if (strcmp(fixture->servers[index].entry->id, id) == 0) {
+            return &fixture->servers[index];
         }
     }
     ck_abort_msg("no server %s", id);
     return NULL;
 }
 
-START_TEST(a_hot_key_gets_a_fast_server_and_nothing_else_is_left_there)
+START_TEST(a_hot_key_gets_a_fast_server_with_few_other_keys)
 {
-    planner_world_t      world;
+    planner_fixture_t    fixture;
     cw_planner_server_t *slow;
     const cw_range_t    *range;
     char                 owner[48];
     int                  round;
 
-    init(&world, four);
-    slow = server_named(&world, assigner_world_range(&world.assigner, 1000)->owner.id);
+    init(&fixture, four);
+    slow = server_named(&fixture, assigner_fixture_range(&fixture.assigner, 1000)->owner.id);
     slow->cost_s *= 2.3;
     slow->pace = 2.3;
-    for (round = 0; round < 4; round++) { /* each server serves 20 a second, the slow one 9 */
-        add_load(&world, 1000, 1000, 17);
-        add_load(&world, 0, CW_KEY_LAST, 12);
-        run_rounds(&world, 1);
-        world.assigner.now += CW_SECONDS(2);
+    for (round = 0; round < 4; round++) { /* each server serves 20 requests per second, the slow one 9 */
+        add_load(&fixture, 1000, 1000, 17);
+        add_load(&fixture, 0, CW_KEY_LAST, 12);
+        run_rounds(&fixture, 1);
+        fixture.assigner.now += CW_SECONDS(2);
     }
-    range = assigner_world_range(&world.assigner, 1000);
+    range = assigner_fixture_range(&fixture.assigner, 1000);
     ck_assert_uint_eq(range->low, 1000);
     ck_assert_uint_eq(range->last, 1000);
     ck_assert_str_ne(range->owner.id, slow->entry->id);
-    ck_assert_uint_le(keys_of(&world, range->owner.id), (CW_KEY_LAST + 1) / 8);
-    /* its server looks slower now that it is busy: that is no reason to move it again */
+    ck_assert_uint_le(keys_of(&fixture, range->owner.id), (CW_KEY_LAST + 1) / 8);
+    /* the key's server appears slower because it is busy, which must not move the key again */
     cw_text_copy(owner, sizeof(owner), range->owner.id);
-    server_named(&world, owner)->cost_s *= 1.9;
-    server_named(&world, owner)->pace = 1.9;
-    add_load(&world, 1000, 1000, 17);
-    add_load(&world, 0, CW_KEY_LAST, 12);
-    run_rounds(&world, 3);
-    ck_assert_str_eq(assigner_world_range(&world.assigner, 1000)->owner.id, owner);
-    clear(&world);
+    server_named(&fixture, owner)->cost_s *= 1.9;
+    server_named(&fixture, owner)->pace = 1.9;
+    add_load(&fixture, 1000, 1000, 17);
+    add_load(&fixture, 0, CW_KEY_LAST, 12);
+    run_rounds(&fixture, 3);
+    ck_assert_str_eq(assigner_fixture_range(&fixture.assigner, 1000)->owner.id, owner);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_single_hot_key_is_not_carried_back_and_forth)
+START_TEST(a_single_hot_key_is_not_moved_repeatedly)
 {
-    planner_world_t world;
+    planner_fixture_t fixture;
 
-    init(&world, four);
-    add_load(&world, 1000, 1000, 15);
-    run_rounds(&world, 1);
-    world.assigner.now += CW_SECONDS(2);
-    add_load(&world, 1000, 1000, 15);
-    ck_assert_uint_eq(plan(&world), 0);
-    clear(&world);
+    init(&fixture, four);
+    add_load(&fixture, 1000, 1000, 15);
+    run_rounds(&fixture, 1);
+    fixture.assigner.now += CW_SECONDS(2);
+    add_load(&fixture, 1000, 1000, 15);
+    ck_assert_uint_eq(plan(&fixture), 0);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_slow_server_gets_less)
+START_TEST(a_slow_server_gets_fewer_keys)
 {
-    planner_world_t world;
+    planner_fixture_t fixture;
 
-    init(&world, four);
-    world.servers[0].pace = 2;
-    world.servers[0].cost_s *= 2;
-    add_load(&world, 0, CW_KEY_LAST, 60);
-    run_rounds(&world, 1);
-    ck_assert_uint_lt(keys_of(&world, "i-a"), 12000);
-    clear(&world);
+    init(&fixture, four);
+    fixture.servers[0].pace = 2;
+    fixture.servers[0].cost_s *= 2;
+    add_load(&fixture, 0, CW_KEY_LAST, 60);
+    run_rounds(&fixture, 1);
+    ck_assert_uint_lt(keys_of(&fixture, "i-a"), 12000);
+    clear(&fixture);
 }
 END_TEST
 
-/* What a wrong list or a row of losses may leave behind: one server with all keys, in many small ranges. */
-START_TEST(a_server_with_all_keys_in_many_ranges_is_relieved)
+/* A wrong list or several losses may leave one server with all keys, in many small ranges. */
+START_TEST(load_is_moved_from_a_server_with_all_keys_in_many_ranges)
 {
-    planner_world_t          world;
+    planner_fixture_t        fixture;
     const cw_server_entry_t *to;
     uint32_t                 low;
 
-    init(&world, four);
-    to = cw_server_list_find(world.assigner.servers, "i-a");
+    init(&fixture, four);
+    to = cw_server_list_find(fixture.assigner.servers, "i-a");
     for (low = 0; low <= CW_KEY_LAST; low += 2048) {
-        cw_assigner_plan_move(world.assigner.assigner, low, low + 2047, to, world.assigner.servers);
+        cw_assigner_plan_move(fixture.assigner.assigner, low, low + 2047, to, fixture.assigner.servers);
     }
-    cw_assigner_plan_write(world.assigner.assigner, world.assigner.now);
-    run_rounds(&world, 1);
-    ck_assert_uint_eq(keys_of(&world, "i-a"), CW_KEY_LAST + 1);
-    world.assigner.now += CW_SECONDS(2);
-    add_load(&world, 0, CW_KEY_LAST, 200);
-    run_rounds(&world, 3);
-    ck_assert_uint_lt(keys_of(&world, "i-a"), 28000);
-    clear(&world);
+    cw_assigner_plan_write(fixture.assigner.assigner, fixture.assigner.now);
+    run_rounds(&fixture, 1);
+    ck_assert_uint_eq(keys_of(&fixture, "i-a"), CW_KEY_LAST + 1);
+    fixture.assigner.now += CW_SECONDS(2);
+    add_load(&fixture, 0, CW_KEY_LAST, 200);
+    run_rounds(&fixture, 3);
+    ck_assert_uint_lt(keys_of(&fixture, "i-a"), 28000);
+    clear(&fixture);
 }
 END_TEST
 
@@ -272,180 +273,181 @@
 {
     static const char *const draining[] = {"i-a@10.0.0.1:80!", "i-b@10.0.0.2:80", "i-c@10.0.0.3:80", "i-d@10.0.0.4:80",
                                            NULL};
-    planner_world_t          world;
+    planner_fixture_t        fixture;
 
-    init(&world, four);
-    assigner_world_servers(&world.assigner, draining);
-    refresh_servers(&world);
-    run_rounds(&world, 1);
-    ck_assert_uint_eq(keys_of(&world, "i-a"), 0);
-    clear(&world);
+    init(&fixture, four);
+    assigner_fixture_set_servers(&fixture.assigner, draining);
+    refresh_servers(&fixture);
+    run_rounds(&fixture, 1);
+    ck_assert_uint_eq(keys_of(&fixture, "i-a"), 0);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_server_whose_is_barred_of_service_is_emptied_and_gets_nothing_back)
+START_TEST(a_barred_server_is_emptied_and_gets_no_keys)
 {
-    planner_world_t world;
+    planner_fixture_t fixture;
 
-    init(&world, four);
-    world.servers[0].is_barred = true;
-    world.servers[0].usable = false;
-    run_rounds(&world, 1);
-    ck_assert_uint_eq(keys_of(&world, "i-a"), 0);
-    add_load(&world, 0, CW_KEY_LAST, 60);
-    run_rounds(&world, 3);
-    ck_assert_uint_eq(keys_of(&world, "i-a"), 0);
-    clear(&world);
+    init(&fixture, four);
+    fixture.servers[0].is_barred = true;
+    fixture.servers[0].usable = false;
+    run_rounds(&fixture, 1);
+    ck_assert_uint_eq(keys_of(&fixture, "i-a"), 0);
+    add_load(&fixture, 0, CW_KEY_LAST, 60);
+    run_rounds(&fixture, 3);
+    ck_assert_uint_eq(keys_of(&fixture, "i-a"), 0);
+    clear(&fixture);
 }
 END_TEST
 
 START_TEST(a_server_that_no_order_reaches_loses_its_keys)
 {
-    planner_world_t world;
-    size_t          index;
+    planner_fixture_t fixture;
+    size_t            index;
 
-    init(&world, four);
+    init(&fixture, four);
     for (index = 0; index < 20; index++) {
-        assigner_world_tick(&world.assigner, CW_MS(150));
-        while (world.assigner.answered < world.assigner.order_count) {
-            cw_order_t order = world.assigner.orders[world.assigner.answered++];
+        assigner_fixture_tick(&fixture.assigner, CW_MS(150));
+        while (fixture.assigner.answered < fixture.assigner.order_count) {
+            cw_order_t order = fixture.assigner.orders[fixture.assigner.answered++];
 
-            cw_assigner_order_done(world.assigner.assigner, order.id,
+            cw_assigner_order_done(fixture.assigner.assigner, order.id,
                                    strcmp(order.server, "i-a") == 0 ? CW_ORDER_NOT_SENT : CW_ORDER_DONE, NULL,
-                                   world.assigner.now);
+                                   fixture.assigner.now);
         }
     }
-    ck_assert_uint_ge(plan(&world), 1);
-    assigner_world_tick(&world.assigner, CW_MS(20));
-    ck_assert_uint_eq(keys_of(&world, "i-a"), 0);
-    clear(&world);
+    ck_assert_uint_ge(plan(&fixture), 1);
+    assigner_fixture_tick(&fixture.assigner, CW_MS(20));
+    ck_assert_uint_eq(keys_of(&fixture, "i-a"), 0);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(owners_missing_in_a_doubtful_list_keep_their_keys)
+START_TEST(owners_missing_in_a_doubted_list_keep_their_keys)
 {
     static const char *const only_d[] = {"i-d@10.0.0.4:80", NULL};
-    planner_world_t          world;
+    planner_fixture_t        fixture;
 
-    init(&world, four);
-    assigner_world_servers(&world.assigner, only_d);
-    refresh_servers(&world);
-    ck_assert_double_eq(cw_planner_missing_share(world.assigner.assigner, world.assigner.servers), 0.75);
-    ck_assert_uint_eq(plan_by_list(&world, true), 0);
-    ck_assert_uint_eq(plan_by_list(&world, false), 3);
-    clear(&world);
+    init(&fixture, four);
+    assigner_fixture_set_servers(&fixture.assigner, only_d);
+    refresh_servers(&fixture);
+    ck_assert_double_eq(cw_planner_missing_share(fixture.assigner.assigner, fixture.assigner.servers), 0.75);
+    ck_assert_uint_eq(plan_by_list(&fixture, true), 0);
+    ck_assert_uint_eq(plan_by_list(&fixture, false), 3);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(when_most_owners_cannot_be_reached_nothing_is_taken_away)
+START_TEST(no_keys_move_when_most_owners_are_unreachable)
 {
-    planner_world_t world;
-    size_t          index;
+    planner_fixture_t fixture;
+    size_t            index;
 
-    init(&world, four);
+    init(&fixture, four);
     for (index = 0; index < 20; index++) {
-        assigner_world_tick(&world.assigner, CW_MS(150));
-        assigner_world_answer(&world.assigner, CW_ORDER_NOT_SENT, NULL);
+        assigner_fixture_tick(&fixture.assigner, CW_MS(150));
+        assigner_fixture_answer(&fixture.assigner, CW_ORDER_NOT_SENT, NULL);
     }
-    ck_assert_uint_eq(plan(&world), 0);
-    clear(&world);
+    ck_assert_uint_eq(plan(&fixture), 0);
+    clear(&fixture);
 }
 END_TEST
 
-/* Orders reach i-d alone, for so many ticks of 150 ms. */
-static void let_only_d_answer(planner_world_t *world, int ticks)
+/* Only orders to i-d are answered, for so many ticks of 150 ms. */
+static void answer_only_orders_to_d(planner_fixture_t *fixture, int ticks)
 {
     while (ticks-- > 0) {
-        assigner_world_tick(&world->assigner, CW_MS(150));
-        while (world->assigner.answered < world->assigner.order_count) {
-            cw_order_t order = world->assigner.orders[world->assigner.answered++];
+        assigner_fixture_tick(&fixture->assigner, CW_MS(150));
+        while (fixture->assigner.answered < fixture->assigner.order_count) {
+            cw_order_t order = fixture->assigner.orders[fixture->assigner.answered++];
 
-            cw_assigner_order_done(world->assigner.assigner, order.id,
+            cw_assigner_order_done(fixture->assigner.assigner, order.id,
                                    strcmp(order.server, "i-d") == 0 ? CW_ORDER_DONE : CW_ORDER_NOT_SENT, NULL,
-                                   world->assigner.now);
+                                   fixture->assigner.now);
         }
     }
 }
 
-/* As when a region is cut off that holds most keys, and the leader is outside. */
-START_TEST(most_owners_that_stay_out_of_reach_lose_their_keys_to_one_that_answers)
+/* This happens when a region that holds most keys is cut off and the leader is outside of it. */
+START_TEST(owners_that_stay_unreachable_lose_their_keys_to_one_that_answers)
 {
-    planner_world_t world;
-    size_t          index;
+    planner_fixture_t fixture;
+    size_t            index;
 
-    init(&world, four);
-    let_only_d_answer(&world, 10);
-    ck_assert_uint_eq(plan(&world), 0);
-    let_only_d_answer(&world, 30);
-    for (index = 0; index < world.server_count; index++) {
-        world.servers[index].is_doubted = strcmp(world.servers[index].entry->id, "i-d") != 0;
+    init(&fixture, four);
+    answer_only_orders_to_d(&fixture, 10);
+    ck_assert_uint_eq(plan(&fixture), 0);
+    answer_only_orders_to_d(&fixture, 30);
+    for (index = 0; index < fixture.server_count; index++) {
+        fixture.servers[index].is_doubted = strcmp(fixture.servers[index].entry->id, "i-d") != 0;
     }
-    ck_assert_uint_eq(plan(&world), 3);
-    assigner_world_tick(&world.assigner, CW_MS(20));
-    ck_assert_uint_eq(keys_of(&world, "i-d"), CW_KEY_LAST + 1);
-    clear(&world);
+    ck_assert_uint_eq(plan(&fixture), 3);
+    assigner_fixture_tick(&fixture.assigner, CW_MS(20));
+    ck_assert_uint_eq(keys_of(&fixture, "i-d"), CW_KEY_LAST + 1);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(servers_that_come_before_any_load_get_their_part)
+START_TEST(servers_listed_before_any_load_get_a_part_of_the_keys)
 {
     static const char *const five[] = {"i-a@10.0.0.1:80", "i-b@10.0.0.2:80", "i-c@10.0.0.3:80",
                                        "i-d@10.0.0.4:80", "i-e@10.0.0.5:80", NULL};
-    planner_world_t          world;
+    planner_fixture_t        fixture;
 
-    init(&world, four);
-    assigner_world_servers(&world.assigner, five);
-    refresh_servers(&world);
-    run_rounds(&world, 2);
-    ck_assert_uint_gt(keys_of(&world, "i-e"), 4000);
-    clear(&world);
+    init(&fixture, four);
+    assigner_fixture_set_servers(&fixture.assigner, five);
+    refresh_servers(&fixture);
+    run_rounds(&fixture, 2);
+    ck_assert_uint_gt(keys_of(&fixture, "i-e"), 4000);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(many_servers_that_come_before_any_load_get_their_parts_in_one_plan)
+START_TEST(many_servers_listed_before_any_load_get_their_parts_in_one_plan)
 {
     static const char *const eight[] = {"i-a@10.0.0.1:80", "i-b@10.0.0.2:80", "i-c@10.0.0.3:80",
                                         "i-d@10.0.0.4:80", "i-e@10.0.0.5:80", "i-f@10.0.0.6:80",
                                         "i-g@10.0.0.7:80", "i-h@10.0.0.8:80", NULL};
-    planner_world_t          world;
+    planner_fixture_t        fixture;
     size_t                   index;
 
-    init(&world, four);
-    assigner_world_servers(&world.assigner, eight);
-    refresh_servers(&world);
-    run_rounds(&world, 1);
+    init(&fixture, four);
+    assigner_fixture_set_servers(&fixture.assigner, eight);
+    refresh_servers(&fixture);
+    run_rounds(&fixture, 1);
     for (index = 0; index < 8; index++) {
-        ck_assert_uint_eq(keys_of(&world, world.servers[index].entry->id), (CW_KEY_LAST + 1) / 8);
+        ck_assert_uint_eq(keys_of(&fixture, fixture.servers[index].entry->id), (CW_KEY_LAST + 1) / 8);
     }
-    clear(&world);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_move_under_way_is_finished_before_the_next)
+START_TEST(a_move_is_finished_before_the_next_one_of_its_range)
 {
     static const char *const without_b[] = {"i-a@10.0.0.1:80", "i-c@10.0.0.3:80", "i-d@10.0.0.4:80", NULL};
-    planner_world_t          world;
+    planner_fixture_t        fixture;
     const cw_server_entry_t *to;
 
-    init(&world, four);
-    to = cw_server_list_find(world.assigner.servers, "i-b");
-    cw_assigner_plan_move(world.assigner.assigner, 0, 99, to, world.assigner.servers);
-    cw_assigner_plan_write(world.assigner.assigner, world.assigner.now);
-    assigner_world_tick(&world.assigner, CW_MS(20));
-    assigner_world_take_over(&world.assigner, 2); /* the record shows a move from i-a to i-b; i-b may hold the keys */
-    assigner_world_servers(&world.assigner, without_b);
-    refresh_servers(&world);
-    assigner_world_tick(&world.assigner, CW_MS(20));
-    assigner_world_tick(&world.assigner, CW_MS(20));
-    ck_assert_int_eq(cw_assigner_state(world.assigner.assigner), CW_ASSIGNER_READY);
-    (void)plan(&world);
-    assigner_world_tick(&world.assigner, CW_MS(20));
-    ck_assert_str_eq(assigner_world_range(&world.assigner, 50)->owner.id, "i-b");
-    clear(&world);
+    init(&fixture, four);
+    to = cw_server_list_find(fixture.assigner.servers, "i-b");
+    cw_assigner_plan_move(fixture.assigner.assigner, 0, 99, to, fixture.assigner.servers);
+    cw_assigner_plan_write(fixture.assigner.assigner, fixture.assigner.now);
+    assigner_fixture_tick(&fixture.assigner, CW_MS(20));
+    assigner_fixture_take_over(&fixture.assigner,
+                               2); /* the record shows an unfinished move from i-a to i-b, and i-b may hold the keys */
+    assigner_fixture_set_servers(&fixture.assigner, without_b);
+    refresh_servers(&fixture);
+    assigner_fixture_tick(&fixture.assigner, CW_MS(20));
+    assigner_fixture_tick(&fixture.assigner, CW_MS(20));
+    ck_assert_int_eq(cw_assigner_state(fixture.assigner.assigner), CW_ASSIGNER_READY);
+    (void)plan(&fixture);
+    assigner_fixture_tick(&fixture.assigner, CW_MS(20));
+    ck_assert_str_eq(assigner_fixture_range(&fixture.assigner, 50)->owner.id, "i-b");
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_window_that_has_just_begun_tells_the_full_rate)
+START_TEST(a_new_load_window_gives_the_full_rate)
 {
     cw_load_window_t window = {0};
     cw_key_load_t   *loads;
@@ -462,120 +464,120 @@
 }
 END_TEST
 
-/* ---- where requests come from ---- */
+/* ---- origins of requests ---- */
 
 enum { REGION_1 = 1, REGION_2 = 2 };
 
-/* i-a and i-b lie in one region, i-c and i-d in the other. */
-static void set_regions(planner_world_t *world, double crossing)
+/* i-a and i-b are in one region, i-c and i-d in the other. */
+static void set_regions(planner_fixture_t *fixture, double crossing)
 {
     size_t index;
 
-    world->crossing = crossing;
-    for (index = 0; index < world->server_count; index++) {
-        world->servers[index].region = strcmp(world->servers[index].entry->id, "i-c") < 0 ? REGION_1 : REGION_2;
+    fixture->crossing = crossing;
+    for (index = 0; index < fixture->server_count; index++) {
+        fixture->servers[index].region = strcmp(fixture->servers[index].entry->id, "i-c") < 0 ? REGION_1 : REGION_2;
     }
 }
 
-/* Requests of the last two seconds from a region; 0: from both by turns that look like chance. */
-static void add_load_from(planner_world_t *world, uint32_t low, uint32_t last, double per_s, uint32_t from)
+/* Adds requests of the last two seconds from a region; 0: from both regions in an apparently random order. */
+static void add_load_from(planner_fixture_t *fixture, uint32_t low, uint32_t last, double per_s, uint32_t from)
 {
     size_t   count = (size_t)(per_s * 2);
     size_t   index;
     uint32_t state = 1;
 
     for (index = 0; index < count; index++) {
-        cw_time_us_t at = world->assigner.now - CW_SECONDS(2) + (cw_time_us_t)((double)CW_SECONDS(2) * index / count);
+        cw_time_us_t at = fixture->assigner.now - CW_SECONDS(2) + (cw_time_us_t)((double)CW_SECONDS(2) * index / count);
         uint32_t     chance = (state >> 16) % 2 + 1;
         cw_key_sighting_t seen = {.key = low + (uint32_t)((uint64_t)(last - low) * ((index * 7919) % count) / count),
                                   .from = from == 0 ? chance : from,
                                   .weight = 1};
 
         state = state * 1103515245 + 12345;
-        cw_load_window_note(&world->window, &seen, at);
+        cw_load_window_note(&fixture->window, &seen, at);
     }
 }
 
-START_TEST(keys_of_a_server_that_leaves_go_to_the_region_that_asks_for_them)
+START_TEST(keys_of_a_leaving_server_go_to_the_region_of_their_requests)
 {
     static const char *const c_drains[] = {"i-a@10.0.0.1:80", "i-b@10.0.0.2:80", "i-c@10.0.0.3:80!", "i-d@10.0.0.4:80",
                                            NULL};
-    planner_world_t          world;
+    planner_fixture_t        fixture;
     uint32_t                 key;
 
-    init(&world, four);
-    key = cw_range_list_find(cw_assigner_ranges(world.assigner.assigner), 40000)->low;
-    ck_assert_str_eq(assigner_world_range(&world.assigner, key)->owner.id, "i-c");
-    assigner_world_servers(&world.assigner, c_drains);
-    refresh_servers(&world);
-    set_regions(&world, 0.5);
-    add_load_from(&world, key, key + 16383, 16, REGION_1);
-    add_load_from(&world, 0, key - 1, 20, REGION_1); /* i-d has nothing to do: it looks cheapest */
-    run_rounds(&world, 1);
-    ck_assert_str_lt(assigner_world_range(&world.assigner, key)->owner.id, "i-c");
-    clear(&world);
+    init(&fixture, four);
+    key = cw_range_list_find(cw_assigner_ranges(fixture.assigner.assigner), 40000)->low;
+    ck_assert_str_eq(assigner_fixture_range(&fixture.assigner, key)->owner.id, "i-c");
+    assigner_fixture_set_servers(&fixture.assigner, c_drains);
+    refresh_servers(&fixture);
+    set_regions(&fixture, 0.5);
+    add_load_from(&fixture, key, key + 16383, 16, REGION_1);
+    add_load_from(&fixture, 0, key - 1, 20, REGION_1); /* i-d has no load and therefore the lowest cost */
+    run_rounds(&fixture, 1);
+    ck_assert_str_lt(assigner_fixture_range(&fixture.assigner, key)->owner.id, "i-c");
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_range_is_brought_near_where_its_bytes_are_worth_a_move)
+START_TEST(a_range_moves_to_the_origin_of_large_requests)
 {
-    planner_world_t world;
+    planner_fixture_t fixture;
 
-    init(&world, four);
-    set_regions(&world, 0.3); /* short requests */
-    add_load_from(&world, 32768, 49151, 17, REGION_1);
-    add_load_from(&world, 0, 32767, 20, REGION_1);
-    ck_assert_uint_eq(plan(&world), 0);
-    set_regions(&world, 10); /* large bodies */
-    run_rounds(&world, 1);
-    ck_assert_str_lt(assigner_world_range(&world.assigner, 40000)->owner.id, "i-c");
-    clear(&world);
+    init(&fixture, four);
+    set_regions(&fixture, 0.3); /* short requests */
+    add_load_from(&fixture, 32768, 49151, 17, REGION_1);
+    add_load_from(&fixture, 0, 32767, 20, REGION_1);
+    ck_assert_uint_eq(plan(&fixture), 0);
+    set_regions(&fixture, 10); /* large bodies */
+    run_rounds(&fixture, 1);
+    ck_assert_str_lt(assigner_fixture_range(&fixture.assigner, 40000)->owner.id, "i-c");
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(requests_that_come_from_everywhere_move_nothing)
+START_TEST(requests_from_all_regions_move_no_range)
 {
-    planner_world_t world;
+    planner_fixture_t fixture;
 
-    init(&world, four);
-    set_regions(&world, 10);
-    add_load_from(&world, 0, CW_KEY_LAST, 40, 0);
-    ck_assert_uint_eq(plan(&world), 0);
-    clear(&world);
+    init(&fixture, four);
+    set_regions(&fixture, 10);
+    add_load_from(&fixture, 0, CW_KEY_LAST, 40, 0);
+    ck_assert_uint_eq(plan(&fixture), 0);
+    clear(&fixture);
 }
 END_TEST
 
-/* It has no load, so it looks cheapest. */
-START_TEST(a_doubted_server_gets_no_keys_while_another_one_can)
+/* The doubted server has no load and therefore the lowest cost. */
+START_TEST(a_doubted_server_gets_no_keys_while_another_server_can)
 {
     static const char *const a_drains[] = {"i-a@10.0.0.1:80!", "i-b@10.0.0.2:80", "i-c@10.0.0.3:80",
                                            "i-d@10.0.0.4:80",  "i-e@10.0.0.5:80", NULL};
-    planner_world_t          world;
-
-    init(&world, four);
-    assigner_world_servers(&world.assigner, a_drains);
-    refresh_servers(&world);
-    server_named(&world, "i-e")->is_doubted = true;
-    add_load(&world, 0, CW_KEY_LAST, 60);
-    run_rounds(&world, 3);
-    ck_assert_uint_eq(keys_of(&world, "i-a"), 0);
-    ck_assert_uint_eq(keys_of(&world, "i-e"), 0);
-    clear(&world);
+    planner_fixture_t        fixture;
+
+    init(&fixture, four);
+    assigner_fixture_set_servers(&fixture.assigner, a_drains);
+    refresh_servers(&fixture);
+    server_named(&fixture, "i-e")->is_doubted = true;
+    add_load(&fixture, 0, CW_KEY_LAST, 60);
+    run_rounds(&fixture, 3);
+    ck_assert_uint_eq(keys_of(&fixture, "i-a"), 0);
+    ck_assert_uint_eq(keys_of(&fixture, "i-e"), 0);
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_doubted_server_keeps_what_it_holds)
+START_TEST(a_doubted_server_keeps_its_keys)
 {
-    planner_world_t world;
-    size_t          before;
+    planner_fixture_t fixture;
+    size_t            before;
 
-    init(&world, four);
-    before = keys_of(&world, "i-b");
-    server_named(&world, "i-b")->is_doubted = true;
-    add_load(&world, 0, CW_KEY_LAST, 40);
-    run_rounds(&world, 3);
-    ck_assert_uint_eq(keys_of(&world, "i-b"), before);
-    clear(&world);
+    init(&fixture, four);
+    before = keys_of(&fixture, "i-b");
+    server_named(&fixture, "i-b")->is_doubted = true;
+    add_load(&fixture, 0, CW_KEY_LAST, 40);
+    run_rounds(&fixture, 3);
+    ck_assert_uint_eq(keys_of(&fixture, "i-b"), before);
+    clear(&fixture);
 }
 END_TEST
 
@@ -583,15 +585,15 @@
 {
     static const char *const only_d[] = {"i-a@10.0.0.1:80!", "i-b@10.0.0.2:80!", "i-c@10.0.0.3:80!", "i-d@10.0.0.4:80",
                                          NULL};
-    planner_world_t          world;
+    planner_fixture_t        fixture;
 
-    init(&world, four);
-    assigner_world_servers(&world.assigner, only_d);
-    refresh_servers(&world);
-    server_named(&world, "i-d")->is_doubted = true;
-    run_rounds(&world, 3);
-    ck_assert_uint_eq(keys_of(&world, "i-d"), CW_KEY_LAST + 1);
-    clear(&world);
+    init(&fixture, four);
+    assigner_fixture_set_servers(&fixture.assigner, only_d);
+    refresh_servers(&fixture);
+    server_named(&fixture, "i-d")->is_doubted = true;
+    run_rounds(&fixture, 3);
+    ck_assert_uint_eq(keys_of(&fixture, "i-d"), CW_KEY_LAST + 1);
+    clear(&fixture);
 }
 END_TEST
 
@@ -601,27 +603,27 @@
     TCase *cases = tcase_create("planner");
 
     tcase_add_test(cases, nothing_moves_under_even_load);
-    tcase_add_test(cases, a_hot_piece_is_spread_in_one_plan);
-    tcase_add_test(cases, a_hot_piece_of_many_servers_load_is_spread_without_overloading_any);
-    tcase_add_test(cases, a_hot_key_gets_a_fast_server_and_nothing_else_is_left_there);
-    tcase_add_test(cases, a_single_hot_key_is_not_carried_back_and_forth);
-    tcase_add_test(cases, a_slow_server_gets_less);
-    tcase_add_test(cases, a_server_with_all_keys_in_many_ranges_is_relieved);
+    tcase_add_test(cases, a_hot_part_of_the_keys_is_spread_in_one_plan);
+    tcase_add_test(cases, a_hot_part_with_the_load_of_many_servers_is_spread_without_overloading_any);
+    tcase_add_test(cases, a_hot_key_gets_a_fast_server_with_few_other_keys);
+    tcase_add_test(cases, a_single_hot_key_is_not_moved_repeatedly);
+    tcase_add_test(cases, a_slow_server_gets_fewer_keys);
+    tcase_add_test(cases, load_is_moved_from_a_server_with_all_keys_in_many_ranges);
     tcase_add_test(cases, a_draining_server_is_emptied);
-    tcase_add_test(cases, a_server_whose_is_barred_of_service_is_emptied_and_gets_nothing_back);
+    tcase_add_test(cases, a_barred_server_is_emptied_and_gets_no_keys);
     tcase_add_test(cases, a_server_that_no_order_reaches_loses_its_keys);
-    tcase_add_test(cases, owners_missing_in_a_doubtful_list_keep_their_keys);
-    tcase_add_test(cases, when_most_owners_cannot_be_reached_nothing_is_taken_away);
-    tcase_add_test(cases, most_owners_that_stay_out_of_reach_lose_their_keys_to_one_that_answers);
-    tcase_add_test(cases, servers_that_come_before_any_load_get_their_part);
-    tcase_add_test(cases, many_servers_that_come_before_any_load_get_their_parts_in_one_plan);
-    tcase_add_test(cases, a_move_under_way_is_finished_before_the_next);
-    tcase_add_test(cases, a_window_that_has_just_begun_tells_the_full_rate);
-    tcase_add_test(cases, keys_of_a_server_that_leaves_go_to_the_region_that_asks_for_them);
-    tcase_add_test(cases, a_range_is_brought_near_where_its_bytes_are_worth_a_move);
-    tcase_add_test(cases, requests_that_come_from_everywhere_move_nothing);
-    tcase_add_test(cases, a_doubted_server_gets_no_keys_while_another_one_can);
-    tcase_add_test(cases, a_doubted_server_keeps_what_it_holds);
+    tcase_add_test(cases, owners_missing_in_a_doubted_list_keep_their_keys);
+    tcase_add_test(cases, no_keys_move_when_most_owners_are_unreachable);
+    tcase_add_test(cases, owners_that_stay_unreachable_lose_their_keys_to_one_that_answers);
+    tcase_add_test(cases, servers_listed_before_any_load_get_a_part_of_the_keys);
+    tcase_add_test(cases, many_servers_listed_before_any_load_get_their_parts_in_one_plan);
+    tcase_add_test(cases, a_move_is_finished_before_the_next_one_of_its_range);
+    tcase_add_test(cases, a_new_load_window_gives_the_full_rate);
+    tcase_add_test(cases, keys_of_a_leaving_server_go_to_the_region_of_their_requests);
+    tcase_add_test(cases, a_range_moves_to_the_origin_of_large_requests);
+    tcase_add_test(cases, requests_from_all_regions_move_no_range);
+    tcase_add_test(cases, a_doubted_server_gets_no_keys_while_another_server_can);
+    tcase_add_test(cases, a_doubted_server_keeps_its_keys);
     tcase_add_test(cases, doubted_servers_get_keys_when_no_other_is_left);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -1,6 +1,7 @@
 /**
  * @file test_regions.c
- * @brief Keyed services whose routes or tenants are bound to different regions: who may own keys, and where a key lies.
+ * @brief Tests of keyed services whose routes or tenants are restricted to different regions: the regions that may own
+ * keys, and the placement of keys.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -15,7 +16,7 @@
 
 /* ---- masks ---- */
 
-START_TEST(a_mask_is_of_the_regions_that_both_rules_allow)
+START_TEST(a_mask_has_the_regions_that_both_rules_allow)
 {
     cw_region_table_t table;
     cw_name_set_t     none = {0};
@@ -43,7 +44,7 @@
 }
 END_TEST
 
-/* ---- who may own keys ---- */
+/* ---- regions that may own keys ---- */
 
 static cw_route_t *add_route(cw_configuration_t *configuration, const char *name, const char *region)
 {
@@ -60,7 +61,7 @@
     return route;
 }
 
-/* Two routes to a keyed service, in these regions. */
+/* Two routes to a keyed service, restricted to these regions. */
 static cw_configuration_t *configuration_of(const char *first, const char *second)
 {
     cw_configuration_t *configuration = cw_configuration_create(1);
@@ -74,7 +75,7 @@
     return configuration;
 }
 
-START_TEST(a_region_may_own_keys_if_some_route_may_send_there)
+START_TEST(a_region_may_own_keys_if_some_route_allows_it)
 {
     cw_configuration_t *configuration = configuration_of("r1", "r2");
 
@@ -89,7 +90,7 @@
 }
 END_TEST
 
-START_TEST(routes_and_tenants_both_bind)
+START_TEST(restrictions_of_routes_and_tenants_both_apply)
 {
     cw_configuration_t *configuration = configuration_of("r1", "r2");
     cw_tenant_t        *tenant = cw_configuration_add_tenant(configuration);
@@ -105,7 +106,7 @@
 }
 END_TEST
 
-/* ---- where a key lies ---- */
+/* ---- placement of keys ---- */
 
 static const char *region_of_owner(node_fixture_t *node, uint32_t key)
 {
@@ -136,7 +137,7 @@
     return node;
 }
 
-START_TEST(a_service_whose_routes_are_bound_to_different_regions_has_owners)
+START_TEST(a_service_with_routes_restricted_to_different_regions_has_owners)
 {
     node_fixture_t *node = lead_with("r1", "r2");
 
@@ -146,7 +147,8 @@
 }
 END_TEST
 
-/* So many seconds of requests: keys of the lower half for `low_regions`, of the upper half for `high_regions`. */
+/* Runs so many seconds with requests: those for keys of the lower half are restricted to `low_regions`, those for the
+ * upper half to `high_regions`. */
 static void pass_seconds(node_fixture_t *node, int seconds, uint32_t low_regions, uint32_t high_regions)
 {
     uint32_t            keys[KEYS];
@@ -179,7 +181,7 @@
     return cw_region_bit(&table, region);
 }
 
-/* Share of keys of one half, by samples of them, whose owner lies in the region. */
+/* Share of sampled keys of one half whose owner is in the region. */
 static double share_in(node_fixture_t *node, uint32_t half, const char *region)
 {
     uint32_t in = 0;
@@ -193,7 +195,7 @@
     return in / 256.0;
 }
 
-START_TEST(keys_go_where_their_requests_may_go)
+START_TEST(keys_move_to_the_region_that_may_serve_their_requests)
 {
     node_fixture_t *node = lead_with("r1", "r2");
 
@@ -204,7 +206,7 @@
 }
 END_TEST
 
-START_TEST(keys_asked_for_by_requests_of_two_regions_stay_with_the_larger_part)
+START_TEST(a_key_requested_from_two_regions_stays_with_the_larger_part)
 {
     node_fixture_t     *node = lead_with("r1", "r2");
     uint32_t            keys[] = {1000, 1000, 1000, 1000, 1000};
@@ -232,7 +234,7 @@
 }
 END_TEST
 
-START_TEST(requests_that_may_go_anywhere_move_no_key_for_regions)
+START_TEST(unrestricted_requests_move_no_key_because_of_regions)
 {
     node_fixture_t *node = lead_with(NULL, NULL);
     size_t          before =
@@ -246,20 +248,21 @@
 
 /* ---- failures ---- */
 
-START_TEST(keys_of_a_region_that_is_lost_go_to_where_some_request_may_go)
+START_TEST(keys_of_a_lost_region_move_to_an_allowed_region)
 {
     node_fixture_t *node = lead_with("r1", "r2");
     int             tick;
 
     pass_seconds(node, 5, bit_of(node, "r1"), bit_of(node, "r2"));
-    node_fixture_read_servers(node, "s", 2, "10.0.1.1:80"); /* those of z1 and z2; the only two that are left */
+    node_fixture_read_servers(node, "s", 2, "10.0.1.1:80"); /* only the servers of z1 and z2 are left */
     for (tick = 0; tick < 1000; tick++) {
         node_fixture_tick(node, CW_TICK_MS);
         node_fixture_answer_store(node);
         node_fixture_answer_orders(node, CW_ORDER_DONE);
     }
     ck_assert_double_eq(share_in(node, 0, "r1"), 1);
-    ck_assert_double_eq(share_in(node, 1, "r1"), 1); /* what is bound to r2 is refused; unbound requests are served */
+    ck_assert_double_eq(share_in(node, 1, "r1"),
+                        1); /* requests restricted to r2 are refused, unrestricted ones are served */
     node_fixture_free(node);
 }
 END_TEST
@@ -270,14 +273,14 @@
     TCase *cases = tcase_create("owners of keys");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, a_mask_is_of_the_regions_that_both_rules_allow);
-    tcase_add_test(cases, a_region_may_own_keys_if_some_route_may_send_there);
-    tcase_add_test(cases, routes_and_tenants_both_bind);
-    tcase_add_test(cases, a_service_whose_routes_are_bound_to_different_regions_has_owners);
-    tcase_add_test(cases, keys_go_where_their_requests_may_go);
-    tcase_add_test(cases, keys_asked_for_by_requests_of_two_regions_stay_with_the_larger_part);
-    tcase_add_test(cases, requests_that_may_go_anywhere_move_no_key_for_regions);
-    tcase_add_test(cases, keys_of_a_region_that_is_lost_go_to_where_some_request_may_go);
+    tcase_add_test(cases, a_mask_has_the_regions_that_both_rules_allow);
+    tcase_add_test(cases, a_region_may_own_keys_if_some_route_allows_it);
+    tcase_add_test(cases, restrictions_of_routes_and_tenants_both_apply);
+    tcase_add_test(cases, a_service_with_routes_restricted_to_different_regions_has_owners);
+    tcase_add_test(cases, keys_move_to_the_region_that_may_serve_their_requests);
+    tcase_add_test(cases, a_key_requested_from_two_regions_stays_with_the_larger_part);
+    tcase_add_test(cases, unrestricted_requests_move_no_key_because_of_regions);
+    tcase_add_test(cases, keys_of_a_lost_region_move_to_an_allowed_region);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_server_absence.c
+++ b/tests/test_server_absence.c
@@ -1,6 +1,6 @@
 /**
  * @file test_server_absence.c
- * @brief Which servers that are missing in a reading of the list are taken for gone.
+ * @brief Tests which servers that are missing in a reading of the list count as having left.
  */
 #include <stdio.h>
 #include <string.h>
@@ -10,7 +10,8 @@
 
 static const cw_absence_settings_t settings = {.outage = CW_MS(1500), .grace = CW_MS(2000)};
 
-/* Servers named by letters, each at an address of its own; a capital one is leaving, a digit stands at b's address. */
+/* Servers are named by letters and have different addresses. A capital letter is a leaving server; a digit is a server
+ * at b's address. */
 static cw_server_list_t *list_of(const char *names)
 {
     cw_server_list_t *list = cw_server_list_create();
@@ -33,7 +34,7 @@
     return list;
 }
 
-/* The list in force after a reading: what is kept goes on from one reading to the next. */
+/* The list in force after the last reading; servers kept in it stay known for the next reading. */
 static cw_server_list_t *known;
 static bool              store_failed;
 
@@ -49,7 +50,7 @@
     known = NULL;
 }
 
-/* Servers of the reading after what is kept was added. */
+/* Returns the number of servers in the reading after the kept ones were added. */
 static size_t count_after(const char *names, cw_time_us_t age, cw_time_us_t now)
 {
     cw_server_list_t *reading = list_of(names);
@@ -60,7 +61,7 @@
     return reading->count;
 }
 
-START_TEST(a_server_missing_on_a_calm_day_is_gone)
+START_TEST(a_server_missing_without_an_outage_has_left)
 {
     begin("abcd");
     ck_assert_uint_eq(count_after("acd", CW_MS(500), CW_SECONDS(60)), 3);
@@ -68,8 +69,9 @@
 }
 END_TEST
 
-/* A node that had no need to read the list for a while, or whose leader could not: the store served it all the time. */
-START_TEST(a_server_missing_in_an_old_list_is_gone_unless_calls_to_the_store_failed)
+/* The list is old because the node did not need to read it, or because its leader could not. The store was available
+ * all the time. */
+START_TEST(a_server_missing_after_an_old_list_has_left_unless_calls_to_the_store_failed)
 {
     begin("abcd");
     store_failed = false;
@@ -78,7 +80,7 @@
 }
 END_TEST
 
-START_TEST(after_an_outage_missing_servers_are_kept_for_the_grace)
+START_TEST(after_an_outage_missing_servers_are_kept_for_the_grace_time)
 {
     cw_time_us_t now = CW_SECONDS(60);
 
@@ -91,7 +93,7 @@
 }
 END_TEST
 
-START_TEST(a_further_outage_does_not_lengthen_the_grace)
+START_TEST(a_further_outage_does_not_lengthen_the_grace_time)
 {
     cw_time_us_t now = CW_SECONDS(60);
 
@@ -103,7 +105,7 @@
 }
 END_TEST
 
-START_TEST(most_servers_missing_at_once_are_kept_and_then_believed)
+START_TEST(many_servers_missing_at_once_are_kept_for_the_grace_time_only)
 {
     cw_time_us_t now = CW_SECONDS(60);
 
@@ -116,7 +118,7 @@
 }
 END_TEST
 
-START_TEST(neither_leaving_nor_replaced_servers_are_kept)
+START_TEST(leaving_and_replaced_servers_are_not_kept)
 {
     begin("aBcd");
     ck_assert_uint_eq(count_after("acd", CW_SECONDS(5), CW_SECONDS(60)), 3);
@@ -127,7 +129,7 @@
 }
 END_TEST
 
-START_TEST(the_grace_ends_before_the_drain_time)
+START_TEST(the_grace_time_ends_before_the_drain_time)
 {
     ck_assert_int_eq(cw_absence_settings_of(CW_MS(870), CW_SECONDS(2)).grace, CW_MS(1570));
     ck_assert_int_eq(cw_absence_settings_of(CW_MS(1300), CW_MS(1500)).grace, CW_MS(1250));
@@ -140,13 +142,13 @@
     Suite *suite = suite_create("server_absence");
     TCase *cases = tcase_create("server_absence");
 
-    tcase_add_test(cases, a_server_missing_on_a_calm_day_is_gone);
-    tcase_add_test(cases, a_server_missing_in_an_old_list_is_gone_unless_calls_to_the_store_failed);
-    tcase_add_test(cases, after_an_outage_missing_servers_are_kept_for_the_grace);
-    tcase_add_test(cases, a_further_outage_does_not_lengthen_the_grace);
-    tcase_add_test(cases, most_servers_missing_at_once_are_kept_and_then_believed);
-    tcase_add_test(cases, neither_leaving_nor_replaced_servers_are_kept);
-    tcase_add_test(cases, the_grace_ends_before_the_drain_time);
+    tcase_add_test(cases, a_server_missing_without_an_outage_has_left);
+    tcase_add_test(cases, a_server_missing_after_an_old_list_has_left_unless_calls_to_the_store_failed);
+    tcase_add_test(cases, after_an_outage_missing_servers_are_kept_for_the_grace_time);
+    tcase_add_test(cases, a_further_outage_does_not_lengthen_the_grace_time);
+    tcase_add_test(cases, many_servers_missing_at_once_are_kept_for_the_grace_time_only);
+    tcase_add_test(cases, leaving_and_replaced_servers_are_not_kept);
+    tcase_add_test(cases, the_grace_time_ends_before_the_drain_time);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_server_incarnation.c
+++ b/tests/test_server_incarnation.c
@@ -1,6 +1,6 @@
 /**
  * @file test_server_incarnation.c
- * @brief Ids of servers: a name, and the time of a start where it is stated.
+ * @brief Tests of server ids, which consist of a name and, if it is stated, a start time.
  */
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "model/server_incarnation.h"
 #include "model/server_list.h"
 
-START_TEST(an_id_is_the_name_where_no_start_is_stated)
+START_TEST(an_id_is_the_name_if_no_start_time_is_stated)
 {
     char id[CW_SERVER_ID_MAX];
 
@@ -21,7 +21,7 @@
 }
 END_TEST
 
-START_TEST(a_start_is_part_of_the_id_and_not_of_the_name)
+START_TEST(a_start_time_is_part_of_the_id_and_not_of_the_name)
 {
     char id[CW_SERVER_ID_MAX];
 
@@ -33,7 +33,7 @@
 }
 END_TEST
 
-START_TEST(a_name_may_hold_the_mark)
+START_TEST(a_name_may_contain_the_mark)
 {
     char id[CW_SERVER_ID_MAX];
 
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-START_TEST(a_later_start_of_the_same_server_succeeds_an_earlier_one)
+START_TEST(a_later_incarnation_of_the_same_server_succeeds_an_earlier_one)
 {
     ck_assert(cw_server_id_succeeds("i-a@2000", "i-a@1000"));
     ck_assert(!cw_server_id_succeeds("i-a@1000", "i-a@2000"));
@@ -78,7 +78,7 @@
     return list;
 }
 
-START_TEST(the_newest_incarnation_is_found_among_names_that_begin_alike)
+START_TEST(the_newest_incarnation_is_found_among_names_with_a_common_prefix)
 {
     static const char *const ids[] = {"i-1", "i-10@50", "i-1@9", "i-1@1000", "i-1a@2000", NULL};
     cw_server_list_t        *list = list_of(ids);
@@ -96,12 +96,12 @@
     Suite *suite = suite_create("server_incarnation");
     TCase *cases = tcase_create("server_incarnation");
 
-    tcase_add_test(cases, an_id_is_the_name_where_no_start_is_stated);
-    tcase_add_test(cases, a_start_is_part_of_the_id_and_not_of_the_name);
-    tcase_add_test(cases, a_name_may_hold_the_mark);
+    tcase_add_test(cases, an_id_is_the_name_if_no_start_time_is_stated);
+    tcase_add_test(cases, a_start_time_is_part_of_the_id_and_not_of_the_name);
+    tcase_add_test(cases, a_name_may_contain_the_mark);
     tcase_add_test(cases, an_id_that_is_too_long_is_not_written);
-    tcase_add_test(cases, a_later_start_of_the_same_server_succeeds_an_earlier_one);
-    tcase_add_test(cases, the_newest_incarnation_is_found_among_names_that_begin_alike);
+    tcase_add_test(cases, a_later_incarnation_of_the_same_server_succeeds_an_earlier_one);
+    tcase_add_test(cases, the_newest_incarnation_is_found_among_names_with_a_common_prefix);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_server_view.c
+++ b/tests/test_server_view.c
@@ -1,6 +1,6 @@
 /**
  * @file test_server_view.c
- * @brief Which list of servers is in force, for each order in which readings and the leader's lists arrive.
+ * @brief Tests which list of servers is in force for different orders in which readings and the leader's lists arrive.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -25,7 +25,8 @@
     cw_server_view_clear(&view);
 }
 
-/* A list written as letters: a capital one is leaving, a letter after '-' is kept though it is missing. */
+/* Makes a list from letters: a capital letter is a leaving server, a letter after '-' a server that is kept although it
+ * is missing. */
 static cw_server_list_t *list_of(const char *names, uint64_t sequence, cw_time_us_t missing_since)
 {
     cw_server_list_t *list = cw_server_list_create();
@@ -74,14 +75,14 @@
     return offer(&reading, now);
 }
 
-static cw_view_result_t told_at(const char *names, uint64_t revision, cw_time_us_t now, cw_time_us_t missing_since)
+static cw_view_result_t receive_at(const char *names, uint64_t revision, cw_time_us_t now, cw_time_us_t missing_since)
 {
     cw_server_reading_t reading = {.list = list_of(names, 0, missing_since), .revision = revision, .is_told = true};
 
     return offer(&reading, now);
 }
 
-/* The list in force, written the same way. */
+/* Returns the list in force in the same notation. */
 static const char *in_force(void)
 {
     static char text[64];
@@ -100,42 +101,42 @@
     return text;
 }
 
-/* ---- which list counts ---- */
+/* ---- choice of the list in force ---- */
 
-START_TEST(the_leaders_older_list_is_not_laid_over_a_newer_reading)
+START_TEST(the_leaders_older_list_does_not_replace_a_newer_reading)
 {
-    ck_assert_int_eq(told_at("abc", 90, start, 0), CW_VIEW_CHANGED);
+    ck_assert_int_eq(receive_at("abc", 90, start, 0), CW_VIEW_CHANGED);
     ck_assert_int_eq(read_at("abC", 100, 1, start + CW_MS(10)), CW_VIEW_CHANGED);
-    ck_assert_int_eq(told_at("abc", 90, start + CW_MS(30), 0), CW_VIEW_OLDER);
-    ck_assert_int_eq(told_at("abcd", 99, start + CW_MS(40), 0), CW_VIEW_OLDER);
+    ck_assert_int_eq(receive_at("abc", 90, start + CW_MS(30), 0), CW_VIEW_OLDER);
+    ck_assert_int_eq(receive_at("abcd", 99, start + CW_MS(40), 0), CW_VIEW_OLDER);
     ck_assert_str_eq(in_force(), "abC");
     ck_assert_uint_eq(view.revision, 100);
 }
 END_TEST
 
-START_TEST(a_reading_older_than_what_the_leader_told_is_not_taken)
+START_TEST(a_reading_older_than_the_leaders_list_is_not_applied)
 {
-    ck_assert_int_eq(told_at("abC", 100, start, 0), CW_VIEW_CHANGED);
+    ck_assert_int_eq(receive_at("abC", 100, start, 0), CW_VIEW_CHANGED);
     ck_assert_int_eq(read_at("abc", 90, 1, start + CW_MS(10)), CW_VIEW_OLDER);
     ck_assert_str_eq(in_force(), "abC");
 }
 END_TEST
 
-START_TEST(a_confirmation_orders_later_lists)
+START_TEST(a_confirmed_revision_excludes_earlier_lists)
 {
-    ck_assert_int_eq(told_at("abc", 90, start, 0), CW_VIEW_CHANGED);
+    ck_assert_int_eq(receive_at("abc", 90, start, 0), CW_VIEW_CHANGED);
     cw_server_view_confirm(&view, 120, start + CW_MS(500));
     ck_assert_int_eq(read_at("ab", 110, 1, start + CW_MS(600)), CW_VIEW_OLDER);
-    cw_server_view_confirm(&view, 100, start); /* an earlier word, late */
+    cw_server_view_confirm(&view, 100, start); /* an earlier confirmation that arrives late */
     ck_assert_uint_eq(view.revision, 120);
     ck_assert_int_eq(view.true_at, start + CW_MS(500));
 }
 END_TEST
 
-START_TEST(lists_of_one_revision_are_equally_good)
+START_TEST(a_list_of_the_same_revision_is_applied)
 {
     ck_assert_int_eq(read_at("abc", 90, 1, start), CW_VIEW_CHANGED);
-    ck_assert_int_eq(told_at("abc", 90, start + CW_MS(5), 0), CW_VIEW_SAME);
+    ck_assert_int_eq(receive_at("abc", 90, start + CW_MS(5), 0), CW_VIEW_SAME);
 }
 END_TEST
 
@@ -144,13 +145,13 @@
 START_TEST(a_leaving_server_stays_leaving)
 {
     ck_assert_int_eq(read_at("abC", 100, 5, start), CW_VIEW_CHANGED);
-    ck_assert_int_eq(read_at("abc", 110, 4, start + CW_MS(500)), CW_VIEW_SAME); /* an earlier heartbeat, done late */
-    ck_assert_int_eq(told_at("abc", 120, start + CW_MS(600), 0), CW_VIEW_SAME);
+    ck_assert_int_eq(read_at("abc", 110, 4, start + CW_MS(500)), CW_VIEW_SAME); /* an earlier heartbeat, written late */
+    ck_assert_int_eq(receive_at("abc", 120, start + CW_MS(600), 0), CW_VIEW_SAME);
     ck_assert_str_eq(in_force(), "abC");
 }
 END_TEST
 
-START_TEST(a_leaving_server_stays_leaving_also_after_it_was_missing)
+START_TEST(a_leaving_server_stays_leaving_after_it_was_missing)
 {
     ck_assert_int_eq(read_at("abC", 100, 5, start), CW_VIEW_CHANGED);
     ck_assert_int_eq(read_at("ab", 110, 6, start + CW_MS(500)), CW_VIEW_CHANGED);
@@ -161,7 +162,7 @@
 
 /* ---- missing ---- */
 
-START_TEST(a_missing_server_does_not_come_back_by_a_heartbeat_seen_before)
+START_TEST(a_missing_server_is_not_restored_by_an_earlier_heartbeat)
 {
     ck_assert_int_eq(read_at("abc", 100, 5, start), CW_VIEW_CHANGED);
     ck_assert_int_eq(read_at("abc", 105, 6, start + CW_MS(300)), CW_VIEW_SAME);
@@ -173,7 +174,7 @@
 }
 END_TEST
 
-START_TEST(after_an_outage_a_missing_server_is_kept_but_not_beyond_its_first_grace)
+START_TEST(after_an_outage_a_missing_server_is_kept_for_its_first_grace_time_only)
 {
     cw_server_list_t *before;
     cw_time_us_t      missed = start + CW_SECONDS(3);
@@ -184,7 +185,7 @@
     ck_assert_int_eq(read_at("ac", 120, 7, missed + CW_MS(500)), CW_VIEW_CHANGED);
     ck_assert_str_eq(in_force(), "a-bc-d");
     ck_assert_int_eq(cw_server_view_expire(&view, missed + CW_MS(1690), &before), CW_VIEW_SAME);
-    /* a further outage does not lengthen it */
+    /* a further outage does not lengthen the grace time */
     ck_assert_int_eq(read_at("ac", 130, 8, missed + CW_MS(1699)), CW_VIEW_SAME);
     ck_assert_int_eq(cw_server_view_expire(&view, missed + CW_MS(1700), &before), CW_VIEW_CHANGED);
     cw_server_list_release(before);
@@ -193,35 +194,36 @@
 }
 END_TEST
 
-START_TEST(what_another_node_keeps_does_not_bring_a_server_back)
+START_TEST(a_server_kept_by_another_node_is_not_restored)
 {
     ck_assert_int_eq(read_at("abc", 100, 5, start), CW_VIEW_CHANGED);
     ck_assert_int_eq(read_at("ab", 110, 6, start + CW_MS(500)), CW_VIEW_CHANGED);
-    /* the leader was without the store, and keeps c from now on: here its time counts from the first reading */
-    ck_assert_int_eq(told_at("ab-c", 120, start + CW_MS(1500), start + CW_MS(1500)), CW_VIEW_CHANGED);
+    /* the leader could not reach the store and keeps c from now on; here c's grace time counts from the first reading
+     */
+    ck_assert_int_eq(receive_at("ab-c", 120, start + CW_MS(1500), start + CW_MS(1500)), CW_VIEW_CHANGED);
     ck_assert_str_eq(in_force(), "ab-c");
-    ck_assert_int_eq(told_at("ab-c", 125, start + CW_MS(2300), start + CW_MS(1500)), CW_VIEW_CHANGED);
+    ck_assert_int_eq(receive_at("ab-c", 125, start + CW_MS(2300), start + CW_MS(1500)), CW_VIEW_CHANGED);
     ck_assert_str_eq(in_force(), "ab");
-    ck_assert_int_eq(told_at("abc", 130, start + CW_MS(2400), 0), CW_VIEW_CHANGED); /* it has signed in again */
+    ck_assert_int_eq(receive_at("abc", 130, start + CW_MS(2400), 0), CW_VIEW_CHANGED); /* it has registered again */
     ck_assert_str_eq(in_force(), "abc");
 }
 END_TEST
 
-START_TEST(a_list_that_may_be_older_than_the_missing_does_not_bring_a_server_back)
+START_TEST(a_list_that_may_be_older_than_the_absence_does_not_restore_a_server)
 {
     cw_server_reading_t paged = {.revision = 100, .latest = 105, .true_at = start + CW_MS(500)};
 
     ck_assert_int_eq(read_at("abc", 90, 5, start), CW_VIEW_CHANGED);
     paged.list = list_of("ab", 6, 0); /* its last page is of revision 105 */
     ck_assert_int_eq(offer(&paged, start + CW_MS(500)), CW_VIEW_CHANGED);
-    (void)told_at("abc", 103, start + CW_SECONDS(3), 0);
+    (void)receive_at("abc", 103, start + CW_SECONDS(3), 0);
     ck_assert_str_eq(in_force(), "ab");
-    ck_assert_int_eq(told_at("abc", 106, start + CW_SECONDS(4), 0), CW_VIEW_CHANGED);
+    ck_assert_int_eq(receive_at("abc", 106, start + CW_SECONDS(4), 0), CW_VIEW_CHANGED);
     ck_assert_str_eq(in_force(), "abc");
 }
 END_TEST
 
-START_TEST(departures_are_forgotten_in_the_end)
+START_TEST(departures_are_discarded_after_a_time)
 {
     ck_assert_int_eq(read_at("abC", 100, 5, start), CW_VIEW_CHANGED);
     ck_assert_int_eq(read_at("ab", 110, 6, start + CW_MS(500)), CW_VIEW_CHANGED);
@@ -231,9 +233,9 @@
 }
 END_TEST
 
-/* ---- servers that start again under their names ---- */
+/* ---- servers that restart under their names ---- */
 
-/* That server, and three that stay as they are. */
+/* Returns a list with this server and three others that stay unchanged. */
 static cw_server_list_t *with_server(const char *id, uint64_t sequence)
 {
     cw_server_list_t *list = list_of("abcd", sequence, 0);
@@ -251,16 +253,16 @@
     return offer(&reading, now);
 }
 
-START_TEST(a_server_born_again_takes_the_place_of_its_former_incarnation)
+START_TEST(a_restarted_server_replaces_its_former_incarnation)
 {
     ck_assert_int_eq(read_one("a@1000", 90, 40, start), CW_VIEW_CHANGED);
-    ck_assert_int_eq(read_one("a@2000", 91, 1, start + CW_MS(500)), CW_VIEW_CHANGED); /* its heartbeats count anew */
+    ck_assert_int_eq(read_one("a@2000", 91, 1, start + CW_MS(500)), CW_VIEW_CHANGED); /* its heartbeats start again */
     ck_assert_uint_eq(view.list->count, 4);
     ck_assert_str_eq(view.list->entries[0].id, "a@2000");
 }
 END_TEST
 
-START_TEST(a_late_entry_of_the_former_incarnation_is_not_taken)
+START_TEST(a_late_entry_of_the_former_incarnation_is_ignored)
 {
     ck_assert_int_eq(read_one("a@2000", 91, 1, start), CW_VIEW_CHANGED);
     ck_assert_int_eq(read_one("a@1000", 92, 41, start + CW_MS(500)), CW_VIEW_SAME);
@@ -268,7 +270,7 @@
 }
 END_TEST
 
-START_TEST(nor_after_the_later_incarnation_has_left)
+START_TEST(a_late_entry_is_ignored_after_the_later_incarnation_has_left)
 {
     ck_assert_int_eq(read_one("a@2000", 91, 1, start), CW_VIEW_CHANGED);
     ck_assert_int_eq(read_at("bcd", 92, 2, start + CW_MS(500)), CW_VIEW_CHANGED);
@@ -277,7 +279,7 @@
 }
 END_TEST
 
-START_TEST(leaving_is_of_one_incarnation)
+START_TEST(leaving_applies_to_one_incarnation)
 {
     cw_server_reading_t leaving = {.list = with_server("a@1000", 3), .revision = 90, .latest = 90, .true_at = start};
 
@@ -294,21 +296,21 @@
     TCase *cases = tcase_create("server_view");
 
     tcase_add_checked_fixture(cases, setup, teardown);
-    tcase_add_test(cases, the_leaders_older_list_is_not_laid_over_a_newer_reading);
-    tcase_add_test(cases, a_reading_older_than_what_the_leader_told_is_not_taken);
-    tcase_add_test(cases, a_confirmation_orders_later_lists);
-    tcase_add_test(cases, lists_of_one_revision_are_equally_good);
+    tcase_add_test(cases, the_leaders_older_list_does_not_replace_a_newer_reading);
+    tcase_add_test(cases, a_reading_older_than_the_leaders_list_is_not_applied);
+    tcase_add_test(cases, a_confirmed_revision_excludes_earlier_lists);
+    tcase_add_test(cases, a_list_of_the_same_revision_is_applied);
     tcase_add_test(cases, a_leaving_server_stays_leaving);
-    tcase_add_test(cases, a_leaving_server_stays_leaving_also_after_it_was_missing);
-    tcase_add_test(cases, a_missing_server_does_not_come_back_by_a_heartbeat_seen_before);
-    tcase_add_test(cases, after_an_outage_a_missing_server_is_kept_but_not_beyond_its_first_grace);
-    tcase_add_test(cases, what_another_node_keeps_does_not_bring_a_server_back);
-    tcase_add_test(cases, a_list_that_may_be_older_than_the_missing_does_not_bring_a_server_back);
-    tcase_add_test(cases, departures_are_forgotten_in_the_end);
-    tcase_add_test(cases, a_server_born_again_takes_the_place_of_its_former_incarnation);
-    tcase_add_test(cases, a_late_entry_of_the_former_incarnation_is_not_taken);
-    tcase_add_test(cases, nor_after_the_later_incarnation_has_left);
-    tcase_add_test(cases, leaving_is_of_one_incarnation);
+    tcase_add_test(cases, a_leaving_server_stays_leaving_after_it_was_missing);
+    tcase_add_test(cases, a_missing_server_is_not_restored_by_an_earlier_heartbeat);
+    tcase_add_test(cases, after_an_outage_a_missing_server_is_kept_for_its_first_grace_time_only);
+    tcase_add_test(cases, a_server_kept_by_another_node_is_not_restored);
+    tcase_add_test(cases, a_list_that_may_be_older_than_the_absence_does_not_restore_a_server);
+    tcase_add_test(cases, departures_are_discarded_after_a_time);
+    tcase_add_test(cases, a_restarted_server_replaces_its_former_incarnation);
+    tcase_add_test(cases, a_late_entry_of_the_former_incarnation_is_ignored);
+    tcase_add_test(cases, a_late_entry_is_ignored_after_the_later_incarnation_has_left);
+    tcase_add_test(cases, leaving_applies_to_one_incarnation);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_zones.c
+++ b/tests/test_zones.c
@@ -1,6 +1,7 @@
 /**
  * @file test_zones.c
- * @brief Zones out of service, and the rate of cold servers: the modules by themselves, and the pool that goes by them.
+ * @brief Tests of zones out of service and of the rate limit of cold servers: the modules alone, and the server pool
+ * that applies them.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -25,7 +26,7 @@
     cw_name_set_clear(&out);
 }
 
-START_TEST(a_set_has_each_name_once_and_in_order)
+START_TEST(a_name_set_is_sorted_and_unique)
 {
     cw_name_set_t left = {0};
     cw_name_set_t right = {0};
@@ -45,7 +46,7 @@
 }
 END_TEST
 
-START_TEST(owners_of_a_zone_are_reached_for_a_part_of_the_bound_that_counts_from_before_the_act)
+START_TEST(owners_of_a_zone_get_requests_for_a_share_of_the_bound_counted_from_before_the_action)
 {
     cw_zone_service_t *zones = cw_zone_service_create(out_within);
 
@@ -54,14 +55,14 @@
     ck_assert(cw_zone_service_is_out(zones, "z1") && !cw_zone_service_is_out(zones, "z2"));
     ck_assert_int_gt(cw_zone_service_owners_until(zones, "z1"), start + CW_MS(1000));
     ck_assert_int_le(cw_zone_service_owners_until(zones, "z1"), start + CW_MS(400) + out_within);
-    /* the same zone in a later snapshot does not begin a new time */
+    /* the same zone in a later snapshot does not restart the bound */
     apply(zones, "z1", start + CW_MS(3000), start + CW_MS(3500));
     ck_assert_int_le(cw_zone_service_owners_until(zones, "z1"), start + CW_MS(400) + out_within);
     cw_zone_service_free(zones);
 }
 END_TEST
 
-START_TEST(a_zone_that_is_out_at_the_start_has_been_so_for_an_unknown_time)
+START_TEST(a_zone_that_is_out_at_the_start_gets_no_requests)
 {
     cw_zone_service_t *zones = cw_zone_service_create(out_within);
 
@@ -72,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(a_zone_put_back_and_taken_out_again_begins_anew)
+START_TEST(a_zone_put_back_and_taken_out_again_gets_a_new_bound)
 {
     cw_zone_service_t *zones = cw_zone_service_create(out_within);
     cw_time_us_t       first;
@@ -90,7 +91,7 @@
 }
 END_TEST
 
-START_TEST(two_zones_are_out_independently)
+START_TEST(two_zones_are_taken_out_independently)
 {
     cw_zone_service_t *zones = cw_zone_service_create(out_within);
     cw_name_set_t      out = {0};
@@ -108,13 +109,13 @@
 }
 END_TEST
 
-/* ---- the rate of cold servers ---- */
+/* ---- rate limit of cold servers ---- */
 
 enum { NODES = 79, SECOND_US = 1000000 };
 
-static const double bears = 6.7;
+static const double cold_per_s = 6.7;
 
-/* Node `own` of `count` nodes, each known by its number. */
+/* Returns the rate limit of node `own` among `count` nodes, which are identified by numbers. */
 static cw_cold_rate_t *node_of(uint32_t own, uint32_t first, uint32_t count, cw_time_us_t now)
 {
     cw_cold_rate_t *rate = cw_cold_rate_create(own);
@@ -131,7 +132,7 @@
     return rate;
 }
 
-START_TEST(a_few_nodes_share_a_cold_server_and_others_send_none)
+START_TEST(only_a_few_nodes_send_to_a_cold_server)
 {
     uint32_t server;
 
@@ -142,16 +143,16 @@
         for (own = 1; own <= NODES; own++) {
             cw_cold_rate_t *rate = node_of(own, 1, NODES, start);
 
-            sharers += cw_cold_rate_is_sharer(rate, server, bears, start + CW_SECONDS(3)) ? 1 : 0;
+            sharers += cw_cold_rate_is_sharer(rate, server, cold_per_s, start + CW_SECONDS(3)) ? 1 : 0;
             cw_cold_rate_free(rate);
         }
-        ck_assert_uint_eq(sharers, cw_cold_rate_sharers(bears));
-        ck_assert_double_le(sharers * CW_COLD_SENDS, bears);
+        ck_assert_uint_eq(sharers, cw_cold_rate_sharers(cold_per_s));
+        ck_assert_double_le(sharers * CW_COLD_SENDS, cold_per_s);
     }
 }
 END_TEST
 
-START_TEST(a_node_sends_no_more_than_its_part_in_any_second)
+START_TEST(a_node_sends_no_more_than_its_share_in_any_second)
 {
     cw_cold_sends_t sends = {0};
     cw_time_us_t    sent[64];
@@ -172,7 +173,7 @@
 }
 END_TEST
 
-START_TEST(a_node_on_the_smaller_side_of_a_partition_sends_none)
+START_TEST(a_node_on_the_smaller_side_of_a_partition_sends_nothing)
 {
     cw_cold_rate_t *rate = node_of(1, 1, NODES, start);
     uint32_t        few[] = {2, 3, 4};
@@ -181,18 +182,18 @@
 
     cw_cold_rate_set_nodes(rate, few, 3, start + CW_SECONDS(5));
     for (server = 1; server < 200; server++) {
-        ck_assert(!cw_cold_rate_is_sharer(rate, server, bears, later));
+        ck_assert(!cw_cold_rate_is_sharer(rate, server, cold_per_s, later));
     }
     cw_cold_rate_free(rate);
 }
 END_TEST
 
-START_TEST(a_node_waits_after_the_nodes_it_knows_have_changed)
+START_TEST(a_node_waits_after_its_known_nodes_have_changed)
 {
     cw_cold_rate_t *rate = node_of(1, 1, 3, start);
     uint32_t        two[] = {2, 3, 4};
 
-    ck_assert(cw_cold_rate_is_sharer(rate, 7, bears, start + CW_SECONDS(3)));
+    ck_assert(cw_cold_rate_is_sharer(rate, 7, cold_per_s, start + CW_SECONDS(3)));
     cw_cold_rate_set_nodes(rate, two, 3, start + CW_SECONDS(3));
     ck_assert(!cw_cold_rate_is_sharer(rate, 7, 100, start + CW_SECONDS(3)));
     ck_assert(!cw_cold_rate_is_sharer(rate, 7, 100, start + CW_SECONDS(4)));
@@ -201,12 +202,12 @@
 }
 END_TEST
 
-/* ---- the pool ---- */
+/* ---- server pool ---- */
 
-typedef struct pool_world {
+typedef struct pool_fixture {
     cw_server_pool_t  *pool;
     cw_zone_service_t *zones;
-} pool_world_t;
+} pool_fixture_t;
 
 static void on_dropped(void *context, cw_server_t *server)
 {
@@ -226,107 +227,107 @@
     entry->cold_time = cold_time;
 }
 
-/* Server a in zone z1, which has taken `cold_time` to tell when it is cold, and b in z2. */
-static void update(pool_world_t *world, cw_time_us_t cold_time, cw_time_us_t now)
+/* Updates the pool with server a in zone z1, whose remaining warm-up time is `cold_time`, and server b in z2. */
+static void update(pool_fixture_t *fixture, cw_time_us_t cold_time, cw_time_us_t now)
 {
     cw_server_list_t *list = cw_server_list_create();
 
     add_server(list, "a", "z1", cold_time);
     add_server(list, "b", "z2", 0);
     cw_server_list_seal(list);
-    cw_server_pool_update(world->pool, list, now);
+    cw_server_pool_update(fixture->pool, list, now);
     cw_server_list_release(list);
 }
 
-static void init(pool_world_t *world)
+static void init(pool_fixture_t *fixture)
 {
-    cw_warm_up_t warm_up = {.duration = CW_SECONDS(3), .per_s = bears};
-
-    world->pool = cw_server_pool_create("z1", on_dropped, NULL);
-    world->zones = cw_zone_service_create(out_within);
-    cw_server_pool_set_warm_up(world->pool, "docks", &warm_up);
-    update(world, 0, start);
-    apply(world->zones, NULL, 0, start);
-    cw_server_pool_set_zones(world->pool, world->zones);
+    cw_warm_up_t warm_up = {.duration = CW_SECONDS(3), .per_s = cold_per_s};
+
+    fixture->pool = cw_server_pool_create("z1", on_dropped, NULL);
+    fixture->zones = cw_zone_service_create(out_within);
+    cw_server_pool_set_warm_up(fixture->pool, "docks", &warm_up);
+    update(fixture, 0, start);
+    apply(fixture->zones, NULL, 0, start);
+    cw_server_pool_set_zones(fixture->pool, fixture->zones);
 }
 
-static void clear(pool_world_t *world)
+static void clear(pool_fixture_t *fixture)
 {
-    cw_server_pool_free(world->pool);
-    cw_zone_service_free(world->zones);
+    cw_server_pool_free(fixture->pool);
+    cw_zone_service_free(fixture->zones);
 }
 
-static const char *chosen(pool_world_t *world, cw_time_us_t now)
+static const char *chosen(pool_fixture_t *fixture, cw_time_us_t now)
 {
     cw_choice_settings_t settings = {.zone_penalty = 0.7};
     bool                 full;
-    const cw_server_t   *server = cw_server_pool_choose(world->pool, "docks", &settings, NULL, now, &full);
+    const cw_server_t   *server = cw_server_pool_choose(fixture->pool, "docks", &settings, NULL, now, &full);
 
     return server == NULL ? "" : server->id;
 }
 
-START_TEST(requests_for_any_server_leave_a_zone_at_once_and_owners_are_reached_a_while_longer)
+START_TEST(unkeyed_requests_avoid_a_zone_immediately_and_owners_get_requests_longer)
 {
-    pool_world_t       world;
+    pool_fixture_t     fixture;
     const cw_server_t *owner;
 
-    init(&world);
-    ck_assert_str_eq(chosen(&world, start), "a");
-    apply(world.zones, "z1", start, start + CW_MS(500));
-    cw_server_pool_set_zones(world.pool, world.zones);
-    ck_assert_str_eq(chosen(&world, start + CW_MS(500)), "b");
-    owner = cw_server_pool_find(world.pool, "a");
-    ck_assert(cw_server_pool_may_send(world.pool, owner, true, start + CW_MS(500)));
-    ck_assert(!cw_server_pool_may_send(world.pool, owner, true, start + out_within - CW_MS(500)));
-    clear(&world);
+    init(&fixture);
+    ck_assert_str_eq(chosen(&fixture, start), "a");
+    apply(fixture.zones, "z1", start, start + CW_MS(500));
+    cw_server_pool_set_zones(fixture.pool, fixture.zones);
+    ck_assert_str_eq(chosen(&fixture, start + CW_MS(500)), "b");
+    owner = cw_server_pool_find(fixture.pool, "a");
+    ck_assert(cw_server_pool_may_send(fixture.pool, owner, true, start + CW_MS(500)));
+    ck_assert(!cw_server_pool_may_send(fixture.pool, owner, true, start + out_within - CW_MS(500)));
+    clear(&fixture);
 }
 END_TEST
 
 START_TEST(a_zone_that_is_put_back_counts_as_cold)
 {
-    pool_world_t       world;
+    pool_fixture_t     fixture;
     const cw_server_t *server;
 
-    init(&world);
-    apply(world.zones, "z1", start, start + CW_MS(500));
-    cw_server_pool_set_zones(world.pool, world.zones);
-    apply(world.zones, NULL, start, start + CW_SECONDS(8));
-    cw_server_pool_set_zones(world.pool, world.zones);
-    server = cw_server_pool_find(world.pool, "a");
+    init(&fixture);
+    apply(fixture.zones, "z1", start, start + CW_MS(500));
+    cw_server_pool_set_zones(fixture.pool, fixture.zones);
+    apply(fixture.zones, NULL, start, start + CW_SECONDS(8));
+    cw_server_pool_set_zones(fixture.pool, fixture.zones);
+    server = cw_server_pool_find(fixture.pool, "a");
     ck_assert(cw_server_is_rate_bounded(server, start + CW_MS(10900)));
-    ck_assert(!cw_server_pool_may_send(world.pool, server, false, start + CW_SECONDS(9)));
+    ck_assert(!cw_server_pool_may_send(fixture.pool, server, false, start + CW_SECONDS(9)));
     ck_assert(!cw_server_is_cold(server, start + CW_MS(11000)));
-    ck_assert_str_eq(chosen(&world, start + CW_MS(11000)), "a");
-    clear(&world);
+    ck_assert_str_eq(chosen(&fixture, start + CW_MS(11000)), "a");
+    clear(&fixture);
 }
 END_TEST
 
-START_TEST(a_server_that_is_cold_again_gets_no_more_than_its_rate_from_those_that_share_it)
+START_TEST(a_server_that_is_cold_again_gets_no_more_than_its_rate)
 {
-    pool_world_t    world;
+    pool_fixture_t  fixture;
     cw_cold_rate_t *rate = node_of(1, 1, 2, start - CW_SECONDS(10));
     cw_server_t    *server;
     cw_time_us_t    now;
     size_t          sent = 0;
 
-    init(&world);
-    cw_server_pool_set_cold_rate(world.pool, rate);
-    update(&world, CW_SECONDS(3), start);
-    server = cw_server_pool_find(world.pool, "a");
+    init(&fixture);
+    cw_server_pool_set_cold_rate(fixture.pool, rate);
+    update(&fixture, CW_SECONDS(3), start);
+    server = cw_server_pool_find(fixture.pool, "a");
     for (now = start; now < start + CW_SECONDS(1); now += CW_MS(5)) {
-        if (cw_server_pool_may_send(world.pool, server, false, now)) {
+        if (cw_server_pool_may_send(fixture.pool, server, false, now)) {
             cw_server_pool_begin(server, now);
             sent++;
         }
     }
     ck_assert_uint_eq(sent, CW_COLD_SENDS);
     ck_assert(!cw_server_is_cold(server, start + CW_SECONDS(3)));
-    clear(&world);
+    clear(&fixture);
     cw_cold_rate_free(rate);
 }
 END_TEST
 
-START_TEST(a_list_is_another_one_when_a_zone_goes_out_or_a_server_turns_cold)
+START_TEST(lists_differ_by_zones_out_and_by_cold_servers)
 {
     cw_server_list_t *before = cw_server_list_create();
     cw_server_list_t *after;
@@ -352,19 +353,19 @@
     Suite *suite = suite_create("zones");
     TCase *cases = tcase_create("zones and cold servers");
 
-    tcase_add_test(cases, a_set_has_each_name_once_and_in_order);
-    tcase_add_test(cases, owners_of_a_zone_are_reached_for_a_part_of_the_bound_that_counts_from_before_the_act);
-    tcase_add_test(cases, a_zone_that_is_out_at_the_start_has_been_so_for_an_unknown_time);
-    tcase_add_test(cases, a_zone_put_back_and_taken_out_again_begins_anew);
-    tcase_add_test(cases, two_zones_are_out_independently);
-    tcase_add_test(cases, a_few_nodes_share_a_cold_server_and_others_send_none);
-    tcase_add_test(cases, a_node_sends_no_more_than_its_part_in_any_second);
-    tcase_add_test(cases, a_node_on_the_smaller_side_of_a_partition_sends_none);
-    tcase_add_test(cases, a_node_waits_after_the_nodes_it_knows_have_changed);
-    tcase_add_test(cases, requests_for_any_server_leave_a_zone_at_once_and_owners_are_reached_a_while_longer);
+    tcase_add_test(cases, a_name_set_is_sorted_and_unique);
+    tcase_add_test(cases, owners_of_a_zone_get_requests_for_a_share_of_the_bound_counted_from_before_the_action);
+    tcase_add_test(cases, a_zone_that_is_out_at_the_start_gets_no_requests);
+    tcase_add_test(cases, a_zone_put_back_and_taken_out_again_gets_a_new_bound);
+    tcase_add_test(cases, two_zones_are_taken_out_independently);
+    tcase_add_test(cases, only_a_few_nodes_send_to_a_cold_server);
+    tcase_add_test(cases, a_node_sends_no_more_than_its_share_in_any_second);
+    tcase_add_test(cases, a_node_on_the_smaller_side_of_a_partition_sends_nothing);
+    tcase_add_test(cases, a_node_waits_after_its_known_nodes_have_changed);
+    tcase_add_test(cases, unkeyed_requests_avoid_a_zone_immediately_and_owners_get_requests_longer);
     tcase_add_test(cases, a_zone_that_is_put_back_counts_as_cold);
-    tcase_add_test(cases, a_server_that_is_cold_again_gets_no_more_than_its_rate_from_those_that_share_it);
-    tcase_add_test(cases, a_list_is_another_one_when_a_zone_goes_out_or_a_server_turns_cold);
+    tcase_add_test(cases, a_server_that_is_cold_again_gets_no_more_than_its_rate);
+    tcase_add_test(cases, lists_differ_by_zones_out_and_by_cold_servers);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
