--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -57,7 +57,7 @@
     bool            fresh; /**< must use a new connection, since the last order got no answer */
     cw_time_us_t    timeout;
     cw_time_us_t    sent_at;
-    cw_time_us_t    until_before; /**< end of the owner's hold if this order is not sent */
+    cw_time_us_t    hold_until_before; /**< end of the owner's hold if this order is not sent */
 } cw_order_t;
 
 typedef struct cw_assigner_settings {
--- a/src/assignment/assigner_orders.c
+++ b/src/assignment/assigner_orders.c
@@ -31,7 +31,7 @@
 }
 
 static void send_order(cw_assigner_t *assigner, cw_range_t *range, cw_order_kind_t kind, const cw_holder_t *holder,
-                       cw_time_us_t hold, cw_time_us_t until_before, cw_time_us_t now)
+                       cw_time_us_t hold, cw_time_us_t hold_until_before, cw_time_us_t now)
 {
     cw_order_t *order = add_order(assigner);
     cw_order_t  copy;
@@ -45,7 +45,7 @@
     order->fence = range->owner.fence; /* in a release, too: it is above the fence that the former holder received */
     order->hold = hold;
     order->sent_at = now;
-    order->until_before = until_before;
+    order->hold_until_before = hold_until_before;
     order->fresh = range->failing_since != 0;
     order->timeout = kind == CW_ORDER_GRANT ? assigner->settings.order_timeout : assigner->settings.release_timeout;
     if (kind == CW_ORDER_GRANT) {
@@ -265,10 +265,10 @@
     if (result == CW_ORDER_UNANSWERED) {
         range->unanswered_at = now;
     } else if (result == CW_ORDER_NOT_SENT) {
-        range->hold_until = order->until_before;
+        range->hold_until = order->hold_until_before;
     }
     range->fence_used = range->fence_used || result == CW_ORDER_UNANSWERED;
-    range->needs_fence = range->fence_used && cw_server_id_born(range->owner.id) != 0;
+    range->needs_fence = range->fence_used && cw_server_id_start_ms(range->owner.id) != 0;
     if (range->failing_since == 0) {
         range->failing_since = now;
         assigner->ports.note(assigner->ports.context, assigner->service, "grant not confirmed", range,
@@ -298,7 +298,8 @@
         break;
     case CW_ORDER_ENDED:
         range->owner_ended = true;
-        assigner->ports.note(assigner->ports.context, assigner->service, "owner ended", range, "another life answers");
+        assigner->ports.note(assigner->ports.context, assigner->service, "owner ended", range,
+                             "another incarnation answers");
         range->next_order = now + CW_MS(RESEND_NOT_SENT_MS);
         break;
     case CW_ORDER_REFUSED:
@@ -316,7 +317,7 @@
         return;
     }
     if (result == CW_ORDER_ENDED) {
-        finish_release(assigner, range, "another life answers", now);
+        finish_release(assigner, range, "another incarnation answers", now);
         return;
     }
     if (result != CW_ORDER_DONE) {
--- a/src/lease/leadership.c
+++ b/src/lease/leadership.c
@@ -218,7 +218,7 @@
  * write, since another node has probably taken the lock meanwhile. */
 static bool is_read_recent(const cw_leadership_t *leadership, cw_time_us_t now)
 {
-    return leadership->followers < PAUSE_DOUBLING_FOLLOWERS || now - leadership->looked_at < CW_MS(READ_RECENT_MS);
+    return leadership->followers < PAUSE_DOUBLING_FOLLOWERS || now - leadership->last_read_at < CW_MS(READ_RECENT_MS);
 }
 
 static cw_leadership_action_t follow(cw_leadership_t *leadership, cw_time_us_t now)
@@ -323,7 +323,7 @@
             leadership->lock.term > leadership->received_term ? leadership->lock.term : leadership->received_term;
     }
     leadership->failures = 0;
-    leadership->looked_at = now;
+    leadership->last_read_at = now;
     if (reply->revision < leadership->revision) { /* an old copy */
         leadership->next_at = now + read_pause(leadership);
         return;
--- a/src/lease/leadership.h
+++ b/src/lease/leadership.h
@@ -79,7 +79,7 @@
     bool                     absent;           /**< a read found no lock */
     bool                     is_unreadable;    /**< the object that the last read returned is not a valid lock */
     cw_time_us_t             last_received_at; /**< last heartbeat of a leader with authority */
-    cw_time_us_t             looked_at;        /**< when the store last returned the lock */
+    cw_time_us_t             last_read_at;     /**< when the store last returned the lock */
     bool                     must_read;
     cw_leadership_action_t   pending;
     cw_lock_t                write;
--- a/src/model/server_incarnation.c
+++ b/src/model/server_incarnation.c
@@ -11,15 +11,15 @@
 
 enum { DECIMAL = 10 };
 
-bool cw_server_id_write(char id[CW_SERVER_ID_MAX], const char *name, uint64_t born_ms)
+bool cw_server_id_write(char id[CW_SERVER_ID_MAX], const char *name, uint64_t start_ms)
 {
     char text[CW_SERVER_ID_MAX];
     int  length;
 
-    if (born_ms == 0 && strchr(name, CW_SERVER_ID_MARK) == NULL) {
+    if (start_ms == 0 && strchr(name, CW_SERVER_ID_MARK) == NULL) {
         length = snprintf(text, sizeof(text), "%s", name);
     } else {
-        length = snprintf(text, sizeof(text), "%s%c%" PRIu64, name, CW_SERVER_ID_MARK, born_ms);
+        length = snprintf(text, sizeof(text), "%s%c%" PRIu64, name, CW_SERVER_ID_MARK, start_ms);
     }
     if (length < 0 || length >= CW_SERVER_ID_MAX) {
         return false;
@@ -35,7 +35,7 @@
     return mark == NULL ? strlen(id) : (size_t)(mark - id);
 }
 
-uint64_t cw_server_id_born(const char *id)
+uint64_t cw_server_id_start_ms(const char *id)
 {
     const char *mark = strrchr(id, CW_SERVER_ID_MARK);
 
@@ -54,5 +54,5 @@
     size_t length = cw_server_id_name_length(later);
 
     return length == cw_server_id_name_length(earlier) && memcmp(later, earlier, length) == 0 &&
-           cw_server_id_born(later) > cw_server_id_born(earlier);
+           cw_server_id_start_ms(later) > cw_server_id_start_ms(earlier);
 }
--- a/src/model/server_incarnation.h
+++ b/src/model/server_incarnation.h
@@ -19,13 +19,13 @@
     CW_SERVER_ID_MARK = '@' /**< separates the name and the start time */
 };
 
-/** Writes the id of a server with this name that started at `born_ms` (Unix time in milliseconds; 0: not stated).
+/** Writes the id of a server with this name that started at `start_ms` (Unix time in milliseconds; 0: not stated).
  * False: the id would be too long, and nothing was written. */
-bool cw_server_id_write(char id[CW_SERVER_ID_MAX], const char *name, uint64_t born_ms);
+bool cw_server_id_write(char id[CW_SERVER_ID_MAX], const char *name, uint64_t start_ms);
 /** Length in bytes of the server's name at the beginning of an id. */
 size_t cw_server_id_name_length(const char *id);
 /** Start time of the incarnation, in Unix milliseconds; 0: not stated. */
-uint64_t cw_server_id_born(const char *id);
+uint64_t cw_server_id_start_ms(const char *id);
 /** Whether it is an id of the server with this name. */
 bool cw_server_id_has_name(const char *id, const char *name);
 /** Whether both are ids of the same server and `later` is the incarnation that started later. */
--- a/src/model/server_view.c
+++ b/src/model/server_view.c
@@ -177,7 +177,7 @@
 {
     const cw_server_entry_t *newest;
 
-    if (cw_server_id_born(entry->id) == 0) {
+    if (cw_server_id_start_ms(entry->id) == 0) {
         return true;
     }
     newest = cw_server_list_newest(view->list, entry->id);
--- a/src/placement/load_window.c
+++ b/src/placement/load_window.c
@@ -86,8 +86,8 @@
 
 static int compare_bound(const void *left, const void *right)
 {
-    const cw_bound_load_t *a = left;
-    const cw_bound_load_t *b = right;
+    const cw_region_load_t *a = left;
+    const cw_region_load_t *b = right;
 
     if (a->key != b->key) {
         return a->key < b->key ? -1 : 1;
@@ -95,7 +95,7 @@
     return a->regions < b->regions ? -1 : a->regions > b->regions;
 }
 
-static size_t merge_same_bounds(cw_bound_load_t *loads, size_t count)
+static size_t merge_same_bounds(cw_region_load_t *loads, size_t count)
 {
     size_t kept = 0;
     size_t index;
@@ -118,7 +118,8 @@
     return regions == CW_REGIONS_NOWHERE ? CW_REGIONS_ANY : regions;
 }
 
-static size_t read_by_regions(const cw_load_window_t *window, bool by_origin, cw_time_us_t now, cw_bound_load_t **loads)
+static size_t read_by_regions(const cw_load_window_t *window, bool by_origin, cw_time_us_t now,
+                              cw_region_load_t **loads)
 {
     uint32_t now_ms = (uint32_t)(now / 1000);
     double   share = filled_share(window, now_ms);
@@ -135,24 +136,24 @@
         double                  per_s = present_rate(sample, now_ms, share);
 
         if (regions != CW_REGIONS_ANY && per_s > 0) {
-            (*loads)[count++] = (cw_bound_load_t){sample->key, regions, per_s};
+            (*loads)[count++] = (cw_region_load_t){sample->key, regions, per_s};
         }
     }
     qsort(*loads, count, sizeof(**loads), compare_bound);
     return merge_same_bounds(*loads, count);
 }
 
-size_t cw_load_window_read_bound(const cw_load_window_t *window, cw_time_us_t now, cw_bound_load_t **loads)
+size_t cw_load_window_read_restricted(const cw_load_window_t *window, cw_time_us_t now, cw_region_load_t **loads)
 {
     return read_by_regions(window, false, now, loads);
 }
 
-size_t cw_load_window_read_origins(const cw_load_window_t *window, cw_time_us_t now, cw_bound_load_t **loads)
+size_t cw_load_window_read_origins(const cw_load_window_t *window, cw_time_us_t now, cw_region_load_t **loads)
 {
     return read_by_regions(window, true, now, loads);
 }
 
-size_t cw_bound_loads_first(const cw_bound_load_t *loads, size_t count, uint32_t key)
+size_t cw_region_loads_first(const cw_region_load_t *loads, size_t count, uint32_t key)
 {
     size_t low = 0;
     size_t high = count;
--- a/src/placement/load_window.h
+++ b/src/placement/load_window.h
@@ -36,11 +36,11 @@
 } cw_key_load_t;
 
 /** Load of one key, in requests per second, that may be sent to some regions only, or that comes from a region. */
-typedef struct cw_bound_load {
+typedef struct cw_region_load {
     uint32_t key;
     uint32_t regions; /**< a mask; entries of one key have different masks */
     double   per_s;
-} cw_bound_load_t;
+} cw_region_load_t;
 
 /** Requests for one key, as a node reports them. */
 typedef struct cw_key_sighting {
@@ -62,11 +62,11 @@
  */
 size_t cw_load_window_read(const cw_load_window_t *window, cw_time_us_t now, cw_key_load_t **loads);
 /** Reads the part of the load that is restricted to known regions, sorted by key. The caller frees the array. */
-size_t cw_load_window_read_bound(const cw_load_window_t *window, cw_time_us_t now, cw_bound_load_t **loads);
+size_t cw_load_window_read_restricted(const cw_load_window_t *window, cw_time_us_t now, cw_region_load_t **loads);
 /** Reads the part of the load that came from known regions, sorted by key. The caller frees the array. */
-size_t cw_load_window_read_origins(const cw_load_window_t *window, cw_time_us_t now, cw_bound_load_t **loads);
+size_t cw_load_window_read_origins(const cw_load_window_t *window, cw_time_us_t now, cw_region_load_t **loads);
 /** Index of the first of the loads at or above a key. */
-size_t cw_bound_loads_first(const cw_bound_load_t *loads, size_t count, uint32_t key);
+size_t cw_region_loads_first(const cw_region_load_t *loads, size_t count, uint32_t key);
 /** Index of the first of the loads at or above a key. */
 size_t cw_key_loads_first(const cw_key_load_t *loads, size_t count, uint32_t key);
 /** Load on keys low to last in requests per second. */
--- a/src/placement/order_trust.c
+++ b/src/placement/order_trust.c
@@ -70,9 +70,9 @@
 
 static cw_time_us_t pause_after(uint32_t tries)
 {
-    cw_time_us_t pause = CW_SECONDS(CW_ORDER_DOUBT_FIRST_S);
+    cw_time_us_t pause = CW_SECONDS(CW_ORDER_DOUBT_INITIAL_S);
 
-    while (tries-- > 0 && pause < CW_SECONDS(CW_ORDER_DOUBT_MOST_S)) {
+    while (tries-- > 0 && pause < CW_SECONDS(CW_ORDER_DOUBT_MAX_S)) {
         pause *= 2;
     }
     return pause;
@@ -124,7 +124,7 @@
 
     HASH_ITER(hh, trust->doubts, doubt, next)
     {
-        if (now - doubt->failed_at > 2 * CW_SECONDS(CW_ORDER_DOUBT_MOST_S)) {
+        if (now - doubt->failed_at > 2 * CW_SECONDS(CW_ORDER_DOUBT_MAX_S)) {
             remove_doubt(trust, doubt);
         }
     }
--- a/src/placement/order_trust.h
+++ b/src/placement/order_trust.h
@@ -9,8 +9,8 @@
  *  - A server is doubted after CW_ORDER_FAILURES failed orders in a row: no connection, no answer, or an answer of
  *    another incarnation at its address.
  *  - It is trusted again after it has answered an order, or a request of this node: both take the same network path.
- *  - A doubted server may be tried after CW_ORDER_DOUBT_FIRST_S; each failed try doubles the pause, up to
- *    CW_ORDER_DOUBT_MOST_S. Keys that it got in a try are moved elsewhere as those of any lost owner.
+ *  - A doubted server may be tried after CW_ORDER_DOUBT_INITIAL_S; each failed try doubles the pause, up to
+ *    CW_ORDER_DOUBT_MAX_S. Keys that it got in a try are moved elsewhere as those of any lost owner.
  *  - Doubt proves nothing about a server's state: keys are never treated as free because of it, and a planner without
  *    any other server assigns keys to doubted ones.
  *
@@ -26,9 +26,9 @@
 #include "base/time.h"
 
 enum {
-    CW_ORDER_FAILURES = 2,      /**< a single one may be an idle connection that the server closed, or a lost answer */
-    CW_ORDER_DOUBT_FIRST_S = 4, /**< longer than the 1.2 s until an owner counts as lost plus the plan after it */
-    CW_ORDER_DOUBT_MOST_S = 64  /**< longest time that a recovered server without load waits for keys */
+    CW_ORDER_FAILURES = 2, /**< a single one may be an idle connection that the server closed, or a lost answer */
+    CW_ORDER_DOUBT_INITIAL_S = 4, /**< longer than the 1.2 s until an owner counts as lost plus the plan after it */
+    CW_ORDER_DOUBT_MAX_S = 64     /**< longest time that a recovered server without load waits for keys */
 };
 
 typedef struct cw_order_trust cw_order_trust_t;
@@ -44,7 +44,7 @@
 bool cw_order_trust_is_doubted(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
 /** Number of servers with recorded failures. */
 size_t cw_order_trust_servers(const cw_order_trust_t *trust);
-/** Discards servers without a failed order for twice CW_ORDER_DOUBT_MOST_S: they are no longer listed. */
+/** Discards servers without a failed order for twice CW_ORDER_DOUBT_MAX_S: they are no longer listed. */
 void cw_order_trust_expire(cw_order_trust_t *trust, cw_time_us_t now);
 
 #endif
--- a/src/placement/ownership_measures.c
+++ b/src/placement/ownership_measures.c
@@ -46,8 +46,8 @@
 
 /* ---- comparison of a range with the previous observation of its keys ---- */
 
-static void compare_part(cw_ownership_measures_t *measures, const cw_range_t *range, const cw_range_seen_t *before,
-                         cw_range_seen_t *now_seen)
+static void compare_part(cw_ownership_measures_t *measures, const cw_range_t *range,
+                         const cw_range_observation_t *before, cw_range_observation_t *now_seen)
 {
     uint32_t low = before->low > range->low ? before->low : range->low;
     uint32_t last = before->last < range->last ? before->last : range->last;
@@ -74,14 +74,14 @@
 }
 
 /* `first`: index of the first previously observed range that may overlap this one; both lists are sorted by key. */
-static cw_range_seen_t observe_range(cw_ownership_measures_t *measures, const cw_range_t *range, size_t *first,
-                                     cw_time_us_t now)
+static cw_range_observation_t observe_range(cw_ownership_measures_t *measures, const cw_range_t *range, size_t *first,
+                                            cw_time_us_t now)
 {
-    cw_range_seen_t seen = {.low = range->low,
-                            .last = range->last,
-                            .owner = owner_hash(range),
-                            .unavailable_since = is_available(range) ? 0 : now};
-    size_t          index;
+    cw_range_observation_t seen = {.low = range->low,
+                                   .last = range->last,
+                                   .owner = owner_hash(range),
+                                   .unavailable_since = is_available(range) ? 0 : now};
+    size_t                 index;
 
     while (*first < measures->seen_count && measures->seen[*first].last < range->low) {
         (*first)++;
@@ -92,7 +92,7 @@
     return seen;
 }
 
-static void count_unavailable(cw_ownership_measures_t *measures, const cw_range_seen_t *seen, cw_time_us_t now)
+static void count_unavailable(cw_ownership_measures_t *measures, const cw_range_observation_t *seen, cw_time_us_t now)
 {
     cw_time_us_t from = seen->unavailable_since > measures->looked_at ? seen->unavailable_since : measures->looked_at;
     double       gap_s = seconds(now - seen->unavailable_since);
@@ -108,9 +108,9 @@
 
 void cw_ownership_measures_look(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now)
 {
-    cw_range_seen_t *seen = calloc(ranges->count + 1, sizeof(*seen));
-    size_t           first = 0;
-    size_t           index;
+    cw_range_observation_t *seen = calloc(ranges->count + 1, sizeof(*seen));
+    size_t                  first = 0;
+    size_t                  index;
 
     if (seen == NULL) {
         abort();
--- a/src/placement/ownership_measures.h
+++ b/src/placement/ownership_measures.h
@@ -21,29 +21,29 @@
 #include "placement/load_window.h"
 
 /** State of a range at the last observation. */
-typedef struct cw_range_seen {
+typedef struct cw_range_observation {
     uint32_t     low;
     uint32_t     last;
     uint64_t     owner;             /**< hash of its id; 0: none */
     bool         is_moving;         /**< its owner has changed and has not confirmed the grant yet */
     cw_time_us_t unavailable_since; /**< 0: it is available */
-} cw_range_seen_t;
+} cw_range_observation_t;
 
 typedef struct cw_ownership_measures {
-    double           imbalance;            /**< latest value; 0: no load */
-    double           imbalance_weighted_s; /**< sum of imbalance times its duration in seconds */
-    double           imbalance_s;          /**< sum of these durations in seconds */
-    double           moved_keys;
-    double           moved_cold_keys;
-    double           moved_load; /**< sum of the moved keys' shares of the load */
-    double           unavailable_key_s;
-    double           unavailable_longest_s;
-    cw_range_seen_t *seen;
-    size_t           seen_count;
-    cw_time_us_t     looked_at;
-    cw_time_us_t     load_at;
-    cw_key_load_t   *loads; /**< latest reading of the load window */
-    size_t           load_count;
+    double                  imbalance;            /**< latest value; 0: no load */
+    double                  imbalance_weighted_s; /**< sum of imbalance times its duration in seconds */
+    double                  imbalance_s;          /**< sum of these durations in seconds */
+    double                  moved_keys;
+    double                  moved_cold_keys;
+    double                  moved_load; /**< sum of the moved keys' shares of the load */
+    double                  unavailable_key_s;
+    double                  unavailable_longest_s;
+    cw_range_observation_t *seen;
+    size_t                  seen_count;
+    cw_time_us_t            looked_at;
+    cw_time_us_t            load_at;
+    cw_key_load_t          *loads; /**< latest reading of the load window */
+    size_t                  load_count;
 } cw_ownership_measures_t;
 
 void cw_ownership_measures_clear(cw_ownership_measures_t *measures);
--- a/src/placement/planner.c
+++ b/src/placement/planner.c
@@ -23,8 +23,8 @@
                                                    .refusal = 20, /* its value is lost and the caller repeats it */
                                                    .errors = 1.5,
                                                    .moves_max = 12,
-                                                   .ranges_each = 4,
-                                                   .rest = CW_MS(900)};
+                                                   .ranges_per_server = 4,
+                                                   .min_stay = CW_MS(900)};
 
 /* ---- ranges and loads ---- */
 
@@ -47,7 +47,7 @@
         }
     }
     for (index = 0; index < planner->server_count; index++) {
-        cw_planner_price_load(&planner->servers[index]);
+        cw_planner_update_marginal(&planner->servers[index]);
     }
 }
 
@@ -77,7 +77,7 @@
  * must not split ranges without a limit. */
 static bool is_fragmented(const cw_planner_t *planner)
 {
-    return planner->ranges.count >= planner->settings->ranges_each * planner->server_count;
+    return planner->ranges.count >= planner->settings->ranges_per_server * planner->server_count;
 }
 
 /* ---- forced moves ---- */
@@ -135,7 +135,7 @@
             (from != NULL && !is_to_be_emptied(from) && is_move_postponed(planner, range, failing_share))) {
             continue;
         }
-        to = cw_planner_best_for(planner, &piece, range->owner.id);
+        to = cw_planner_best_server(planner, &piece, range->owner.id);
         if (to != NULL) {
             piece.per_s = cw_planner_load_between(planner, range->low, range->last);
             cw_planner_move(planner, &piece, from, to);
@@ -164,7 +164,7 @@
     const cw_range_list_t *ranges = cw_assigner_ranges(planner->assigner);
     size_t                 index;
 
-    if (ranges->count <= planner->settings->ranges_each * planner->server_count) {
+    if (ranges->count <= planner->settings->ranges_per_server * planner->server_count) {
         return;
     }
     for (index = 0; index + 1 < ranges->count; index++) {
@@ -208,7 +208,7 @@
         return 0;
     }
     planner.load_count = cw_load_window_read(input->window, planner.now, &planner.loads);
-    planner.bound_count = cw_load_window_read_bound(input->window, planner.now, &planner.bounds);
+    planner.restricted_count = cw_load_window_read_restricted(input->window, planner.now, &planner.restricted);
     if (input->crossing > 0) {
         planner.crossing = input->crossing;
         planner.origin_count = cw_load_window_read_origins(input->window, planner.now, &planner.origins);
@@ -237,7 +237,7 @@
     }
     cw_assigner_plan_write(planner.assigner, planner.now);
     free(planner.origins);
-    free(planner.bounds);
+    free(planner.restricted);
     free(planner.loads);
     cw_range_list_clear(&planner.ranges);
     return planner.changes;
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -34,11 +34,11 @@
     double       gain_min;     /**< least gain of a move, and fixed part of its price */
     double       move_price;   /**< price of moving all keys, for each request per second of the whole service */
     double       interruption; /**< price for each request per second on the moved keys, which waits during the move */
-    double       refusal;     /**< cost of a request that may not be sent to its key's owner, in usual response times */
-    double       errors;      /**< number of standard errors by which measured rates may be wrong */
-    size_t       moves_max;   /**< moves for balance in one plan, with few servers */
-    size_t       ranges_each; /**< number of ranges per server above which ranges are merged */
-    cw_time_us_t rest;        /**< how long a moved range stays before balance may move it again */
+    double       refusal;   /**< cost of a request that may not be sent to its key's owner, in usual response times */
+    double       errors;    /**< number of standard errors by which measured rates may be wrong */
+    size_t       moves_max; /**< moves for balance in one plan, with few servers */
+    size_t       ranges_per_server; /**< number of ranges per server above which ranges are merged */
+    cw_time_us_t min_stay;          /**< how long a moved range stays before balance may move it again */
 } cw_planner_settings_t;
 
 /** Settings that the router uses. */
--- a/src/placement/planner_balance.c
+++ b/src/placement/planner_balance.c
@@ -131,7 +131,7 @@
         for (at_low_end = 0; at_low_end < 2; at_low_end++) {
             cw_planner_piece_t piece = planner->is_fragmented ? whole_range(planner, range, wanted)
                                                               : end_piece(planner, range, wanted, at_low_end);
-            double profit = certain_gain(planner, from, to, piece.per_s) - cw_planner_price(planner, &piece) +
+            double profit = certain_gain(planner, from, to, piece.per_s) - cw_planner_move_price(planner, &piece) +
                             cw_planner_region_gain(planner, &piece, from, to);
 
             if (piece.per_s > 0 && profit > best_profit) {
@@ -143,7 +143,7 @@
     return best_profit > 0;
 }
 
-/* Rate that a server can get without becoming overloaded itself: it keeps moved keys for settings.rest. */
+/* Rate that a server can get without becoming overloaded itself: it keeps moved keys for settings.min_stay. */
 static double spare_rate(const cw_planner_t *planner, const cw_planner_server_t *server)
 {
     double most = planner->busy * spare_mean_factor > spare_busy ? planner->busy * spare_mean_factor : spare_busy;
@@ -176,7 +176,7 @@
 static bool move_load_away(cw_planner_t *planner, cw_planner_server_t *from)
 {
     cw_planner_server_t *best = cw_planner_least_busy(planner, from->entry->id);
-    cw_planner_server_t *near = planner->bound_count == 0 ? best : cw_planner_least_busy_in(planner, from);
+    cw_planner_server_t *near = planner->restricted_count == 0 ? best : cw_planner_least_busy_in(planner, from);
 
     return (near != best && move_load_to(planner, from, near)) || move_load_to(planner, from, best);
 }
--- a/src/placement/planner_cost.c
+++ b/src/placement/planner_cost.c
@@ -31,7 +31,7 @@
     return per_s <= 0 ? 0 : per_s * time_at(server, per_s);
 }
 
-void cw_planner_price_load(cw_planner_server_t *server)
+void cw_planner_update_marginal(cw_planner_server_t *server)
 {
     const double step = 0.5;
 
--- a/src/placement/planner_hot.c
+++ b/src/placement/planner_hot.c
@@ -18,9 +18,9 @@
 
 bool cw_planner_is_hot(const cw_planner_t *planner, const cw_key_load_t *load)
 {
-    double surely = load->per_s - planner->settings->errors * cw_load_error(load->per_s);
+    double certain_per_s = load->per_s - planner->settings->errors * cw_load_error(load->per_s);
 
-    return surely * planner->fastest_cost >= hot_busy;
+    return certain_per_s * planner->fastest_cost >= hot_busy;
 }
 
 /* Load of the server without this key, as a share of its slots. */
@@ -67,7 +67,7 @@
 
     if (!cw_assigner_is_settled(planner->assigner, range, planner->now) ||
         (is_alone && (owner == NULL || owner->cost_s <= planner->fastest_cost * stay_factor ||
-                      planner->now - range->moved_at <= planner->settings->rest))) {
+                      planner->now - range->moved_at <= planner->settings->min_stay))) {
         return;
     }
     best = best_server_for_hot_key(planner, owner, load);
--- a/src/placement/planner_internal.h
+++ b/src/placement/planner_internal.h
@@ -21,19 +21,19 @@
     cw_range_list_t              ranges; /**< ranges after the moves planned so far */
     cw_key_load_t               *loads;
     size_t                       load_count;
-    cw_bound_load_t             *bounds; /**< load that may be sent to some regions only, sorted by key */
-    size_t                       bound_count;
-    cw_bound_load_t *origins; /**< load with the region that it comes from, sorted by key; empty if crossing is free */
-    size_t           origin_count;
-    double           crossing;      /**< cost of a request from another region, in usual response times */
-    double           per_s;         /**< load on all keys */
-    double           fastest_cost;  /**< share of its slots that one request per second takes at the fastest server */
-    double           busy;          /**< mean busy share of the servers that may get keys */
-    double           errors;        /**< standard errors with which a move must still gain; higher with many servers */
-    bool             is_fragmented; /**< there are so many ranges that balance moves only whole ones */
-    bool             doubts_list;
-    cw_time_us_t     now;
-    size_t           changes;
+    cw_region_load_t            *restricted; /**< load that may be sent to some regions only, sorted by key */
+    size_t                       restricted_count;
+    cw_region_load_t *origins; /**< load with the region that it comes from, sorted by key; empty if crossing is free */
+    size_t            origin_count;
+    double            crossing;      /**< cost of a request from another region, in usual response times */
+    double            per_s;         /**< load on all keys */
+    double            fastest_cost;  /**< share of its slots that one request per second takes at the fastest server */
+    double            busy;          /**< mean busy share of the servers that may get keys */
+    double            errors;        /**< standard errors with which a move must still gain; higher with many servers */
+    bool              is_fragmented; /**< there are so many ranges that balance moves only whole ones */
+    bool              doubts_list;
+    cw_time_us_t      now;
+    size_t            changes;
 } cw_planner_t;
 
 /** A part of a range that could be moved, with its load. */
@@ -54,7 +54,7 @@
 void cw_planner_move(cw_planner_t *planner, const cw_planner_piece_t *piece, cw_planner_server_t *from,
                      cw_planner_server_t *to);
 /** Price of moving a piece, which the gain must exceed. */
-double cw_planner_price(const cw_planner_t *planner, const cw_planner_piece_t *piece);
+double cw_planner_move_price(const cw_planner_t *planner, const cw_planner_piece_t *piece);
 /** Whether a range may be moved for balance now: it is settled and its last move is long enough ago. */
 bool cw_planner_is_moveable(const cw_planner_t *planner, const cw_range_t *range);
 
@@ -62,7 +62,7 @@
 /** Cost of a load at a server: the requests per second times the time of one there, in usual response times. */
 double cw_planner_total_cost(const cw_planner_server_t *server, double per_s);
 /** Sets the server's marginal cost. To be called after each change of the server's load. */
-void cw_planner_price_load(cw_planner_server_t *server);
+void cw_planner_update_marginal(cw_planner_server_t *server);
 /** The server's marginal cost, with ties broken by its number of keys. */
 double cw_planner_rank(const cw_planner_server_t *server);
 /** Returns the usable server with the lowest rank, other than the one with this id; NULL: none. */
@@ -79,8 +79,8 @@
 double cw_planner_region_gain(const cw_planner_t *planner, const cw_planner_piece_t *piece,
                               const cw_planner_server_t *from, const cw_planner_server_t *to);
 /** Returns the usable server at which the piece costs least, refusals included, other than the one with this id. */
-cw_planner_server_t *cw_planner_best_for(const cw_planner_t *planner, const cw_planner_piece_t *piece,
-                                         const char *except);
+cw_planner_server_t *cw_planner_best_server(const cw_planner_t *planner, const cw_planner_piece_t *piece,
+                                            const char *except);
 /** Returns the usable server of the same region with the lowest rank, other than this one; NULL: none. */
 cw_planner_server_t *cw_planner_least_busy_in(const cw_planner_t *planner, const cw_planner_server_t *server);
 /** Moves keys whose requests must not be sent to the owner's region to a server of an allowed region. */
--- a/src/placement/planner_move.c
+++ b/src/placement/planner_move.c
@@ -34,7 +34,7 @@
 }
 
 /* The price has a part for each moved key, and a part for the requests that wait or are refused during the move. */
-double cw_planner_price(const cw_planner_t *planner, const cw_planner_piece_t *piece)
+double cw_planner_move_price(const cw_planner_t *planner, const cw_planner_piece_t *piece)
 {
     double share = (double)(piece->last - piece->low + 1) / (CW_KEY_LAST + 1);
 
@@ -65,16 +65,16 @@
     if (from != NULL) {
         from->per_s -= piece->per_s;
         from->keys -= piece->last - piece->low + 1;
-        cw_planner_price_load(from);
+        cw_planner_update_marginal(from);
     }
     to->per_s += piece->per_s;
     to->keys += piece->last - piece->low + 1;
-    cw_planner_price_load(to);
+    cw_planner_update_marginal(to);
     planner->changes++;
 }
 
 bool cw_planner_is_moveable(const cw_planner_t *planner, const cw_range_t *range)
 {
     return cw_assigner_is_settled(planner->assigner, range, planner->now) &&
-           planner->now - range->moved_at > planner->settings->rest;
+           planner->now - range->moved_at > planner->settings->min_stay;
 }
--- a/src/placement/planner_regions.c
+++ b/src/placement/planner_regions.c
@@ -21,12 +21,13 @@
  * with less than 12.5 requests per second are never moved for nearness alone. */
 static const double random_errors = 5;
 
-static double load_outside(const cw_bound_load_t *loads, size_t count, const cw_planner_piece_t *piece, uint32_t region)
+static double load_outside(const cw_region_load_t *loads, size_t count, const cw_planner_piece_t *piece,
+                           uint32_t region)
 {
     double per_s = 0;
     size_t index;
 
-    for (index = cw_bound_loads_first(loads, count, piece->low); index < count && loads[index].key <= piece->last;
+    for (index = cw_region_loads_first(loads, count, piece->low); index < count && loads[index].key <= piece->last;
          index++) {
         per_s += cw_region_mask_allows(loads[index].regions, region) ? 0 : loads[index].per_s;
     }
@@ -36,7 +37,7 @@
 static double refused_load(const cw_planner_t *planner, const cw_planner_piece_t *piece,
                            const cw_planner_server_t *server)
 {
-    return load_outside(planner->bounds, planner->bound_count, piece, server->region);
+    return load_outside(planner->restricted, planner->restricted_count, piece, server->region);
 }
 
 static double crossing_load(const cw_planner_t *planner, const cw_planner_piece_t *piece,
@@ -47,7 +48,7 @@
 
 static bool has_regions(const cw_planner_t *planner)
 {
-    return planner->bound_count > 0 || planner->origin_count > 0;
+    return planner->restricted_count > 0 || planner->origin_count > 0;
 }
 
 double cw_planner_region_cost(const cw_planner_t *planner, const cw_planner_piece_t *piece,
@@ -83,8 +84,8 @@
            planner->crossing * without_random_part(piece, difference);
 }
 
-cw_planner_server_t *cw_planner_best_for(const cw_planner_t *planner, const cw_planner_piece_t *piece,
-                                         const char *except)
+cw_planner_server_t *cw_planner_best_server(const cw_planner_t *planner, const cw_planner_piece_t *piece,
+                                            const char *except)
 {
     cw_planner_server_t *best = NULL;
     double               best_cost = 0;
@@ -133,7 +134,7 @@
     bool               is_whole; /**< the range has no other restricted load */
 } run_t;
 
-static bool extends_run(const run_t *run, const cw_bound_load_t *load, uint32_t owner_region)
+static bool extends_run(const run_t *run, const cw_region_load_t *load, uint32_t owner_region)
 {
     return !cw_region_mask_allows(load->regions, owner_region) && (run->regions & load->regions) != 0;
 }
@@ -142,22 +143,22 @@
  * region. */
 static run_t find_run(const cw_planner_t *planner, const cw_range_t *range, size_t begin, uint32_t owner_region)
 {
-    size_t first = cw_bound_loads_first(planner->bounds, planner->bound_count, range->low);
-    size_t end = cw_bound_loads_first(planner->bounds, planner->bound_count, range->last + 1);
+    size_t first = cw_region_loads_first(planner->restricted, planner->restricted_count, range->low);
+    size_t end = cw_region_loads_first(planner->restricted, planner->restricted_count, range->last + 1);
     run_t  run = {.regions = UINT32_MAX, .end = begin};
 
-    while (run.end < end && cw_region_mask_allows(planner->bounds[run.end].regions, owner_region)) {
+    while (run.end < end && cw_region_mask_allows(planner->restricted[run.end].regions, owner_region)) {
         run.end++;
     }
     begin = run.end;
-    while (run.end < end && extends_run(&run, &planner->bounds[run.end], owner_region)) {
-        run.regions &= planner->bounds[run.end].regions;
+    while (run.end < end && extends_run(&run, &planner->restricted[run.end], owner_region)) {
+        run.regions &= planner->restricted[run.end].regions;
         run.end++;
     }
     if (run.end > begin) {
         run.is_whole = begin == first && run.end == end;
-        run.piece.low = run.is_whole ? range->low : planner->bounds[begin].key;
-        run.piece.last = run.is_whole ? range->last : planner->bounds[run.end - 1].key;
+        run.piece.low = run.is_whole ? range->low : planner->restricted[begin].key;
+        run.piece.last = run.is_whole ? range->last : planner->restricted[run.end - 1].key;
         run.piece.per_s = cw_planner_load_between(planner, run.piece.low, run.piece.last);
     }
     return run;
@@ -166,24 +167,24 @@
 static bool is_worth_moving(const cw_planner_t *planner, const run_t *run, const cw_planner_server_t *from,
                             const cw_planner_server_t *to)
 {
-    double served = refused_load(planner, &run->piece, from) - refused_load(planner, &run->piece, to);
-    double surely = served - planner->settings->errors * cw_load_error(served);
+    double gain_per_s = refused_load(planner, &run->piece, from) - refused_load(planner, &run->piece, to);
+    double certain_per_s = gain_per_s - planner->settings->errors * cw_load_error(gain_per_s);
 
-    return surely * planner->settings->refusal > cw_planner_price(planner, &run->piece);
+    return certain_per_s * planner->settings->refusal > cw_planner_move_price(planner, &run->piece);
 }
 
 /* Moves the first run of the range whose gain exceeds its price. */
 static bool move_run(cw_planner_t *planner, const cw_range_t *range)
 {
     cw_planner_server_t *from = cw_planner_server_of(planner, range->owner.id);
-    size_t               begin = cw_bound_loads_first(planner->bounds, planner->bound_count, range->low);
+    size_t               begin = cw_region_loads_first(planner->restricted, planner->restricted_count, range->low);
 
     if (from == NULL || !cw_planner_is_moveable(planner, range)) {
         return false;
     }
-    while (begin < planner->bound_count && planner->bounds[begin].key <= range->last) {
+    while (begin < planner->restricted_count && planner->restricted[begin].key <= range->last) {
         run_t                run = find_run(planner, range, begin, from->region);
-        cw_planner_server_t *to = cw_planner_best_for(planner, &run.piece, from->entry->id);
+        cw_planner_server_t *to = cw_planner_best_server(planner, &run.piece, from->entry->id);
 
         if (run.end > begin && run.regions != UINT32_MAX && to != NULL && (run.is_whole || !planner->is_fragmented) &&
             is_worth_moving(planner, &run, from, to)) {
@@ -200,10 +201,10 @@
 {
     cw_planner_piece_t   piece = {range->low, range->last, cw_planner_load_between(planner, range->low, range->last)};
     cw_planner_server_t *from = cw_planner_server_of(planner, range->owner.id);
-    cw_planner_server_t *to = cw_planner_best_for(planner, &piece, range->owner.id);
+    cw_planner_server_t *to = cw_planner_best_server(planner, &piece, range->owner.id);
 
     if (from == NULL || to == NULL || to->region == from->region || !cw_planner_is_moveable(planner, range) ||
-        cw_planner_region_gain(planner, &piece, from, to) <= cw_planner_price(planner, &piece)) {
+        cw_planner_region_gain(planner, &piece, from, to) <= cw_planner_move_price(planner, &piece)) {
         return false;
     }
     cw_planner_move(planner, &piece, from, to);
--- a/tests/test_order_trust.c
+++ b/tests/test_order_trust.c
@@ -56,8 +56,8 @@
     cw_time_us_t      now = CW_SECONDS(1);
     int               pause_s;
 
-    for (pause_s = CW_ORDER_DOUBT_FIRST_S; pause_s <= 4 * CW_ORDER_DOUBT_MOST_S; pause_s *= 2) {
-        int bounded_s = pause_s < CW_ORDER_DOUBT_MOST_S ? pause_s : CW_ORDER_DOUBT_MOST_S;
+    for (pause_s = CW_ORDER_DOUBT_INITIAL_S; pause_s <= 4 * CW_ORDER_DOUBT_MAX_S; pause_s *= 2) {
+        int bounded_s = pause_s < CW_ORDER_DOUBT_MAX_S ? pause_s : CW_ORDER_DOUBT_MAX_S;
 
         fail_orders(trust, 8, now); /* orders of one try */
         ck_assert(cw_order_trust_is_doubted(trust, SERVER, 0, now + CW_SECONDS(bounded_s) - 1));
@@ -73,9 +73,9 @@
     cw_order_trust_t *trust = cw_order_trust_create();
 
     fail_orders(trust, 2, CW_SECONDS(1));
-    cw_order_trust_expire(trust, CW_SECONDS(2 * CW_ORDER_DOUBT_MOST_S));
+    cw_order_trust_expire(trust, CW_SECONDS(2 * CW_ORDER_DOUBT_MAX_S));
     ck_assert_uint_eq(cw_order_trust_servers(trust), 1);
-    cw_order_trust_expire(trust, CW_SECONDS(2 * CW_ORDER_DOUBT_MOST_S + 2));
+    cw_order_trust_expire(trust, CW_SECONDS(2 * CW_ORDER_DOUBT_MAX_S + 2));
     ck_assert_uint_eq(cw_order_trust_servers(trust), 0);
     cw_order_trust_free(trust);
 }
--- a/tests/test_server_incarnation.c
+++ b/tests/test_server_incarnation.c
@@ -15,7 +15,7 @@
     ck_assert(cw_server_id_write(id, "i-7f3a", 0));
     ck_assert_str_eq(id, "i-7f3a");
     ck_assert_uint_eq(cw_server_id_name_length(id), strlen("i-7f3a"));
-    ck_assert_uint_eq(cw_server_id_born(id), 0);
+    ck_assert_uint_eq(cw_server_id_start_ms(id), 0);
     ck_assert(cw_server_id_has_name(id, "i-7f3a"));
     ck_assert(!cw_server_id_has_name(id, "i-7f3"));
 }
@@ -28,7 +28,7 @@
     ck_assert(cw_server_id_write(id, "i-7f3a", 1796276400123));
     ck_assert_str_eq(id, "i-7f3a@1796276400123");
     ck_assert_uint_eq(cw_server_id_name_length(id), strlen("i-7f3a"));
-    ck_assert_uint_eq(cw_server_id_born(id), 1796276400123);
+    ck_assert_uint_eq(cw_server_id_start_ms(id), 1796276400123);
     ck_assert(cw_server_id_has_name(id, "i-7f3a"));
 }
 END_TEST
@@ -39,7 +39,7 @@
 
     ck_assert(cw_server_id_write(id, "a@7", 0));
     ck_assert(cw_server_id_has_name(id, "a@7"));
-    ck_assert_uint_eq(cw_server_id_born(id), 0);
+    ck_assert_uint_eq(cw_server_id_start_ms(id), 0);
 }
 END_TEST
 
