--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -91,6 +91,7 @@
     CW_ASSIGNER_DEPOSED  /**< a later leader has written the record */
 } cw_assigner_state_t;
 
+/** Creates an assigner for a service. term, incarnation: of the leader, written into the record. */
 cw_assigner_t *cw_assigner_create(const char *service, uint64_t term, uint64_t incarnation,
                                   const cw_assigner_settings_t *settings, const cw_assigner_ports_t *ports);
 /** Ends the assigner. A store reply that arrives later is discarded by the assigner, results of orders by the caller.
@@ -109,8 +110,11 @@
  * number of ranges, and the holds with it, up to the longest hold that servers accept. */
 void cw_assigner_set_pace(cw_assigner_t *assigner, double orders_per_s);
 
-cw_assigner_state_t    cw_assigner_state(const cw_assigner_t *assigner);
-const char            *cw_assigner_service(const cw_assigner_t *assigner);
+/** Returns the state of the record, as far as this leader knows it. */
+cw_assigner_state_t cw_assigner_state(const cw_assigner_t *assigner);
+/** Returns the name of the service. */
+const char *cw_assigner_service(const cw_assigner_t *assigner);
+/** Returns the ranges of the record, which belong to the assigner; empty until there is a record. */
 const cw_range_list_t *cw_assigner_ranges(const cw_assigner_t *assigner);
 /** Whether a plan can be made now. False while a write is in flight. */
 bool cw_assigner_may_plan(const cw_assigner_t *assigner);
--- a/src/assignment/range.h
+++ b/src/assignment/range.h
@@ -70,8 +70,10 @@
 
 /** Appends a range of zeros. */
 cw_range_t *cw_range_list_add(cw_range_list_t *list);
-void        cw_range_list_copy(cw_range_list_t *to, const cw_range_list_t *from);
-void        cw_range_list_clear(cw_range_list_t *list);
+/** Replaces the contents of `to` by a copy. */
+void cw_range_list_copy(cw_range_list_t *to, const cw_range_list_t *from);
+/** Frees the ranges. */
+void cw_range_list_clear(cw_range_list_t *list);
 /** Returns the range of a key; NULL: the list is empty. */
 cw_range_t *cw_range_list_find(const cw_range_list_t *list, uint32_t key);
 /** Splits the range at `index` so that a range begins at `low`. False: `low` is not inside the range, nothing was done.
@@ -82,6 +84,7 @@
 /** Whether the ranges are in order and cover 0 to CW_KEY_LAST without gaps. */
 bool cw_range_list_is_whole(const cw_range_list_t *list);
 
+/** Encodes a record in its stored form. */
 json_t *cw_assignment_record_to_json(const cw_assignment_record_t *record);
 /** Decodes a stored record. False: it is malformed, and the ranges of the record are empty. */
 bool cw_assignment_record_from_json(cw_assignment_record_t *record, const json_t *value);
--- a/src/lease/leadership.h
+++ b/src/lease/leadership.h
@@ -92,6 +92,7 @@
     uint64_t                 failures; /**< consecutive failed store calls */
 } cw_leadership_t;
 
+/** Initialises the state of a node that starts at `now` as a follower. */
 void cw_leadership_init(cw_leadership_t *leadership, const cw_leadership_settings_t *settings, cw_time_us_t now);
 /** Returns the store call to make now. Unless it is WAIT, cw_leadership_replied must follow once. */
 cw_leadership_action_t cw_leadership_tick(cw_leadership_t *leadership, cw_time_us_t now);
@@ -117,7 +118,9 @@
 /** Gives up the leadership and does not take the lock again before the pause is over. */
 void cw_leadership_step_down(cw_leadership_t *leadership, cw_time_us_t now, cw_time_us_t pause);
 
+/** Encodes a lock in its stored form. */
 json_t *cw_lock_to_json(const cw_lock_t *lock);
-bool    cw_lock_from_json(cw_lock_t *lock, const json_t *value);
+/** Decodes a lock. False: the value is not a valid lock. */
+bool cw_lock_from_json(cw_lock_t *lock, const json_t *value);
 
 #endif
--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -74,7 +74,8 @@
 cw_route_t   *cw_configuration_add_route(cw_configuration_t *configuration);
 cw_service_t *cw_configuration_add_service(cw_configuration_t *configuration);
 cw_tenant_t  *cw_configuration_add_tenant(cw_configuration_t *configuration);
-void          cw_route_add_part(cw_route_t *route, const char *service, double weight);
+/** Adds a part to the traffic split of a route. */
+void cw_route_add_part(cw_route_t *route, const char *service, double weight);
 /** Sorts routes and tenants and indexes the tenants' keys. To be called once, after the last item was added. */
 void cw_configuration_seal(cw_configuration_t *configuration);
 
--- a/src/model/server_absence.h
+++ b/src/model/server_absence.h
@@ -19,7 +19,7 @@
 
 /** Times that decide how long missing servers are kept. */
 typedef struct cw_absence_settings {
-    cw_time_us_t outage; /**< age of a list that indicates an outage, provided that a call to the store has failed */
+    cw_time_us_t outage; /**< a list of this age may follow an outage; without a failed call it was just not read */
     cw_time_us_t grace;  /**< time for servers to register again */
 } cw_absence_settings_t;
 
--- a/src/model/server_view.h
+++ b/src/model/server_view.h
@@ -13,8 +13,8 @@
  *    when this node first missed it.
  *  - An entry of a former incarnation of a server that has restarted since (server_incarnation.h) is a late write: the
  *    later incarnation stays.
- *  - `true_at`: time of the node's own steady clock at which the list was certainly valid (when the call that read it
- * was sent, or the time of the leader's heartbeat minus the age that it states).
+ *  - `true_at`: time of the node's own steady clock at which the list was certainly valid: when the call that read it
+ *    was sent, or the time of the leader's heartbeat minus the age that it states.
  *
  * No I/O, no clock.
  */
@@ -61,7 +61,9 @@
     CW_VIEW_CHANGED /**< another list is in force */
 } cw_view_result_t;
 
+/** Initialises a view without a list. */
 void cw_server_view_init(cw_server_view_t *view, const cw_absence_settings_t *absence);
+/** Releases the list and frees the departures. */
 void cw_server_view_clear(cw_server_view_t *view);
 /** Offers a list, whose reference is passed on. CW_VIEW_CHANGED: `before` is the former list (NULL: none), which the
  * caller releases. */
--- a/src/model/zone_service.h
+++ b/src/model/zone_service.h
@@ -7,10 +7,10 @@
  * operator puts it back. Unlike the leaving of a server, this is reversible. Rules:
  *  - As soon as a node knows that a zone is out, it sends requests that any server can execute to other zones.
  *  - Requests for keys are still sent to their owners in the zone while these hand their keys over, until a share of
- * the bound is used up. The bound counts from the operator's action. The node does not know the time of the action,
- * only that it came after the last time at which the zone was certainly in service, so it counts from that time.
+ *    the bound is used up. The bound counts from the operator's action. The node does not know the time of the action,
+ *    only that it came after the last time at which the zone was certainly in service, so it counts from that time.
  *  - A zone that is put back counts as cold for the warm-up time of a server: its servers may have begun another
- * warm-up shortly before, and their entries may not show it yet.
+ *    warm-up shortly before, and their entries may not show it yet.
  *  - A zone that is out when a node first knows of it has been out for an unknown time: nothing is sent there.
  *
  * No I/O; time is a parameter, in microseconds of the node's steady clock.
@@ -37,6 +37,7 @@
  */
 void cw_zone_service_apply(cw_zone_service_t *zones, const cw_name_set_t *out, cw_time_us_t before_true_at,
                            cw_time_us_t now, cw_zone_changed_t changed, void *context);
+/** Whether a zone is out of service. */
 bool cw_zone_service_is_out(const cw_zone_service_t *zones, const char *zone);
 /** Time until which requests for keys may still be sent to owners in this zone, which is out of service; 0: they may
  * not. */
--- a/src/placement/load_window.h
+++ b/src/placement/load_window.h
@@ -71,6 +71,7 @@
 size_t cw_key_loads_first(const cw_key_load_t *loads, size_t count, uint32_t key);
 /** Load on keys low to last in requests per second. */
 double cw_key_loads_between(const cw_key_load_t *loads, size_t count, uint32_t low, uint32_t last);
-void   cw_load_window_clear(cw_load_window_t *window);
+/** Frees the samples, so that the window is empty. */
+void cw_load_window_clear(cw_load_window_t *window);
 
 #endif
--- a/src/placement/order_trust.h
+++ b/src/placement/order_trust.h
@@ -33,6 +33,7 @@
 
 typedef struct cw_order_trust cw_order_trust_t;
 
+/** Creates a record without failures. */
 cw_order_trust_t *cw_order_trust_create(void);
 void              cw_order_trust_free(cw_order_trust_t *trust);
 /** Records that an order to the server failed. served: requests of this node that the server has answered so far. */
--- a/src/placement/ownership_measures.h
+++ b/src/placement/ownership_measures.h
@@ -10,7 +10,7 @@
  *    the former one. The first assignment of a key is not a move.
  *  - Unavailable: a key is unavailable while requests for it may not be sent to its owner, or while the owner does not
  *    answer the leader's orders. Counted in key-seconds, and as the longest uninterrupted time. If ranges with
- * different unavailable times are merged, the longer time counts for both.
+ *    different unavailable times are merged, the longer time counts for both.
  *
  * No I/O, no clock.
  */
@@ -46,6 +46,7 @@
     size_t                  load_count;
 } cw_ownership_measures_t;
 
+/** Frees the memory and resets all measures. */
 void cw_ownership_measures_clear(cw_ownership_measures_t *measures);
 /** Observes the present ranges and counts the changes since the previous observation. */
 void cw_ownership_measures_look(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now);
--- a/tests/process/server_born_again.sh
+++ b/tests/process/server_born_again.sh
@@ -23,9 +23,9 @@
     kill -KILL "${SERVER_PIDS[m$i]}"
     named "$i"
 done
-born_again() { local id; id=$(listed i-named2) && [ -n "$id" ] && [ "$id" != "$before" ]; }
-until_true born_again
-check "the restarted server has another id" born_again
+has_restarted() { local id; id=$(listed i-named2) && [ -n "$id" ] && [ "$id" != "$before" ]; }
+until_true has_restarted
+check "the restarted server has another id" has_restarted
 wait "$callers"
 until_true serves_all_keys 1
 check "all keys are served after the restart" serves_all_keys 1
