--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -36,11 +36,12 @@
 
 typedef enum cw_order_result {
     CW_ORDER_DONE,
-    CW_ORDER_FENCED,    /**< a higher fence was seen on one of the keys */
-    CW_ORDER_ENDED,     /**< not done: another incarnation answers at the address, so the addressed one has ended */
-    CW_ORDER_REFUSED,   /**< not done: any other answer */
-    CW_ORDER_NOT_SENT,  /**< certainly no byte of it was sent */
-    CW_ORDER_UNANSWERED /**< may have been carried out, or may be seconds later */
+    CW_ORDER_FENCED,            /**< a higher fence was seen on one of the keys */
+    CW_ORDER_OTHER_INCARNATION, /**< not done: another incarnation answers at the address, so the addressed one has
+                                   ended */
+    CW_ORDER_REFUSED,           /**< not done: any other answer */
+    CW_ORDER_NOT_SENT,          /**< certainly no byte of it was sent */
+    CW_ORDER_UNANSWERED         /**< may have been carried out, or may be seconds later */
 } cw_order_result_t;
 
 /** An order to a server about a range of keys. */
@@ -63,12 +64,12 @@
 typedef struct cw_assigner_settings {
     cw_time_us_t hold;      /**< of grants while the store answers */
     cw_time_us_t hold_long; /**< of grants while the store does not answer */
-    cw_time_us_t hold_most; /**< longest hold that servers accept */
+    cw_time_us_t max_hold;  /**< longest hold that servers accept */
     cw_time_us_t renew_every;
     cw_time_us_t order_timeout; /**< of a grant */
     cw_time_us_t release_timeout;
-    cw_time_us_t late_orders; /**< longest time after which a server may still carry out an unanswered order */
-    cw_time_us_t table_valid; /**< for how long a node may route by its table without a heartbeat of the leader */
+    cw_time_us_t late_order_time; /**< longest time after which a server may still carry out an unanswered order */
+    cw_time_us_t table_validity;  /**< for how long a node may route by its table without a heartbeat of the leader */
 } cw_assigner_settings_t;
 
 /** Functions that the assigner calls. */
@@ -108,7 +109,7 @@
 
 /** Limits renewals to this many orders per second. The pause between the renewals of a range then increases with the
  * number of ranges, and the holds with it, up to the longest hold that servers accept. */
-void cw_assigner_set_pace(cw_assigner_t *assigner, double orders_per_s);
+void cw_assigner_set_renewal_rate(cw_assigner_t *assigner, double orders_per_s);
 
 /** Returns the state of the record, as far as this leader knows it. */
 cw_assigner_state_t cw_assigner_state(const cw_assigner_t *assigner);
@@ -134,7 +135,7 @@
 /** Whether the record still names former holders that have released their keys, so that it should be rewritten. */
 bool cw_assigner_is_stale(const cw_assigner_t *assigner, cw_time_us_t now);
 /** Plans a rewrite of the record without any change of owners. */
-void cw_assigner_plan_refresh(cw_assigner_t *assigner);
+void cw_assigner_plan_rewrite(cw_assigner_t *assigner);
 /** Share of the ranges whose owners have not answered orders for some time. */
 double cw_assigner_failing_share(const cw_assigner_t *assigner, cw_time_us_t now);
 
--- a/src/assignment/range.h
+++ b/src/assignment/range.h
@@ -78,11 +78,11 @@
 cw_range_t *cw_range_list_find(const cw_range_list_t *list, uint32_t key);
 /** Splits the range at `index` so that a range begins at `low`. False: `low` is not inside the range, nothing was done.
  */
-bool cw_range_list_cut(cw_range_list_t *list, size_t index, uint32_t low);
+bool cw_range_list_split(cw_range_list_t *list, size_t index, uint32_t low);
 /** Whether requests may be sent to the owner now. */
 bool cw_range_is_routable(const cw_range_t *range);
 /** Whether the ranges are in order and cover 0 to CW_KEY_LAST without gaps. */
-bool cw_range_list_is_whole(const cw_range_list_t *list);
+bool cw_range_list_is_complete(const cw_range_list_t *list);
 
 /** Encodes a record in its stored form. */
 json_t *cw_assignment_record_to_json(const cw_assignment_record_t *record);
--- a/src/balance/cold_rate.c
+++ b/src/balance/cold_rate.c
@@ -13,12 +13,12 @@
 enum {
     SEND_WINDOW_MS = 1100, /* one second, plus the differences in network delay to the server */
     CHANGE_PAUSE_MS =
-        2000, /* all others detect a stopped node within 1.5 seconds (CW_PEER_SILENCE_MS, plus a delayed report) */
+        2000, /* all others detect a stopped node within 1.5 seconds (CW_PEER_TIMEOUT_MS, plus a delayed report) */
     MAX_NODES_EXPIRY_S =
         60 /* a number of known nodes that has stayed lower for so long is accepted as the number of nodes */
 };
 
-bool cw_cold_sends_are_left(const cw_cold_sends_t *sends, cw_time_us_t now)
+bool cw_cold_sends_allowed(const cw_cold_sends_t *sends, cw_time_us_t now)
 {
     cw_time_us_t oldest = sends->at[sends->next];
 
@@ -28,7 +28,7 @@
 void cw_cold_sends_note(cw_cold_sends_t *sends, cw_time_us_t now)
 {
     sends->at[sends->next] = now;
-    sends->next = (sends->next + 1) % CW_COLD_SENDS;
+    sends->next = (sends->next + 1) % CW_COLD_SENDS_PER_SECOND;
 }
 
 struct cw_cold_rate {
@@ -92,7 +92,7 @@
 
 uint32_t cw_cold_rate_sharers(double per_s)
 {
-    uint32_t sharers = (uint32_t)(per_s / CW_COLD_SENDS);
+    uint32_t sharers = (uint32_t)(per_s / CW_COLD_SENDS_PER_SECOND);
 
     return sharers == 0 ? 1 : sharers;
 }
--- a/src/balance/cold_rate.h
+++ b/src/balance/cold_rate.h
@@ -28,16 +28,16 @@
 
 #include "base/time.h"
 
-enum { CW_COLD_SENDS = 2 /**< requests that one node may send to one cold server in any second */ };
+enum { CW_COLD_SENDS_PER_SECOND = 2 /**< requests that one node may send to one cold server in any second */ };
 
 /** Times of this node's latest sends to one cold server. */
 typedef struct cw_cold_sends {
-    cw_time_us_t at[CW_COLD_SENDS]; /**< ring buffer; 0: unused entry */
-    uint32_t     next;              /**< index of the oldest entry, which is overwritten next */
+    cw_time_us_t at[CW_COLD_SENDS_PER_SECOND]; /**< ring buffer; 0: unused entry */
+    uint32_t     next;                         /**< index of the oldest entry, which is overwritten next */
 } cw_cold_sends_t;
 
 /** True if this node may send one more request now. */
-bool cw_cold_sends_are_left(const cw_cold_sends_t *sends, cw_time_us_t now);
+bool cw_cold_sends_allowed(const cw_cold_sends_t *sends, cw_time_us_t now);
 /** Records a request sent now. */
 void cw_cold_sends_note(cw_cold_sends_t *sends, cw_time_us_t now);
 
--- a/src/balance/crossing_cost.h
+++ b/src/balance/crossing_cost.h
@@ -37,6 +37,6 @@
 
 /** True if the request should wait in its region: the wait must not exceed the crossing cost, and the request must
  * still meet its latency objective, since another region may meet it. */
-bool cw_crossing_waits_here(const cw_crossing_input_t *input);
+bool cw_crossing_should_wait(const cw_crossing_input_t *input);
 
 #endif
--- a/src/balance/leave_memory.c
+++ b/src/balance/leaving_servers.c
@@ -1,8 +1,8 @@
 /**
- * @file leave_memory.c
+ * @file leaving_servers.c
  * @brief Hash set of leaving servers with the time at which each was added.
  */
-#include "balance/leave_memory.h"
+#include "balance/leaving_servers.h"
 #include "base/memory.h"
 
 #include <stdlib.h>
--- a/src/balance/leave_memory.h
+++ b/src/balance/leaving_servers.h
@@ -1,5 +1,5 @@
 /**
- * @file leave_memory.h
+ * @file leaving_servers.h
  * @brief Set of servers that have announced in an answer that they are leaving.
  *
  * An incarnation of a server that is leaving never returns to service, even if a later list shows it as ready or its
@@ -7,8 +7,8 @@
  *
  * No I/O; time is a parameter.
  */
-#ifndef CEDARWINCH_BALANCE_LEAVE_MEMORY_H
-#define CEDARWINCH_BALANCE_LEAVE_MEMORY_H
+#ifndef CEDARWINCH_BALANCE_LEAVING_SERVERS_H
+#define CEDARWINCH_BALANCE_LEAVING_SERVERS_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/balance/server_limit.h
+++ b/src/balance/server_limit.h
@@ -5,9 +5,9 @@
  * Rules:
  *  - Each statement about a limit carries the time at which it was made. A statement older than the known state is
  *    ignored, since answers and notices of other nodes may arrive out of order.
- *  - A limit ends when CW_LIMIT_UNNAMED_ENDS answers in a row, to requests that ran, did not name it and no answer has
- *    named it for CW_LIMIT_UNNAMED_PERIOD_MS: a server may name its limit in only some of its answers.
- *  - A limit also ends when it was not named for CW_LIMIT_FORGOTTEN_MS, since a server that gets no requests has no
+ *  - A limit ends when CW_LIMIT_UNNAMED_ANSWERS answers in a row, to requests that ran, did not name it and no answer
+ * has named it for CW_LIMIT_UNNAMED_PERIOD_MS: a server may name its limit in only some of its answers.
+ *  - A limit also ends when it was not named for CW_LIMIT_EXPIRY_MS, since a server that gets no requests has no
  *    answer in which it could omit the limit. For the same reason a server with a limit at or near 0 gets a probe
  *    request every CW_LIMIT_PROBE_MS: without an answer no node would learn that it accepts requests again.
  *  - A limit belongs to one incarnation of a server; the next incarnation has none until it names one.
@@ -23,10 +23,10 @@
 #include "base/time.h"
 
 enum {
-    CW_LIMIT_UNNAMED_ENDS = 3,         /**< number of answers in a row without the limit, and */
+    CW_LIMIT_UNNAMED_ANSWERS = 3,      /**< number of answers in a row without the limit, and */
     CW_LIMIT_UNNAMED_PERIOD_MS = 1000, /**< time since it was last named; after both, the limit has ended */
-    CW_LIMIT_FORGOTTEN_MS = 10000, /**< time since it was last named, after which it has ended even without answers */
-    CW_LIMIT_PROBE_MS = 5000       /**< time between probe requests to a server whose limit is 0 */
+    CW_LIMIT_EXPIRY_MS = 10000, /**< time since it was last named, after which it has ended even without answers */
+    CW_LIMIT_PROBE_MS = 5000    /**< time between probe requests to a server whose limit is 0 */
 };
 
 /** Zero-initialised: no limit was named. */
--- a/src/balance/server_pool.h
+++ b/src/balance/server_pool.h
@@ -6,8 +6,8 @@
  * has its own order of preference among otherwise equal servers (affinity): most requests of a server then come from
  * the few nodes that prefer it, and a node knows its own requests exactly.
  *
- * The requests of other nodes are those that they last reported (cw_server_pool_report); cw_server_pool_expire removes
- * the counts of nodes that have stopped reporting. cw_server_pool_choose chooses a server for a request.
+ * The requests of other nodes are those that they last reported (cw_server_pool_apply_report); cw_server_pool_expire
+ * removes the counts of nodes that have stopped reporting. cw_server_pool_choose chooses a server for a request.
  */
 #ifndef CEDARWINCH_BALANCE_SERVER_POOL_H
 #define CEDARWINCH_BALANCE_SERVER_POOL_H
@@ -71,7 +71,7 @@
     double             cold_per_s; /**< requests a second that it can handle while it is cold; 0: no bound known */
     cw_cold_sends_t    cold_sends; /**< this node's sends while the server is cold */
     cw_server_limit_t  limit;      /**< rate limit that the server has named */
-    bool               has_said_leaving;   /**< it announced in an answer to this or another node that it leaves */
+    bool               announced_leaving;  /**< it announced in an answer to this or another node that it leaves */
     cw_time_us_t      leaving_owner_until; /**< until then a leaving server still gets requests for keys that it owns */
     cw_time_us_t      rest_until;          /**< it rejected a request and asked this node to send nothing until then */
     cw_time_us_t      limit_allows_at;     /**< not chosen before then: its rate limit is used up */
@@ -101,7 +101,7 @@
 /** All servers that this node knows. */
 typedef struct cw_server_pool cw_server_pool_t;
 
-enum { CW_POOL_REPORT_LIFE_MS = 1500 /**< a node's report counts for so long */ };
+enum { CW_POOL_REPORT_EXPIRY_MS = 1500 /**< a node's report counts for so long */ };
 
 /** Regions that a request may go to: those in both the route's and the tenant's set; an empty set allows all. */
 typedef struct cw_region_rule {
@@ -141,7 +141,7 @@
 /** True if a request under this rule may go to the server. */
 bool cw_server_region_allows(const cw_server_t *server, const cw_region_rule_t *rule);
 /** True if the service has a listed server, not draining, to which a request under this rule may go. */
-bool cw_server_pool_serves(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule);
+bool cw_server_pool_has_server(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule);
 /** True if more than one region is configured. */
 bool cw_server_pool_has_regions(const cw_server_pool_t *pool);
 /** This node's zone. */
@@ -161,7 +161,7 @@
 bool cw_server_zone_allows(const cw_server_t *server, bool is_owner, cw_time_us_t now);
 /** True if the server is not draining, or if it has just announced that it leaves and is_owner is set: it still serves
  * the keys that it owns while they are moved. */
-bool cw_server_takes(const cw_server_t *server, bool is_owner, cw_time_us_t now);
+bool cw_server_accepts(const cw_server_t *server, bool is_owner, cw_time_us_t now);
 /** The incarnation with this hash, listed or not, has announced that it leaves: from now on it counts as draining,
  * whatever its list entry says. owner_grace: time for which it still gets requests for keys that it owns. False: this
  * was known already. */
@@ -191,42 +191,43 @@
 cw_time_us_t cw_server_pool_held_off_until(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                                            cw_time_us_t now);
 
-/** Counts a request of this node as in flight at the server; cw_server_pool_end ends this, and may drop the server. */
-void cw_server_pool_begin(cw_server_t *server, cw_time_us_t now);
-void cw_server_pool_end(cw_server_pool_t *pool, cw_server_t *server);
+/** Counts a request of this node as in flight at the server; cw_server_pool_end_request ends this, and may drop the
+ * server. */
+void cw_server_pool_begin_request(cw_server_t *server, cw_time_us_t now);
+void cw_server_pool_end_request(cw_server_pool_t *pool, cw_server_t *server);
 /** A complete answer was received after the time `took`. mean_time: of such requests. */
-void cw_server_pool_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t mean_time, cw_time_us_t now);
+void cw_server_pool_record_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t mean_time, cw_time_us_t now);
 /** The server sent a load sample with an answer. To be called while the answered request still counts as in flight; it
  * is not in the sample. */
 void cw_server_pool_note_load(cw_server_t *server, const cw_server_load_t *sample, cw_time_us_t now);
 /** No complete answer was received within `waited`: the request takes at least that long. */
-void cw_server_pool_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t mean_time, cw_time_us_t now);
+void cw_server_pool_record_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t mean_time, cw_time_us_t now);
 /** The server has answered: resets its count of faults. */
 void cw_server_pool_clear_faults(cw_server_t *server);
 /** True if the server has failed several times in a row. */
 bool cw_server_is_suspect(const cw_server_t *server);
 /** A request failed without a connection or without an answer: the server is avoided for a while. */
-void cw_server_pool_fault(cw_server_t *server, cw_time_us_t now);
+void cw_server_pool_record_fault(cw_server_t *server, cw_time_us_t now);
 
 /** Replaces the last report of a node; count 0: it has none. node: its address, or the number of a zone that reports
  * the sums of its nodes. */
-void cw_server_pool_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
-                           cw_time_us_t now);
+void cw_server_pool_apply_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
+                                 cw_time_us_t now);
 /** Updates latency factors by the answers that another node received since its last report. node: its address. */
-void cw_server_pool_learn(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
-                          cw_time_us_t now);
+void cw_server_pool_apply_paces(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
+                                cw_time_us_t now);
 /** Selects the nodes whose requests are summed, and the servers. */
 typedef struct cw_sum_filter {
     void *context;
-    bool (*takes_node)(void *context, uint64_t node);
-    bool (*takes_server)(void *context, const cw_server_t *server);
+    bool (*includes_node)(void *context, uint64_t node);
+    bool (*includes_server)(void *context, const cw_server_t *server);
 } cw_sum_filter_t;
 /** Sums this node's requests and those reported by the selected nodes, by server; returns the number of servers written
  * to `sums`, at most `room`. left_out: number of servers that did not fit. */
 size_t cw_server_pool_sum(cw_server_pool_t *pool, const cw_sum_filter_t *filter, cw_server_report_t *sums, size_t room,
                           cw_time_us_t now, size_t *left_out);
 /** Number of stored paces of servers, of all reporting nodes. */
-size_t cw_server_pool_paces(const cw_server_pool_t *pool);
+size_t cw_server_pool_pace_count(const cw_server_pool_t *pool);
 /** Removes the reports of nodes that have sent none for longer than `life`. */
 void cw_server_pool_expire(cw_server_pool_t *pool, cw_time_us_t life, cw_time_us_t now);
 
@@ -262,6 +263,6 @@
 double cw_server_pool_speed_near(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                                  cw_time_us_t now);
 /** Requests of all nodes in flight at a service's listed servers. */
-uint32_t cw_server_pool_under_way(cw_server_pool_t *pool, const char *service);
+uint32_t cw_server_pool_in_flight(cw_server_pool_t *pool, const char *service);
 
 #endif
--- a/src/balance/server_pool_internal.h
+++ b/src/balance/server_pool_internal.h
@@ -6,7 +6,7 @@
 #ifndef CEDARWINCH_BALANCE_SERVER_POOL_INTERNAL_H
 #define CEDARWINCH_BALANCE_SERVER_POOL_INTERNAL_H
 
-#include "balance/leave_memory.h"
+#include "balance/leaving_servers.h"
 #include "balance/server_pool.h"
 
 enum { CW_AVOID_INITIAL_MS = 300 /**< initial time for which a failed server is avoided */ };
--- a/src/balance/slot_broker.c
+++ b/src/balance/slot_broker.c
@@ -98,7 +98,7 @@
 
 static bool is_usable(const cw_slot_broker_t *broker, const cw_server_t *server, bool is_only, cw_time_us_t now)
 {
-    return server->listed && cw_server_takes(server, is_only, now) && !server->ended &&
+    return server->listed && cw_server_accepts(server, is_only, now) && !server->ended &&
            cw_server_zone_allows(server, is_only, now) && is_counted_here(broker, server, is_only, now);
 }
 
@@ -250,7 +250,7 @@
         grant(broker, lease, survey.best, now);
         return;
     }
-    if (!survey.any || wait > lease->ask.wait_most || wait + held_mean(&survey) > lease->ask.objective) {
+    if (!survey.any || wait > lease->ask.max_slot_wait || wait + held_mean(&survey) > lease->ask.objective) {
         refuse(broker, lease, survey.any ? wait : 0);
         return;
     }
@@ -288,7 +288,7 @@
     handle_ask(broker, lease, now);
 }
 
-uint32_t cw_slot_broker_server_of(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket)
+uint32_t cw_slot_broker_granted_server(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket)
 {
     const cw_slot_lease_t *lease = find_lease(broker, key_of(node, ticket));
 
@@ -332,7 +332,7 @@
         cw_slot_server_note_load(state, &returned->signals->load, now);
     }
     if (server != NULL && returned->end == CW_SLOT_FAILED) {
-        cw_server_pool_fault(server, now);
+        cw_server_pool_record_fault(server, now);
     } else if (server != NULL && returned->end == CW_SLOT_ANSWERED) {
         cw_server_pool_clear_faults(server);
     }
--- a/src/balance/slot_broker.h
+++ b/src/balance/slot_broker.h
@@ -26,16 +26,16 @@
 
 /** Request of a node for a slot, identified by node and ticket. */
 typedef struct cw_slot_ask {
-    uint32_t     node;      /**< address of the asking node */
-    uint32_t     ticket;    /**< number of the ask, assigned by that node */
-    uint32_t     service;   /**< hash of the service's name */
-    uint32_t     server;    /**< hash of the only acceptable server; 0: any server of the service in this zone */
-    uint32_t     except;    /**< hash of a server that has failed the request; 0: none */
-    uint32_t     priority;  /**< 0 is the most urgent */
-    uint32_t     tenant;    /**< hash of the name of the tenant; 0: none */
-    cw_time_us_t objective; /**< time left until the request's latency objective */
-    cw_time_us_t lease;     /**< time after which a granted slot becomes free if it was not returned */
-    cw_time_us_t wait_most; /**< refused if the expected wait is longer; 0: refused unless a slot is free now */
+    uint32_t     node;          /**< address of the asking node */
+    uint32_t     ticket;        /**< number of the ask, assigned by that node */
+    uint32_t     service;       /**< hash of the service's name */
+    uint32_t     server;        /**< hash of the only acceptable server; 0: any server of the service in this zone */
+    uint32_t     except;        /**< hash of a server that has failed the request; 0: none */
+    uint32_t     priority;      /**< 0 is the most urgent */
+    uint32_t     tenant;        /**< hash of the name of the tenant; 0: none */
+    cw_time_us_t objective;     /**< time left until the request's latency objective */
+    cw_time_us_t lease;         /**< time after which a granted slot becomes free if it was not returned */
+    cw_time_us_t max_slot_wait; /**< refused if the expected wait is longer; 0: refused unless a slot is free now */
 } cw_slot_ask_t;
 
 /** State of an ask in a reply. */
@@ -82,7 +82,7 @@
 /** Handles the return of a slot, or the cancellation of a waiting ask. An unknown node and ticket are ignored. */
 void cw_slot_broker_return(cw_slot_broker_t *broker, const cw_slot_return_t *returned, cw_time_us_t now);
 /** Hash of the server whose slot was granted to this ask; 0: none. */
-uint32_t cw_slot_broker_server_of(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket);
+uint32_t cw_slot_broker_granted_server(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket);
 /** Ends expired leases, refuses waiting asks that can no longer be answered in time, and grants slots that became free.
  * To be called every few milliseconds. */
 void cw_slot_broker_tick(cw_slot_broker_t *broker, cw_time_us_t now);
--- a/src/base/dropped_entries.h
+++ b/src/base/dropped_entries.h
@@ -10,6 +10,6 @@
 
 /** Counts and logs `dropped` entries that did not fit; does nothing if `dropped` is 0. what: the kind of the entries
  * and the consequence, for the log. capacity: the greatest number of entries that fit. */
-void cw_dropped_entries_note(const char *what, size_t capacity, size_t dropped);
+void cw_dropped_entries_report(const char *what, size_t capacity, size_t dropped);
 
 #endif
--- a/src/config/router_settings.h
+++ b/src/config/router_settings.h
@@ -41,7 +41,7 @@
     cw_endpoint_t    store;
     cw_event_level_t log_level;
     cw_time_us_t     leader_hold;       /**< lease of a leader */
-    cw_time_us_t     first_look_within; /**< nodes that start together spread their first looks for a leader over it */
+    cw_time_us_t     first_read_within; /**< nodes that start together spread their first looks for a leader over it */
     cw_time_us_t     hold;              /**< duration of a grant while the store can be reached */
     cw_time_us_t     hold_long;         /**< duration of a grant while the store cannot be reached */
     cw_time_us_t     drain;             /**< a leaving server receives no request after this time */
--- a/src/lease/leadership.h
+++ b/src/lease/leadership.h
@@ -52,8 +52,8 @@
     cw_time_us_t renew_every;
     cw_time_us_t heartbeat_timeout; /**< a follower without a heartbeat for so long reads the lock */
     cw_time_us_t read_every;        /**< pause between a follower's reads of the lock */
-    cw_time_us_t first_look_after;  /**< delay of the first read after the start of the node */
-    cw_time_us_t first_look_within; /**< range of the additional delay, which depends on the node's incarnation */
+    cw_time_us_t first_read_after;  /**< delay of the first read after the start of the node */
+    cw_time_us_t first_read_within; /**< range of the additional delay, which depends on the node's incarnation */
 } cw_leadership_settings_t;
 
 /** The store call to make now. */
@@ -107,7 +107,7 @@
 void cw_leadership_set_nodes(cw_leadership_t *leadership, uint32_t nodes);
 /** Sets, with each tick, how much later than it could this node takes the lock because a more capable one is in reach.
  * 0: no such node is in reach. */
-void cw_leadership_defer(cw_leadership_t *leadership, cw_time_us_t take_delay);
+void cw_leadership_set_take_delay(cw_leadership_t *leadership, cw_time_us_t take_delay);
 /** Handles a leader's step-down notice: the lock is read soon. */
 void cw_leadership_receive_step_down(cw_leadership_t *leadership, cw_time_us_t now);
 /** Whether this node leads and its lease has not expired. */
--- a/src/model/server_list.h
+++ b/src/model/server_list.h
@@ -67,7 +67,7 @@
 /** Returns the latest listed incarnation of the server with this id; NULL: none is listed. */
 const cw_server_entry_t *cw_server_list_newest(const cw_server_list_t *list, const char *id);
 /** Returns the latest listed incarnation of the server with this name; NULL: none is listed. */
-const cw_server_entry_t *cw_server_list_named(const cw_server_list_t *list, const char *name);
+const cw_server_entry_t *cw_server_list_newest_by_name(const cw_server_list_t *list, const char *name);
 /** Returns an entry that proves the end of the incarnation: another id at this address, or a later incarnation of the
  * same server; NULL: none. */
 const cw_server_entry_t *cw_server_list_successor(const cw_server_list_t *list, const char *id, const char *address);
--- a/src/model/server_view.h
+++ b/src/model/server_view.h
@@ -13,7 +13,7 @@
  *    when this node first missed it.
  *  - An entry of a former incarnation of a server that has restarted since (server_incarnation.h) is a late write: the
  *    later incarnation stays.
- *  - `true_at`: time of the node's own steady clock at which the list was certainly valid: when the call that read it
+ *  - `valid_at`: time of the node's own steady clock at which the list was certainly valid: when the call that read it
  *    was sent, or the time of the leader's heartbeat minus the age that it states.
  *
  * No I/O, no clock.
@@ -38,7 +38,7 @@
     cw_server_list_t *list;
     uint64_t          revision; /**< it contains all changes up to this revision; 0: not known */
     uint64_t          latest; /**< it contains no later change; a list read in several calls may be beyond `revision` */
-    cw_time_us_t      true_at;      /**< when it was certainly valid; 0: not known */
+    cw_time_us_t      valid_at;     /**< when it was certainly valid; 0: not known */
     bool              store_failed; /**< calls of this node to the store have failed since its list was last valid */
     bool              is_told;      /**< the leader sent it; false: this node has read it from the store */
 } cw_server_reading_t;
@@ -49,7 +49,7 @@
     cw_server_list_t      *list; /**< NULL: none yet */
     uint64_t               hash;
     uint64_t               revision;
-    cw_time_us_t           true_at;
+    cw_time_us_t           valid_at;
     size_t                 kept;       /**< number of its servers that are kept although they are missing */
     cw_server_departure_t *departures; /**< sorted by id */
     size_t                 departure_count;
@@ -67,11 +67,11 @@
 void cw_server_view_clear(cw_server_view_t *view);
 /** Offers a list, whose reference is passed on. CW_VIEW_CHANGED: `before` is the former list (NULL: none), which the
  * caller releases. */
-cw_view_result_t cw_server_view_take(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
-                                     cw_server_list_t **before);
+cw_view_result_t cw_server_view_apply(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
+                                      cw_server_list_t **before);
 /** Records that, by the leader's heartbeat, the list in force was still valid at this revision and time. */
-void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t true_at);
-/** Removes the servers whose grace time is over. The result and `before` are those of cw_server_view_take. */
+void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t valid_at);
+/** Removes the servers whose grace time is over. The result and `before` are those of cw_server_view_apply. */
 cw_view_result_t cw_server_view_expire(cw_server_view_t *view, cw_time_us_t now, cw_server_list_t **before);
 /** Returns what is known of a server's departure; NULL: nothing. */
 const cw_server_departure_t *cw_server_view_departure(const cw_server_view_t *view, const char *id);
--- a/src/model/zone_service.h
+++ b/src/model/zone_service.h
@@ -32,10 +32,10 @@
 cw_zone_service_t *cw_zone_service_create(cw_time_us_t out_within);
 void               cw_zone_service_free(cw_zone_service_t *zones);
 /**
- * Applies the set of zones that are out of service. before_true_at: last time at which the previous set was certainly
+ * Applies the set of zones that are out of service. before_valid_at: last time at which the previous set was certainly
  * complete; 0: not known. changed: called for each change; NULL is allowed.
  */
-void cw_zone_service_apply(cw_zone_service_t *zones, const cw_name_set_t *out, cw_time_us_t before_true_at,
+void cw_zone_service_apply(cw_zone_service_t *zones, const cw_name_set_t *out, cw_time_us_t before_valid_at,
                            cw_time_us_t now, cw_zone_changed_t changed, void *context);
 /** Whether a zone is out of service. */
 bool cw_zone_service_is_out(const cw_zone_service_t *zones, const char *zone);
--- a/src/net/http_header.h
+++ b/src/net/http_header.h
@@ -37,7 +37,7 @@
 /** True if a lenient receiver may treat two field names as the same: compared without regard to case, with "_" and
  * blanks as "-", and without blanks at the end. A field that callers must not set is recognised in all these spellings.
  */
-bool cw_http_name_is_alike(const char *left, const char *right);
+bool cw_http_name_is_equivalent(const char *left, const char *right);
 /** Value of the first field with this name, compared without regard to case; NULL: there is none. */
 const char *cw_http_fields_find(const cw_http_fields_t *fields, const char *name);
 /** True for fields that apply to one connection only (RFC 9110, 7.6.1), including those listed in "Connection". */
--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -58,8 +58,8 @@
     const cw_http_fields_t *fields;
     const char             *body;
     size_t                  body_length;
-    cw_time_us_t            arrived_us;   /**< time at which the last byte of the head was read */
-    bool                    without_body; /**< the body was not read: the handler rejects the request by its head */
+    cw_time_us_t            arrived_us;  /**< time at which the last byte of the head was read */
+    bool                    body_unread; /**< the body was not read: the handler rejects the request by its head */
 } cw_http_inbound_t;
 
 /** Callbacks of a listener. */
@@ -98,7 +98,7 @@
 /** Sets the limits of requests that begin from now on. A connection that is idle now keeps the longer idle timeout. */
 void cw_http_listener_set_limits(cw_http_listener_t *listener, const cw_http_limits_t *limits);
 /** Sets the callback for requests whose heads are read from now on. NULL: no request is rejected by its head. */
-void cw_http_listener_set_rejects(cw_http_listener_t *listener, cw_http_rejects_t rejects);
+void cw_http_listener_set_reject_callback(cw_http_listener_t *listener, cw_http_rejects_t rejects);
 /** From now on every connection ends: with the answer to the last request that was passed on, or to the next request.
  */
 void cw_http_listener_end_connections(cw_http_listener_t *listener);
--- a/src/net/http_listener_internal.h
+++ b/src/net/http_listener_internal.h
@@ -49,7 +49,7 @@
     bool                    is_chunked;
     bool                    is_head;
     bool                    http_1_0;
-    bool                    without_body;   /* rejected by its head: its body is not read */
+    bool                    body_unread;    /* rejected by its head: its body is not read */
     bool                    wants_continue; /* "100 Continue" is due once all earlier answers are written */
     bool         answer_head_done; /* the answer's head is complete: whether it closes the connection is decided */
     bool         closes;
--- a/src/peer/configuration_pages.h
+++ b/src/peer/configuration_pages.h
@@ -55,7 +55,7 @@
 } cw_configuration_assembly_t;
 
 /** The first page that has not been received; 0 while no page has. */
-uint32_t cw_configuration_assembly_missing(const cw_configuration_assembly_t *assembly);
+uint32_t cw_configuration_assembly_first_missing(const cw_configuration_assembly_t *assembly);
 /** Discards the received pages. */
 void cw_configuration_assembly_clear(cw_configuration_assembly_t *assembly);
 /**
@@ -63,8 +63,8 @@
  * NULL.
  * in_force: the receiver's own configuration (NULL: none). Pages that are based on another one are ignored.
  */
-cw_configuration_t *cw_configuration_assembly_take(cw_configuration_assembly_t  *assembly,
-                                                   const cw_configuration_t     *in_force,
-                                                   const Cwp__ConfigurationPage *page);
+cw_configuration_t *cw_configuration_assembly_add_page(cw_configuration_assembly_t  *assembly,
+                                                       const cw_configuration_t     *in_force,
+                                                       const Cwp__ConfigurationPage *page);
 
 #endif
--- a/src/peer/detours.h
+++ b/src/peer/detours.h
@@ -11,8 +11,8 @@
  * Rules:
  *  - The owner determines the suspects: nodes from which nothing has been received directly for a while, or which
  *    report that they receive nothing from this node.
- *  - A suspect is probed through CW_DETOUR_WAYS other nodes at once, different ones each time, and through the node
- *    that forwarded its last reply. A suspect that no node reaches is probed less often.
+ *  - A suspect is probed through CW_DETOUR_INDIRECT_PROBES other nodes at once, different ones each time, and through
+ * the node that forwarded its last reply. A suspect that no node reaches is probed less often.
  *  - A detour is valid for CW_DETOUR_VALID_MS after a datagram was received through it.
  *  - All probes together are limited in rate, so that the loss of a complete zone does not cost more.
  *
@@ -28,8 +28,8 @@
 #include "base/time.h"
 
 enum {
-    CW_DETOUR_WAYS = 2,       /**< nodes that forward each probe, besides the one that forwarded the last reply */
-    CW_DETOUR_VALID_MS = 1000 /**< as the timeout of an unresponsive node in a small fleet (CW_PEER_SILENCE_MS) */
+    CW_DETOUR_INDIRECT_PROBES = 2, /**< nodes that forward each probe, besides the one that forwarded the last reply */
+    CW_DETOUR_VALID_MS = 1000      /**< as the timeout of an unresponsive node in a small fleet (CW_PEER_TIMEOUT_MS) */
 };
 
 /** Detours to all suspects of a node. */
@@ -45,7 +45,7 @@
 uint32_t cw_detours_via(const cw_detours_t *detours, uint32_t address, cw_time_us_t now);
 /** True if a probe of this suspect is due; it then counts as sent. turn: number of the probe, which increases by one
  * with each probe of the suspect. */
-bool cw_detours_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn);
+bool cw_detours_begin_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn);
 /** Removes nodes that have not been suspects for a while. */
 void cw_detours_expire(cw_detours_t *detours, cw_time_us_t now);
 /** Number of nodes that are reached through a valid detour. */
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -32,27 +32,27 @@
 
 /** A known node. */
 typedef struct cw_peer {
-    uint32_t        address;  /**< IPv4, in network order */
-    char            text[16]; /**< the address as text */
-    char            node[64]; /**< name; empty until it is known */
-    char            zone[64];
-    cw_distance_t   distance; /**< distance of that zone; the farthest one until the zone is known */
-    uint64_t        incarnation;
-    uint64_t        former_incarnation; /**< previous incarnation; 0: none known */
-    cw_time_us_t    incarnation_at;     /**< time since which the present incarnation has been known */
-    uint32_t        sequence;           /**< of its last report */
-    cw_time_us_t    last_received_at; /**< last time it was reported alive by itself or a relay of its zone; 0: never */
-    cw_time_us_t    direct_at;        /**< last time a report was received from it directly; 0: never */
-    cw_time_us_t    details_at; /**< last change of its details, including its first report and a return after a loss */
-    cw_time_us_t    learned_at; /**< last time its address was learned */
-    bool            stopping;
-    uint32_t        capability; /**< capability to lead, as stated by the peer; 0: not known */
-    bool            is_lost;
-    bool            store_lost;  /**< its calls to the store get no answer */
-    bool            misses_this; /**< its last report states that it receives nothing from this node directly */
-    uint64_t        term;        /**< term of the view that it has */
-    uint64_t        servers;     /**< number of its list of servers */
-    uint64_t        tables;      /**< number of its tables */
+    uint32_t      address;  /**< IPv4, in network order */
+    char          text[16]; /**< the address as text */
+    char          node[64]; /**< name; empty until it is known */
+    char          zone[64];
+    cw_distance_t distance; /**< distance of that zone; the farthest one until the zone is known */
+    uint64_t      incarnation;
+    uint64_t      former_incarnation; /**< previous incarnation; 0: none known */
+    cw_time_us_t  incarnation_at;     /**< time since which the present incarnation has been known */
+    uint32_t      sequence;           /**< of its last report */
+    cw_time_us_t  last_received_at;   /**< last time it was reported alive by itself or a relay of its zone; 0: never */
+    cw_time_us_t  last_direct_report_at; /**< last time a report was received from it directly; 0: never */
+    cw_time_us_t  details_at; /**< last change of its details, including its first report and a return after a loss */
+    cw_time_us_t  learned_at; /**< last time its address was learned */
+    bool          stopping;
+    uint32_t      capability; /**< capability to lead, as stated by the peer; 0: not known */
+    bool          is_lost;
+    bool          store_lost;          /**< its calls to the store get no answer */
+    bool     receives_nothing_from_us; /**< its last report states that it receives nothing from this node directly */
+    uint64_t term;                     /**< term of the view that it has */
+    uint64_t servers;                  /**< number of its list of servers */
+    uint64_t tables;                   /**< number of its tables */
     cw_push_state_t servers_push;
     cw_push_state_t tables_push;
     uint32_t        peers;        /**< number of nodes from which it received recently, by its last report */
@@ -77,9 +77,9 @@
 /** Closes the socket; memory is freed once the loop has closed its handle. */
 void cw_peer_link_close(cw_peer_link_t *link);
 /** Sets the zone of this node and the region of each zone. `zones` must remain valid as long as the link. */
-void cw_peer_link_set_place(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count);
+void cw_peer_link_set_zone(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count);
 /** Sets the zone that a peer has stated, and its distance. */
-void cw_peer_link_note_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone);
+void cw_peer_link_set_peer_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone);
 /** Counts of sent datagrams by kind and distance. */
 const cw_traffic_account_t *cw_peer_link_traffic(const cw_peer_link_t *link);
 /** Adds the peer at an address that may be a node's, or updates the time at which it was last learned. NULL: it is this
@@ -105,18 +105,18 @@
 /** Sends all datagrams of a batch to one peer. Returns the number of bytes. */
 size_t cw_peer_link_send_batch(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch);
 /** Sends `count` datagrams of a batch to one peer, starting at index `first`. Returns the number of bytes. */
-size_t cw_peer_link_send_part(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
-                              size_t first, size_t count);
+size_t cw_peer_link_send_range(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
+                               size_t first, size_t count);
 /** Sets the incarnation of a peer. If it differs from the known one, the node has restarted: its reports begin with
  * sequence 0, and the state of transmissions to the previous process is reset. */
 void cw_peer_set_incarnation(cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
 /** True if this is the incarnation before the known one, and the known one is recent. A message about it is then late.
  * If messages about that incarnation continue for longer, it is the running one, and the message about the other
  * incarnation was late. */
-bool cw_peer_is_former(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
+bool cw_peer_is_former_incarnation(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
 /** Removes peers that were neither received from nor learned for longer than `silence`. */
 void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
 /** Number of peers that were received from within `silence`. */
-uint32_t cw_peer_link_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
+uint32_t cw_peer_link_count_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
 
 #endif
--- a/src/placement/load_window.h
+++ b/src/placement/load_window.h
@@ -43,17 +43,17 @@
 } cw_region_load_t;
 
 /** Requests for one key, as a node reports them. */
-typedef struct cw_key_sighting {
+typedef struct cw_key_report {
     uint32_t key;
     uint32_t regions; /**< regions that they may be sent to, as a mask (region_mask.h) */
     uint32_t from;    /**< bit of the region that they came from; 0: not known */
     double   weight;  /**< number of requests */
-} cw_key_sighting_t;
+} cw_key_report_t;
 
 /** Adds requests for a key without regions. */
 void cw_load_window_add(cw_load_window_t *window, uint32_t key, double weight, cw_time_us_t now);
 /** Adds requests for a key. */
-void cw_load_window_note(cw_load_window_t *window, const cw_key_sighting_t *seen, cw_time_us_t now);
+void cw_load_window_add_sample(cw_load_window_t *window, const cw_key_report_t *seen, cw_time_us_t now);
 /** Standard error, in requests per second, of a rate read from the window: that of a Poisson count over the window's
  * time constant. */
 double cw_load_error(double per_s);
--- a/src/placement/order_trust.h
+++ b/src/placement/order_trust.h
@@ -37,9 +37,9 @@
 cw_order_trust_t *cw_order_trust_create(void);
 void              cw_order_trust_free(cw_order_trust_t *trust);
 /** Records that an order to the server failed. served: requests of this node that the server has answered so far. */
-void cw_order_trust_note_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
+void cw_order_trust_record_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
 /** Records that the server answered an order. */
-void cw_order_trust_note_answer(cw_order_trust_t *trust, uint32_t server);
+void cw_order_trust_record_answer(cw_order_trust_t *trust, uint32_t server);
 /** Whether the server may get keys only if no other server can. served: as above; more answers than at the server's
  * last failure end the doubt. */
 bool cw_order_trust_is_doubted(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
--- a/src/placement/ownership_measures.h
+++ b/src/placement/ownership_measures.h
@@ -49,9 +49,9 @@
 /** Frees the memory and resets all measures. */
 void cw_ownership_measures_clear(cw_ownership_measures_t *measures);
 /** Observes the present ranges and counts the changes since the previous observation. */
-void cw_ownership_measures_look(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now);
+void cw_ownership_measures_observe(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now);
 /** Observes the load on the ranges; called about once per second. */
-void cw_ownership_measures_look_at_load(cw_ownership_measures_t *measures, const cw_range_list_t *ranges,
+void cw_ownership_measures_observe_load(cw_ownership_measures_t *measures, const cw_range_list_t *ranges,
                                         const cw_load_window_t *window, cw_time_us_t now);
 /** Time-weighted mean of the imbalance; 0: not known. */
 double cw_ownership_measures_imbalance(const cw_ownership_measures_t *measures);
--- a/src/router/leader_tenure.h
+++ b/src/router/leader_tenure.h
@@ -46,7 +46,7 @@
 /** Notes whether a rival is in reach now. Called with each tick. */
 void cw_leader_tenure_note_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now);
 /** How much later than it could this node takes the lock. */
-cw_time_us_t cw_leader_tenure_deference(const cw_leader_tenure_t *tenure);
+cw_time_us_t cw_leader_tenure_take_delay(const cw_leader_tenure_t *tenure);
 /** Whether this node, if it leads, is to hand over to the rival. */
 bool cw_leader_tenure_should_hand_over(const cw_leader_tenure_t *tenure, cw_time_us_t now);
 /** Whether the node's authority has changed since the last call. */
--- a/src/router/replaced_versions.h
+++ b/src/router/replaced_versions.h
@@ -21,17 +21,17 @@
 
 /** The last numbers that were replaced. All zeros: none. */
 typedef struct cw_replaced_versions {
-    uint64_t     newest;                            /**< last number that was replaced; 0: none */
-    cw_time_us_t true_at[CW_REPLACED_VERSIONS_MAX]; /**< when a number was last valid, at index number %
+    uint64_t     newest;                             /**< last number that was replaced; 0: none */
+    cw_time_us_t valid_at[CW_REPLACED_VERSIONS_MAX]; /**< when a number was last valid, at index number %
                                                        CW_REPLACED_VERSIONS_MAX */
-    size_t count;                                   /**< numbers that are kept */
+    size_t count;                                    /**< numbers that are kept */
 } cw_replaced_versions_t;
 
 /** Starts a new term, in which no number has been replaced. */
 void cw_replaced_versions_begin(cw_replaced_versions_t *replaced);
-/** Records that this number was replaced; it was certainly valid at `true_at`. A gap in the numbers discards earlier
+/** Records that this number was replaced; it was certainly valid at `valid_at`. A gap in the numbers discards earlier
  * ones. */
-void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t number, cw_time_us_t true_at);
+void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t number, cw_time_us_t valid_at);
 /** Ages in milliseconds of the last numbers that were replaced, the newest first. Returns how many. */
 size_t cw_replaced_versions_ages(const cw_replaced_versions_t *replaced, cw_time_us_t now,
                                  uint32_t ages_ms[CW_REPLACED_VERSIONS_MAX]);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -62,7 +62,7 @@
     void (*answered)(void *context, bool is_answered);
     /** Operators may take zones out of service in this store. Each read of the servers then also returns these zones.
      */
-    bool zones_may_be_out;
+    bool zones_can_be_taken_out;
     /** A read of the list of servers has ended. */
     void (*servers)(void *context, const cw_servers_read_t *read);
 } cw_store_readers_t;
@@ -82,7 +82,7 @@
      * old. */
     void (*read_servers)(void *context, bool from_copy);
     /** This node got the list as of this revision from another node. The next read needs only the changes after it. */
-    void (*know_servers)(void *context, const cw_server_list_t *list, uint64_t revision);
+    void (*set_known_servers)(void *context, const cw_server_list_t *list, uint64_t revision);
     /** Reads the configuration immediately. A present watch is replaced by a new one, since its connection may be dead.
      */
     void (*read_configuration)(void *context);
--- a/tests/assigner_world.h
+++ b/tests/assigner_fixture.h
@@ -1,5 +1,5 @@
 /**
- * @file assigner_world.h
+ * @file assigner_fixture.h
  * @brief Test fixture: an assigner with a store of one object, and servers whose orders the test answers.
  */
 #ifndef CEDARWINCH_TESTS_ASSIGNER_FIXTURE_H
--- a/tests/listener_world.c
+++ b/tests/listener_fixture.c
@@ -1,9 +1,9 @@
 /**
- * @file listener_world.c
+ * @file listener_fixture.c
  * @brief Test fixture: a listener whose handler keeps requests until a test answers them, and callers that send raw
  *        bytes.
  */
-#include "listener_world.h"
+#include "listener_fixture.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -28,7 +28,7 @@
     snprintf(request->method, sizeof(request->method), "%s", inbound->method);
     snprintf(request->target, sizeof(request->target), "%s", inbound->target);
     request->body_length = inbound->body_length;
-    request->without_body = inbound->without_body;
+    request->body_unread = inbound->body_unread;
     if (inbound->body_length > 0) {
         request->body_first = inbound->body[0];
         request->body_last = inbound->body[inbound->body_length - 1];
@@ -66,7 +66,7 @@
     uv_loop_init(&fixture->loop);
     ck_assert_int_eq(cw_http_listener_create(&fixture->listener, &fixture->loop, "127.0.0.1", 0, limits, &handler), 0);
     cw_http_listener_set_options(fixture->listener, options);
-    cw_http_listener_set_rejects(fixture->listener, rejects);
+    cw_http_listener_set_reject_callback(fixture->listener, rejects);
 }
 
 /* ---- callers ---- */
--- a/tests/listener_world.h
+++ b/tests/listener_fixture.h
@@ -1,5 +1,5 @@
 /**
- * @file listener_world.h
+ * @file listener_fixture.h
  * @brief Test fixture: a listener whose handler keeps requests until a test answers them, and callers that send raw
  *        bytes.
  */
@@ -28,7 +28,7 @@
     char                body_last;
     cw_time_us_t        arrived_us;
     bool                cancelled;
-    bool                without_body;
+    bool                body_unread;
 } fixture_request_t;
 
 /** A client connection. */
--- a/tests/test_assigner.c
+++ b/tests/test_assigner.c
@@ -5,7 +5,7 @@
  */
 #include <string.h>
 
-#include "assigner_world.h"
+#include "assigner_fixture.h"
 #include "loop_fixture.h"
 
 static const char *const two[] = {"i-a@10.0.0.1:80", "i-b@10.0.0.2:80", NULL};
@@ -121,7 +121,7 @@
     assigner_fixture_set_servers(&fixture, two);
     assigner_fixture_settle(&fixture);
     begin_move(&fixture);
-    assigner_fixture_answer(&fixture, CW_ORDER_ENDED, NULL);
+    assigner_fixture_answer(&fixture, CW_ORDER_OTHER_INCARNATION, NULL);
     assigner_fixture_tick(&fixture, CW_MS(20));
     ck_assert_int_eq(assigner_fixture_range(&fixture, 50)->phase, CW_RANGE_GRANTING);
     assigner_fixture_clear(&fixture);
@@ -716,7 +716,8 @@
     const cw_order_t  *second;
 
     begin_with(&fixture, two);
-    cw_assigner_set_pace(fixture.assigner, RENEWALS_PER_SECOND); /* two ranges: one renewal each in two seconds */
+    cw_assigner_set_renewal_rate(fixture.assigner,
+                                 RENEWALS_PER_SECOND); /* two ranges: one renewal each in two seconds */
     renew(&fixture, CW_ORDER_DONE);
     first = last_grant_to(&fixture, "10.0.0.1:80");
     ck_assert_int_eq(first->hold, CW_MS(5000 + 2000 - 1250));
@@ -736,7 +737,7 @@
     const cw_order_t  *grant;
 
     begin_with(&fixture, two);
-    cw_assigner_set_pace(fixture.assigner, 0.01);
+    cw_assigner_set_renewal_rate(fixture.assigner, 0.01);
     renew(&fixture, CW_ORDER_DONE);
     grant = last_grant_to(&fixture, "10.0.0.1:80");
     ck_assert_int_eq(grant->hold, CW_MS(8000));
--- a/tests/test_fair_turns.c
+++ b/tests/test_fair_turns.c
@@ -277,7 +277,7 @@
                          .tenant = tenant,
                          .objective = CW_MS(600),
                          .lease = CW_SECONDS(4),
-                         .wait_most = CW_SECONDS(4)};
+                         .max_slot_wait = CW_SECONDS(4)};
 
     fixture->asked_count[tenant]++;
     fixture->asked[ask.ticket] = (ask_record_t){.tenant = tenant, .at = fixture->now};
--- a/tests/test_http_upload.c
+++ b/tests/test_http_upload.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "listener_world.h"
+#include "listener_fixture.h"
 #include "loop_fixture.h"
 #include "net/http_listener_internal.h"
 #include "net/http_upstream.h"
@@ -403,7 +403,7 @@
 {
     listener_fixture_await_requests(fixture, index + 1);
     ck_assert_str_eq(fixture->requests[index].target, LISTENER_FIXTURE_REJECTED);
-    ck_assert(fixture->requests[index].without_body);
+    ck_assert(fixture->requests[index].body_unread);
     ck_assert_uint_eq(fixture->requests[index].body_length, 0);
     ck_assert_uint_eq(cw_http_listener_body_bytes(fixture->listener), 0);
     listener_fixture_answer(fixture, index, "no");
@@ -495,7 +495,7 @@
     caller = listener_fixture_connect(&fixture);
     listener_fixture_send_text(caller, REJECTED "Content-Length: 0\r\n\r\n");
     listener_fixture_await_requests(&fixture, 1);
-    ck_assert(!fixture.requests[0].without_body);
+    ck_assert(!fixture.requests[0].body_unread);
     listener_fixture_answer(&fixture, 0, "no");
     listener_fixture_send_text(caller, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
     listener_fixture_await_requests(&fixture, 2);
--- a/tests/test_platform_patience.c
+++ b/tests/test_platform_answer_delay.c
@@ -1,9 +1,9 @@
 /**
- * @file test_platform_patience.c
+ * @file test_platform_answer_delay.c
  * @brief Timeout of calls that the store holds: short for a call that is never answered, long enough for a slow store.
  */
 #include "loop_fixture.h"
-#include "platform_patience.h"
+#include "platform_answer_delay.h"
 
 static const cw_time_us_t max = CW_MS(1200);
 
--- a/tests/test_platform_bodies.c
+++ b/tests/test_platform_bodies.c
@@ -219,7 +219,7 @@
 {
     json_t               *body = load("{\"events\":[{\"gone\":true,\"object\":" OBJECT "}],\"at\":533}");
     cw_platform_problem_t problem;
-    cw_store_changes_t    changes;
+    cw_object_changes_t   changes;
     cw_object_change_t    change;
 
     ck_assert(cw_platform_decode_changes(&changes, body, &problem));
@@ -243,7 +243,7 @@
 {
     json_t               *body = load(changes_refusals[_i].body);
     cw_platform_problem_t problem;
-    cw_store_changes_t    changes;
+    cw_object_changes_t   changes;
 
     ck_assert(!cw_platform_decode_changes(&changes, body, &problem));
     ck_assert_str_eq(problem.text, changes_refusals[_i].problem);
--- a/tests/test_server_choice.c
+++ b/tests/test_server_choice.c
@@ -53,7 +53,7 @@
     cw_server_t *server = cw_server_pool_find(pool, id);
 
     while (server->own < server->capacity) {
-        cw_server_pool_begin(server, start);
+        cw_server_pool_begin_request(server, start);
     }
 }
 
@@ -94,17 +94,17 @@
 
     fill(pool, "b");
     fill(pool, "c");
-    cw_server_pool_fault(server, start);
+    cw_server_pool_record_fault(server, start);
     ck_assert_str_eq(chosen(pool, NULL, start, &full),
                      "a"); /* one fault: its connection may have been closed as idle */
-    cw_server_pool_fault(server, start);
+    cw_server_pool_record_fault(server, start);
     ck_assert_str_eq(chosen(pool, NULL, start, &full), "none");
     ck_assert(full);
     /* it is no longer avoided: a single request tests whether it answers again */
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(3), &full), "a");
-    cw_server_pool_begin(server, start + CW_SECONDS(3));
+    cw_server_pool_begin_request(server, start + CW_SECONDS(3));
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(3), &full), "none");
-    cw_server_pool_served(server, CW_MS(20), CW_MS(20), start + CW_SECONDS(3));
+    cw_server_pool_record_served(server, CW_MS(20), CW_MS(20), start + CW_SECONDS(3));
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(3), &full), "a");
     cw_server_pool_free(pool);
 }
@@ -118,7 +118,7 @@
     int               index;
 
     for (index = 0; index < 6; index++) {
-        cw_server_pool_fault(cw_server_pool_find(pool, ids[index % 3]), start);
+        cw_server_pool_record_fault(cw_server_pool_find(pool, ids[index % 3]), start);
     }
     ck_assert_str_ne(chosen(pool, NULL, start, &full), "none");
     cw_server_pool_free(pool);
--- a/tests/test_slot_broker.c
+++ b/tests/test_slot_broker.c
@@ -79,7 +79,7 @@
                            .service = cw_server_pool_find(fixture->pool, "a")->service_hash,
                            .objective = CW_MS(500),
                            .lease = CW_SECONDS(2),
-                           .wait_most = CW_SECONDS(2)};
+                           .max_slot_wait = CW_SECONDS(2)};
 }
 
 static const cw_slot_reply_t *ask(broker_fixture_t *fixture, const cw_slot_ask_t *asked, cw_time_us_t now)
@@ -218,7 +218,7 @@
 
     init(&fixture);
     asked = ask_of(&fixture, fill(&fixture));
-    asked.wait_most = 0;
+    asked.max_slot_wait = 0;
     ck_assert_int_eq(ask(&fixture, &asked, start)->outcome, CW_SLOT_REFUSED);
     clear(&fixture);
 }
@@ -370,7 +370,7 @@
     for (now = start; now < start + CW_SECONDS(1); now += CW_MS(5)) {
         asked = ask_of(&fixture, ticket++);
         asked.server = hash_of(&fixture, "a");
-        asked.wait_most = 0;
+        asked.max_slot_wait = 0;
         if (ask(&fixture, &asked, now)->outcome == CW_SLOT_GRANTED) {
             granted++;
             give_back(&fixture, asked.ticket, CW_SLOT_ANSWERED, NULL, now + CW_MS(1));
--- a/tests/test_slot_limits.c
+++ b/tests/test_slot_limits.c
@@ -80,7 +80,7 @@
                            .server = fixture->server->hash,
                            .objective = CW_MS(WORK_MS),
                            .lease = CW_SECONDS(1),
-                           .wait_most = 0};
+                           .max_slot_wait = 0};
 
     cw_slot_broker_ask(fixture->broker, &asked, mean_time, now);
     return fixture->reply.outcome;
