--- a/standins/server/main.c
+++ b/standins/server/main.c
@@ -1,12 +1,15 @@
 /**
  * @file main.c
- * @brief Stand-in of a tenant's server: works on a few requests at once, holds keys by grants, signs into the store.
+ * @brief Stand-in for a tenant's server: works on a few requests at once, holds keys by grants, and registers in the
+ *        store.
  *
- * One JSON line on standard output for each run, grant and release, with this machine's monotonic time, for the
- * checker of runs (cw-verdict). Runs name the tenant that the server was told ("X-Tenant"); a caller's credential that
- * reaches a server gets a line of its own. SIGTERM: it states that it drains, serves on for a while, and ends.
- * SIGUSR1: it says the next thing of its series in its answers; SIGUSR2: nothing more. While it names a rate limit,
- * each arrival has a line too.
+ * Prints records for the checker (cw-verdict): one JSON line on standard output for each event (run, grant, release and
+ * others), with the machine's monotonic time. Records of runs name the tenant that the request named in "X-Tenant". A
+ * request that still contains the caller's credential gets a record of its own. As soon as a signal has been in force,
+ * the arrival of each request is recorded, too.
+ *
+ * SIGTERM: states that it drains, serves on for DRAIN_MS, and ends. SIGUSR1: puts the next signal of --signals into
+ * force; SIGUSR2: ends the signal in force.
  */
 #include <argtable2.h>
 #include <inttypes.h>
@@ -26,7 +29,7 @@
     ERRORS_MAX = 10,
     KEYS = 65536,
     DRAIN_MS = 2500,
-    LIMIT_BYTES = 4 * 1024 * 1024,
+    REQUEST_BYTES_MAX = 4 * 1024 * 1024,
     STATUS_MISDIRECTED = 421,
     STATUS_UNAVAILABLE = 503,
     STATUS_ERROR = 500,
@@ -35,30 +38,31 @@
 
 typedef struct server server_t;
 
-/** A request that waits or is worked on. */
+/** A request that waits or is being worked on. */
 typedef struct job {
     server_t           *server;
-    cw_http_exchange_t *exchange; /**< NULL: its caller has left */
+    cw_http_exchange_t *exchange; /**< NULL: its caller has disconnected */
     uv_timer_t          timer;
     char                id[80];
-    char                tenant[40]; /**< of its caller, as the server was told; empty: none */
+    char                tenant[40]; /**< tenant of the caller, by X-Tenant; empty: none */
     uint32_t            key;
-    bool                keyed;
-    bool                running;
-    struct job         *prev; /**< utlist's names */
+    bool                keyed;   /**< the service is divided by key */
+    bool                running; /**< false: it waits */
+    struct job         *prev;    /**< prev and next: the names that utlist.h requires */
     struct job         *next;
 } job_t;
 
-/** A release that waits for what runs on its keys. */
+/** A release that is answered when no request on its keys runs any more. */
 typedef struct release {
-    cw_http_exchange_t *exchange;
-    uint32_t            low;
-    uint32_t            last;
+    cw_http_exchange_t *exchange; /**< NULL: its caller has disconnected */
+    uint32_t            low;      /**< first key */
+    uint32_t            last;     /**< last key, inclusive */
     struct release     *next;
 } release_t;
 
+/** The server's hold of one key. */
 typedef struct key_hold {
-    uint32_t fence;
+    uint32_t fence; /**< highest one of grants and releases */
     uint64_t until_ms;
 } key_hold_t;
 
@@ -76,32 +80,32 @@
     const char           *service;
     const char           *zone;
     char                  id[40];
-    char                  incarnation[64]; /* in the records: another one at each start */
+    char                  incarnation[64]; /* id and time of the start: name in the records */
     char                  address[40];
     uint32_t              capacity;
     uint32_t              queue_max;
     uint32_t              work_ms;
     uint32_t              heartbeat_ms;
-    uint32_t              cold_ms; /**< its warm-up after the start, as its entry tells */
+    uint32_t              cold_ms; /**< time of the warm-up after the start, which its entry in the store states */
     uint64_t              started_ms;
-    uint64_t              born_ms;    /* of the time of day */
-    const char           *crash_path; /* requests with it in their paths end the process; NULL: none do */
+    uint64_t              born_ms;    /* time of the start, by the wall clock */
+    const char           *crash_path; /* a request whose path contains this text ends the process; NULL: none */
     bool                  keyed;
-    bool                  hangs;
+    bool                  hangs; /**< a request that finds the queue full gets no answer */
     bool                  draining;
-    bool                  signed_in;
+    bool                  is_registered;
     uint64_t              sequence;
     uint32_t              running;
-    job_t                *waiting;
-    job_t                *jobs; /**< running */
+    job_t                *waiting; /**< jobs that wait */
+    job_t                *jobs;    /**< jobs that run */
     uint32_t              waiting_count;
     release_t            *releases;
     key_hold_t           *keys;
-    uint64_t              handovers;
+    uint64_t              handovers; /**< number of handovers so far, for their names */
 };
 
-static void note_of_tenant(server_t *server, const char *event, const char *id, uint32_t low, uint32_t last,
-                           uint64_t fence, const char *tenant)
+static void print_record_of_tenant(server_t *server, const char *event, const char *id, uint32_t low, uint32_t last,
+                                   uint64_t fence, const char *tenant)
 {
     printf("{\"ns\":%" PRIu64 ",\"event\":\"%s\",\"server\":\"%s\",\"service\":\"%s\",\"id\":\"%s\",\"low\":%u,"
            "\"last\":%u,\"fence\":%" PRIu64 ",\"tenant\":\"%s\"}\n",
@@ -109,19 +113,20 @@
     fflush(stdout);
 }
 
-static void note(server_t *server, const char *event, const char *id, uint32_t low, uint32_t last, uint64_t fence)
+static void print_record(server_t *server, const char *event, const char *id, uint32_t low, uint32_t last,
+                         uint64_t fence)
 {
-    note_of_tenant(server, event, id, low, last, fence, "");
+    print_record_of_tenant(server, event, id, low, last, fence, "");
 }
 
-static void note_limit(const server_t *server)
+static void print_limit_record(const server_t *server)
 {
     printf("{\"ns\":%" PRIu64 ",\"event\":\"limit\",\"server\":\"%s\",\"service\":\"%s\",\"per_s\":%g}\n", uv_hrtime(),
            server->incarnation, server->service, server->signals.now.limit_per_s);
     fflush(stdout);
 }
 
-static void note_rest(const server_t *server, const char *id)
+static void print_rest_record(const server_t *server, const char *id)
 {
     printf("{\"ns\":%" PRIu64 ",\"event\":\"rest\",\"server\":\"%s\",\"service\":\"%s\",\"id\":\"%s\",\"rest_s\":%g}\n",
            uv_hrtime(), server->incarnation, server->service, id, server->signals.now.rest_s);
@@ -136,8 +141,8 @@
     cw_http_field_builder_value(builder, fields, value, strlen(value));
 }
 
-static void answer_resting(server_t *server, cw_http_exchange_t *exchange, int status, const char *id, bool not_run,
-                           const char *handover, const char *body, double rest_s)
+static void answer_with_retry_after(server_t *server, cw_http_exchange_t *exchange, int status, const char *id,
+                                    bool not_run, const char *handover, const char *body, double rest_s)
 {
     cw_http_fields_t        fields = {0};
     cw_http_field_builder_t builder = {0};
@@ -171,17 +176,17 @@
 static void answer(server_t *server, cw_http_exchange_t *exchange, int status, const char *id, bool not_run,
                    const char *handover, const char *body)
 {
-    answer_resting(server, exchange, status, id, not_run, handover, body, 0);
+    answer_with_retry_after(server, exchange, status, id, not_run, handover, body, 0);
 }
 
 /* ---- keys ---- */
 
-static bool holds(const server_t *server, uint32_t key)
+static bool holds_key(const server_t *server, uint32_t key)
 {
     return key < KEYS && server->keys[key].until_ms > uv_now(&server->loop);
 }
 
-static void take_grant(server_t *server, cw_http_exchange_t *exchange, const json_t *body)
+static void handle_grant(server_t *server, cw_http_exchange_t *exchange, const json_t *body)
 {
     uint32_t low = (uint32_t)json_integer_value(json_object_get(body, "from"));
     uint32_t last = (uint32_t)json_integer_value(json_object_get(body, "last"));
@@ -203,11 +208,11 @@
         server->keys[key].fence = fence;
         server->keys[key].until_ms = uv_now(&server->loop) + hold_ms;
     }
-    note(server, "grant", "", low, last, fence);
+    print_record(server, "grant", "", low, last, fence);
     answer(server, exchange, 200, NULL, true, NULL, "{}");
 }
 
-static bool runs_on(const server_t *server, uint32_t low, uint32_t last)
+static bool has_job_on(const server_t *server, uint32_t low, uint32_t last)
 {
     const job_t *job;
 
@@ -228,7 +233,7 @@
     while (*place != NULL) {
         release_t *release = *place;
 
-        if (runs_on(server, release->low, release->last)) {
+        if (has_job_on(server, release->low, release->last)) {
             place = &release->next;
             continue;
         }
@@ -242,7 +247,7 @@
     }
 }
 
-static void take_release(server_t *server, cw_http_exchange_t *exchange, const json_t *body)
+static void handle_release(server_t *server, cw_http_exchange_t *exchange, const json_t *body)
 {
     release_t *release = calloc(1, sizeof(*release));
     uint32_t   fence = (uint32_t)json_integer_value(json_object_get(body, "fence"));
@@ -257,7 +262,7 @@
         server->keys[key].until_ms = 0;
         server->keys[key].fence = fence > server->keys[key].fence ? fence : server->keys[key].fence;
     }
-    note(server, "release", "", release->low, release->last, fence);
+    print_record(server, "release", "", release->low, release->last, fence);
     release->exchange = exchange;
     release->next = server->releases;
     server->releases = release;
@@ -280,7 +285,7 @@
 
     DL_DELETE(server->jobs, job);
     server->running--;
-    note(server, "end", job->id, job->key, job->key, 0);
+    print_record(server, "end", job->id, job->key, job->key, 0);
     uv_close((uv_handle_t *)&job->timer, on_job_closed);
     answer_releases(server);
     while (server->running < server->capacity && (next = server->waiting) != NULL) {
@@ -295,15 +300,15 @@
     job_t              *job = timer->data;
     server_t           *server = job->server;
     cw_http_exchange_t *exchange = job->exchange;
-    bool                lost = job->keyed && !holds(server, job->key) && !runs_on(server, job->key, job->key);
-    char                id[sizeof(job->id)];
+    bool has_lost_key = job->keyed && !holds_key(server, job->key) && !has_job_on(server, job->key, job->key);
+    char id[sizeof(job->id)];
 
     memcpy(id, job->id, sizeof(id));
     job->exchange = NULL;
     end_job(job);
     if (exchange != NULL) {
         cw_http_exchange_set_data(exchange, NULL);
-        answer(server, exchange, lost ? STATUS_ERROR : 200, id, false, NULL, id);
+        answer(server, exchange, has_lost_key ? STATUS_ERROR : 200, id, false, NULL, id);
     }
 }
 
@@ -311,7 +316,7 @@
 {
     server_t *server = job->server;
 
-    if (job->exchange == NULL || (job->keyed && !holds(server, job->key))) {
+    if (job->exchange == NULL || (job->keyed && !holds_key(server, job->key))) {
         if (job->exchange != NULL) {
             cw_http_exchange_set_data(job->exchange, NULL);
             answer(server, job->exchange, STATUS_MISDIRECTED, job->id, true, NULL, "");
@@ -322,12 +327,12 @@
     job->running = true;
     DL_APPEND(server->jobs, job);
     server->running++;
-    note_of_tenant(server, "run", job->id, job->key, job->key, job->keyed ? server->keys[job->key].fence : 0,
-                   job->tenant);
+    print_record_of_tenant(server, "run", job->id, job->key, job->key, job->keyed ? server->keys[job->key].fence : 0,
+                           job->tenant);
     uv_timer_start(&job->timer, on_work_done, server->work_ms, 0);
 }
 
-static void take_request(server_t *server, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound)
+static void handle_work_request(server_t *server, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound)
 {
     const char *target = cw_http_fields_find(inbound->fields, "X-Target-Instance");
     const char *id = cw_http_fields_find(inbound->fields, "X-Request-Id");
@@ -340,7 +345,7 @@
         return;
     }
     if ((target != NULL && strcmp(target, server->id) != 0) ||
-        (server->keyed && (key == NULL || !holds(server, (uint32_t)atoi(key))))) {
+        (server->keyed && (key == NULL || !holds_key(server, (uint32_t)atoi(key))))) {
         answer(server, exchange, STATUS_MISDIRECTED, id, true, NULL, "");
         return;
     }
@@ -375,32 +380,33 @@
 {
     server_t   *server = context;
     const char *target = cw_http_fields_find(inbound->fields, "X-Target-Instance");
-    bool        is_order = strncmp(inbound->target, "/api/", strlen("/api/")) == 0;
+    bool        is_router_order = strncmp(inbound->target, "/api/", strlen("/api/")) == 0;
     const char *id = cw_http_fields_find(inbound->fields, "X-Request-Id");
     json_t     *body;
 
     if (cw_http_fields_find(inbound->fields, "Authorization") != NULL) {
-        note(server, "credential", id == NULL ? "" : id, 0, 0, 0);
+        print_record(server, "credential", id == NULL ? "" : id, 0, 0, 0);
     }
     if (strcmp(inbound->target, "/health") == 0) {
         answer(server, exchange, server->draining ? STATUS_UNAVAILABLE : 200, NULL, true, NULL, "");
         return;
     }
-    if (!is_order) {
-        if (server->signals.any) {
-            note(server, "arrive", id == NULL ? "" : id, 0, 0, 0);
+    if (!is_router_order) {
+        if (server->signals.is_used) {
+            print_record(server, "arrive", id == NULL ? "" : id, 0, 0, 0);
         }
         if (server->signals.now.rest_s > 0 && id != NULL) {
-            note_rest(server, id);
-            answer_resting(server, exchange, STATUS_UNAVAILABLE, id, true, NULL, "", server->signals.now.rest_s);
+            print_rest_record(server, id);
+            answer_with_retry_after(server, exchange, STATUS_UNAVAILABLE, id, true, NULL, "",
+                                    server->signals.now.rest_s);
             return;
         }
         if (server->crash_path != NULL && strstr(inbound->target, server->crash_path) != NULL) {
-            note(server, "crash", id == NULL ? "" : id, 0, 0, 0);
+            print_record(server, "crash", id == NULL ? "" : id, 0, 0, 0);
             (void)fflush(stdout);
             _exit(EXIT_FAILURE);
         }
-        take_request(server, exchange, inbound);
+        handle_work_request(server, exchange, inbound);
         return;
     }
     if (target != NULL && strcmp(target, server->id) != 0) {
@@ -409,15 +415,15 @@
     }
     body = json_loadb(inbound->body == NULL ? "" : inbound->body, inbound->body_length, 0, NULL);
     if (strcmp(inbound->target, "/api/grant") == 0) {
-        take_grant(server, exchange, body);
+        handle_grant(server, exchange, body);
     } else {
-        take_release(server, exchange, body);
+        handle_release(server, exchange, body);
     }
     json_decref(body);
 }
 
-/* Its caller has left: what waits is dropped, what runs ends unheard. */
-static void on_gone(void *context, cw_http_exchange_t *exchange)
+/* The caller has disconnected: a running job ends at once, a waiting one is dropped when its turn comes. */
+static void on_cancelled(void *context, cw_http_exchange_t *exchange)
 {
     server_t  *server = context;
     job_t     *job = cw_http_exchange_data(exchange);
@@ -439,12 +445,13 @@
 
 /* ---- the store ---- */
 
-static void on_signed(void *context, const cw_upstream_answer_t *answer)
+static void on_registered(void *context, const cw_upstream_answer_t *answer)
 {
     server_t *server = context;
 
     if (answer->result == CW_UPSTREAM_ANSWERED && (answer->status < 300 || answer->status == STATUS_CONFLICT)) {
-        server->signed_in = true; /* the entry may be that of its incarnation before */
+        server->is_registered =
+            true; /* a conflict: the entry of the previous incarnation with this id exists, and is replaced next */
     }
 }
 
@@ -477,14 +484,14 @@
     request.length = (size_t)snprintf(
         text, sizeof(text), "%s /api/objects/servers%s HTTP/1.1\r\nHost: store\r\nContent-Length: %zu\r\n\r\n%s",
         method, path, strlen(body), body);
-    (void)cw_upstream_call(server->store, &request, on_signed, server);
+    (void)cw_upstream_call(server->store, &request, on_registered, server);
 }
 
 static void on_heartbeat(uv_timer_t *timer)
 {
     server_t *server = timer->data;
 
-    call_store(server, server->signed_in ? "PUT" : "POST", true);
+    call_store(server, server->is_registered ? "PUT" : "POST", true);
 }
 
 static void on_removed(uv_timer_t *timer)
@@ -513,7 +520,7 @@
     }
     server->draining = true;
     server->signals.now.is_leaving = true;
-    server->signals.any = true;
+    server->signals.is_used = true;
     on_heartbeat(&server->heartbeat);
     uv_timer_start(&server->leave, on_leave, DRAIN_MS, 0);
 }
@@ -527,12 +534,12 @@
     } else {
         signals_end(&server->signals);
     }
-    note_limit(server);
+    print_limit_record(server);
 }
 
 /* ---- start ---- */
 
-static uint64_t unix_ms(void)
+static uint64_t wall_clock_ms(void)
 {
     uv_timeval64_t now = {0};
 
@@ -542,11 +549,11 @@
 
 static int run(server_t *server, const char *address, uint16_t port, const char *store_address)
 {
-    cw_http_limits_t           limits = {.header_bytes = LIMIT_BYTES,
-                                         .body_bytes = LIMIT_BYTES,
+    cw_http_limits_t           limits = {.header_bytes = REQUEST_BYTES_MAX,
+                                         .body_bytes = REQUEST_BYTES_MAX,
                                          .header_timeout = CW_SECONDS(60),
                                          .idle_timeout = CW_SECONDS(10)};
-    cw_http_listener_handler_t handler = {server, on_request, on_gone};
+    cw_http_listener_handler_t handler = {server, on_request, on_cancelled};
     cw_upstream_options_t      options = {.idle_max = CW_SECONDS(10)};
     int                        error;
 
@@ -566,7 +573,7 @@
                  (unsigned)getpid() & 0xffffu);
     }
     server->started_ms = uv_now(&server->loop);
-    server->born_ms = unix_ms();
+    server->born_ms = wall_clock_ms();
     snprintf(server->incarnation, sizeof(server->incarnation), "%s@%" PRIu64, server->id, server->born_ms);
     server->upstream = cw_upstream_create(&server->loop, &options);
     server->store = cw_upstream_target_create(server->upstream, store_address);
@@ -588,9 +595,9 @@
     uv_signal_start(&server->terminate, on_terminate, SIGTERM);
     uv_signal_start(&server->next_signal, on_signal, SIGUSR1);
     uv_signal_start(&server->end_signals, on_signal, SIGUSR2);
-    note(server, "start", "", 0, 0, 0);
+    print_record(server, "start", "", 0, 0, 0);
     uv_run(&server->loop, UV_RUN_DEFAULT);
-    note(server, "stop", "", 0, 0, 0);
+    print_record(server, "stop", "", 0, 0, 0);
     return EXIT_SUCCESS;
 }
 
--- a/standins/server/signals.c
+++ b/standins/server/signals.c
@@ -1,6 +1,6 @@
 /**
  * @file signals.c
- * @brief The series of what is said, and the fields of answers.
+ * @brief Parses the series of signals, and writes header fields of answers.
  */
 #include "signals.h"
 
@@ -63,12 +63,12 @@
     }
     signals->now = signals->items[signals->next];
     signals->next = (signals->next + 1) % signals->count;
-    signals->any = true;
+    signals->is_used = true;
 }
 
 void signals_end(signals_t *signals)
 {
-    if (!signals->now.is_leaving) { /* there is no way back */
+    if (!signals->now.is_leaving) { /* a leave cannot be withdrawn */
         signals->now = nothing;
     }
 }
--- a/standins/server/signals.h
+++ b/standins/server/signals.h
@@ -1,6 +1,6 @@
 /**
  * @file signals.h
- * @brief What the stand-in of a server says of itself in its answers.
+ * @brief Signals of the stand-in for a server: what its answers state about the server itself.
  */
 #ifndef CEDARWINCH_STANDINS_SERVER_SIGNALS_H
 #define CEDARWINCH_STANDINS_SERVER_SIGNALS_H
@@ -12,28 +12,29 @@
 
 enum { SIGNALS_MAX = 16 };
 
-/** What it says from one moment to the next. */
+/** What the server states at one time. */
 typedef struct signals_item {
-    double limit_per_s; /**< its rate limit; below 0: none */
-    double rest_s;      /**< it turns all requests away, and asks for a rest of so long; 0: it does not */
-    bool   is_leaving;
+    double limit_per_s; /**< rate limit of the server; below 0: none */
+    double rest_s;      /**< it refuses all requests with 503 and this Retry-After in seconds; 0: it does not */
+    bool   is_leaving;  /**< the server announces that it leaves */
 } signals_item_t;
 
+/** A series of signals, and the signal in force. */
 typedef struct signals {
-    signals_item_t items[SIGNALS_MAX]; /**< in turn */
+    signals_item_t items[SIGNALS_MAX]; /**< used one after the other */
     size_t         count;
-    size_t         next;
-    signals_item_t now;
-    bool           any; /**< it has said something */
+    size_t         next;    /**< index of the next item */
+    signals_item_t now;     /**< item in force */
+    bool           is_used; /**< an item of the series has been in force */
 } signals_t;
 
-/** series: "limit=6,none,rest=3,leaving", or NULL: it never says anything. False: the text is none of this. */
+/** Parses a series like "limit=6,none,rest=3,leaving"; NULL: an empty series. Returns false if the text is invalid. */
 bool signals_init(signals_t *signals, const char *series);
-/** The next item of the series holds from now on; after the last one the first. */
+/** Puts the next item of the series into force; the first item follows the last one. A leave stays in force. */
 void signals_next(signals_t *signals);
-/** Nothing is said from now on; the next item is the one that would have been. */
+/** Ends the item in force; the position in the series stays. A leave stays in force. */
 void signals_end(signals_t *signals);
-/** Adds the fields of an answer. */
+/** Adds the header fields of the item in force to an answer. */
 void signals_add_fields(const signals_t *signals, cw_http_fields_t *fields, cw_http_field_builder_t *builder);
 
 #endif
--- a/standins/store/main.c
+++ b/standins/store/main.c
@@ -1,6 +1,6 @@
 /**
  * @file main.c
- * @brief The store's calls over HTTP.
+ * @brief Serves the calls of the object store over HTTP, and injects the faults that store.h lists.
  */
 #include <argtable2.h>
 #include <inttypes.h>
@@ -12,25 +12,31 @@
 #include "base/text.h"
 #include "store.h"
 
-enum { ERRORS_MAX = 10, KIND_MAX = 128, LATE_MS = 1000, WAIT_MAX_MS = 30000, LIMIT_BYTES = 4 * 1024 * 1024 };
+enum {
+    ERRORS_MAX = 10,
+    NAME_BYTES_MAX = 128,
+    LATE_WRITE_MS = 1000,
+    WATCH_WAIT_MAX_MS = 30000,
+    REQUEST_BYTES_MAX = 4 * 1024 * 1024
+};
 
 static const char prefix[] = "/api/objects/";
 
-/** An answer on its way. */
+/** An answer that is delayed by slow_ms. */
 typedef struct delayed_answer {
     uv_timer_t          timer;
-    cw_http_exchange_t *exchange;
+    cw_http_exchange_t *exchange; /**< NULL: its caller has disconnected */
     int                 status;
     char               *text;
 } delayed_answer_t;
 
-/** A write that is done late. */
+/** A write that is done LATE_WRITE_MS after its call, which gets no answer. */
 typedef struct late_write {
     uv_timer_t timer;
     store_t   *store;
     char       method[8];
-    char       kind[KIND_MAX];
-    char       name[KIND_MAX];
+    char       kind[NAME_BYTES_MAX];
+    char       name[NAME_BYTES_MAX];
     json_t    *body;
 } late_write_t;
 
@@ -43,7 +49,7 @@
     cw_http_exchange_answer(exchange, &outbound);
 }
 
-static void free_delayed(uv_handle_t *handle)
+static void free_delayed_answer(uv_handle_t *handle)
 {
     delayed_answer_t *delayed = handle->data;
 
@@ -51,7 +57,7 @@
     free(delayed);
 }
 
-static void on_delayed(uv_timer_t *timer)
+static void on_delayed_answer(uv_timer_t *timer)
 {
     delayed_answer_t *delayed = timer->data;
 
@@ -59,7 +65,7 @@
         cw_http_exchange_set_data(delayed->exchange, NULL);
         answer_text(delayed->exchange, delayed->status, delayed->text);
     }
-    uv_close((uv_handle_t *)timer, free_delayed);
+    uv_close((uv_handle_t *)timer, free_delayed_answer);
 }
 
 static void answer(store_t *store, cw_http_exchange_t *exchange, int status, json_t *body)
@@ -82,7 +88,7 @@
     delayed->text = text;
     delayed->timer.data = delayed;
     uv_timer_init(&store->loop, &delayed->timer);
-    uv_timer_start(&delayed->timer, on_delayed, store->slow_ms, 0);
+    uv_timer_start(&delayed->timer, on_delayed_answer, store->slow_ms, 0);
     cw_http_exchange_set_data(exchange, delayed);
 }
 
@@ -128,7 +134,7 @@
     end_watch(watch, 200, watch_body(watch->store, json_array()));
 }
 
-static void look_at_watches(store_t *store)
+static void answer_watches(store_t *store)
 {
     store_watch_t *watch = store->watches;
 
@@ -163,9 +169,9 @@
     watch->next = store->watches;
     store->watches = watch;
     uv_timer_init(&store->loop, &watch->timer);
-    uv_timer_start(&watch->timer, on_watch_timer, wait > WAIT_MAX_MS ? WAIT_MAX_MS : wait, 0);
+    uv_timer_start(&watch->timer, on_watch_timer, wait > WATCH_WAIT_MAX_MS ? WATCH_WAIT_MAX_MS : wait, 0);
     cw_http_exchange_set_data(exchange, NULL);
-    look_at_watches(store);
+    answer_watches(store);
 }
 
 /* ---- queries ---- */
@@ -195,35 +201,35 @@
 /* ---- writes ---- */
 
 static int write_object(store_t *store, const char *method, const char *kind, const char *name, json_t *body,
-                        json_t **answer_body)
+                        json_t **reply_body)
 {
     json_t         *metadata = json_object_get(body, "metadata");
-    const char     *own_name = name[0] != '\0' ? name : json_string_value(json_object_get(metadata, "name"));
+    const char     *object_name = name[0] != '\0' ? name : json_string_value(json_object_get(metadata, "name"));
     json_t         *revision = json_object_get(metadata, "revision");
     json_t         *spec = json_object_get(body, "spec");
-    store_object_t *object = own_name == NULL ? NULL : store_find(store, kind, own_name);
+    store_object_t *object = object_name == NULL ? NULL : store_find(store, kind, object_name);
 
-    *answer_body = NULL;
-    if (own_name == NULL || spec == NULL) {
+    *reply_body = NULL;
+    if (object_name == NULL || spec == NULL) {
         return 400;
     }
     if (strcmp(method, "POST") == 0 && object != NULL) {
-        *answer_body = store_object_json(object);
+        *reply_body = store_object_json(object);
         return 409;
     }
     if (strcmp(method, "PUT") == 0 && object == NULL) {
         return 404;
     }
     if (object != NULL && json_is_integer(revision) && (uint64_t)json_integer_value(revision) != object->revision) {
-        *answer_body = store_object_json(object);
+        *reply_body = store_object_json(object);
         return 409;
     }
-    *answer_body = store_object_json(store_put(store, kind, own_name, spec));
-    look_at_watches(store);
+    *reply_body = store_object_json(store_put(store, kind, object_name, spec));
+    answer_watches(store);
     return 200;
 }
 
-static void on_late_closed(uv_handle_t *handle)
+static void on_late_write_closed(uv_handle_t *handle)
 {
     late_write_t *late = handle->data;
 
@@ -231,17 +237,17 @@
     free(late);
 }
 
-static void on_late(uv_timer_t *timer)
+static void on_late_write(uv_timer_t *timer)
 {
     late_write_t *late = timer->data;
     json_t       *body;
 
     (void)write_object(late->store, late->method, late->kind, late->name, late->body, &body);
     json_decref(body);
-    uv_close((uv_handle_t *)timer, on_late_closed);
+    uv_close((uv_handle_t *)timer, on_late_write_closed);
 }
 
-static void write_late(store_t *store, const char *method, const char *kind, const char *name, json_t *body)
+static void schedule_late_write(store_t *store, const char *method, const char *kind, const char *name, json_t *body)
 {
     late_write_t *late = calloc(1, sizeof(*late));
 
@@ -255,50 +261,50 @@
     late->body = json_incref(body);
     late->timer.data = late;
     uv_timer_init(&store->loop, &late->timer);
-    uv_timer_start(&late->timer, on_late, LATE_MS, 0);
+    uv_timer_start(&late->timer, on_late_write, LATE_WRITE_MS, 0);
 }
 
-static void take_write(store_t *store, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound, const char *kind,
-                       const char *name)
+static void handle_write(store_t *store, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound,
+                         const char *kind, const char *name)
 {
     json_t *body = json_loadb(inbound->body == NULL ? "" : inbound->body, inbound->body_length, 0, NULL);
-    json_t *told;
+    json_t *reply;
     int     status;
 
     if (store->late > 0) {
         store->late--;
-        write_late(store, inbound->method, kind, name, body);
+        schedule_late_write(store, inbound->method, kind, name, body);
         json_decref(body);
-        return; /* and the connection stays without an answer */
+        return; /* no answer: the connection stays open */
     }
-    status = write_object(store, inbound->method, kind, name, body, &told);
+    status = write_object(store, inbound->method, kind, name, body, &reply);
     json_decref(body);
     if (store->lose > 0 && status == 200) {
         store->lose--;
-        json_decref(told);
+        json_decref(reply);
         return;
     }
-    answer(store, exchange, status, told);
+    answer(store, exchange, status, reply);
 }
 
-static void take_delete(store_t *store, cw_http_exchange_t *exchange, const char *kind, const char *name)
+static void handle_delete(store_t *store, cw_http_exchange_t *exchange, const char *kind, const char *name)
 {
     store_object_t *object = store_find(store, kind, name);
-    json_t         *told = object == NULL ? NULL : store_object_json(object);
+    json_t         *reply = object == NULL ? NULL : store_object_json(object);
 
     if (object != NULL) {
         store_remove(store, object);
-        look_at_watches(store);
+        answer_watches(store);
     }
-    answer(store, exchange, told == NULL ? 404 : 200, told);
+    answer(store, exchange, reply == NULL ? 404 : 200, reply);
 }
 
 /* ---- reads ---- */
 
-static void take_read(store_t *store, cw_http_exchange_t *exchange, const char *kind, const char *name,
-                      const char *query)
+static void handle_read(store_t *store, cw_http_exchange_t *exchange, const char *kind, const char *name,
+                        const char *query)
 {
-    char            after[KIND_MAX];
+    char            after[NAME_BYTES_MAX];
     store_object_t *object;
 
     if (name[0] != '\0') {
@@ -332,7 +338,7 @@
     }
 }
 
-static void take_control(store_t *store, cw_http_exchange_t *exchange, const char *query)
+static void handle_control(store_t *store, cw_http_exchange_t *exchange, const char *query)
 {
     uint64_t down = query_number(query, "down", 0);
     uint64_t endpoint = query_number(query, "endpoint", 0);
@@ -350,13 +356,13 @@
     set_mute(store, query_number(query, "mute", store->is_mute ? 1 : 0) != 0);
     if (query_number(query, "forget", 0) != 0) {
         store_forget(store);
-        look_at_watches(store);
+        answer_watches(store);
     }
     answer_text(exchange, 200, "done\n");
 }
 
-/* True: the outage has taken the call. */
-static bool is_down(const store_t *store, const store_outage_t *outage, cw_http_exchange_t *exchange)
+/* Handles a call during an outage. Returns false if there is none. */
+static bool handle_outage(const store_t *store, const store_outage_t *outage, cw_http_exchange_t *exchange)
 {
     if (uv_now(&store->loop) >= outage->until_ms) {
         return false;
@@ -373,15 +379,15 @@
 {
     const store_endpoint_t *endpoint = context;
     store_t                *store = endpoint->store;
-    char                    path[2 * KIND_MAX];
+    char                    path[2 * NAME_BYTES_MAX];
     const char             *query = strchr(inbound->target, '?');
     char                   *name;
 
     if (strncmp(inbound->target, "/control", strlen("/control")) == 0) {
-        take_control(store, exchange, query == NULL ? NULL : query + 1);
+        handle_control(store, exchange, query == NULL ? NULL : query + 1);
         return;
     }
-    if (is_down(store, &store->outage, exchange) || is_down(store, &endpoint->outage, exchange)) {
+    if (handle_outage(store, &store->outage, exchange) || handle_outage(store, &endpoint->outage, exchange)) {
         return;
     }
     if (store->refuse_percent > 0 && ++store->calls % 100 < store->refuse_percent) {
@@ -399,15 +405,15 @@
         *name++ = '\0';
     }
     if (strcmp(inbound->method, "GET") == 0) {
-        take_read(store, exchange, path, name == NULL ? "" : name, query == NULL ? NULL : query + 1);
+        handle_read(store, exchange, path, name == NULL ? "" : name, query == NULL ? NULL : query + 1);
     } else if (strcmp(inbound->method, "DELETE") == 0) {
-        take_delete(store, exchange, path, name == NULL ? "" : name);
+        handle_delete(store, exchange, path, name == NULL ? "" : name);
     } else {
-        take_write(store, exchange, inbound, path, name == NULL ? "" : name);
+        handle_write(store, exchange, inbound, path, name == NULL ? "" : name);
     }
 }
 
-static void on_gone(void *context, cw_http_exchange_t *exchange)
+static void on_cancelled(void *context, cw_http_exchange_t *exchange)
 {
     const store_endpoint_t *endpoint = context;
     store_t                *store = endpoint->store;
@@ -429,11 +435,11 @@
 static int open_endpoint(store_t *store, const char *address, uint16_t port)
 {
     store_endpoint_t          *endpoint = &store->endpoints[store->endpoint_count];
-    cw_http_limits_t           limits = {.header_bytes = LIMIT_BYTES,
-                                         .body_bytes = LIMIT_BYTES,
+    cw_http_limits_t           limits = {.header_bytes = REQUEST_BYTES_MAX,
+                                         .body_bytes = REQUEST_BYTES_MAX,
                                          .header_timeout = CW_SECONDS(60),
                                          .idle_timeout = CW_SECONDS(600)};
-    cw_http_listener_handler_t handler = {endpoint, on_request, on_gone};
+    cw_http_listener_handler_t handler = {endpoint, on_request, on_cancelled};
     int error = cw_http_listener_create(&endpoint->listener, &store->loop, address, port, &limits, &handler);
 
     if (error != 0) {
@@ -445,7 +451,7 @@
     return 0;
 }
 
-/* Prints "port" and the port of each endpoint. */
+/* Prints a line of "port" and the port number of each endpoint. */
 static void print_ports(const store_t *store)
 {
     size_t index;
@@ -464,7 +470,7 @@
 
     uv_loop_init(&store.loop);
     store.revision = 1;
-    store.page = page;
+    store.page_items = page;
     while (store.endpoint_count < endpoints) {
         if (open_endpoint(&store, address, store.endpoint_count == 0 ? port : 0) != 0) {
             return EXIT_FAILURE;
@@ -495,5 +501,6 @@
         return 2;
     }
     return serve(address->count > 0 ? address->sval[0] : "127.0.0.1", port->count > 0 ? (uint16_t)port->ival[0] : 0,
-                 page->count > 0 && page->ival[0] > 0 ? (size_t)page->ival[0] : STORE_PAGE, (size_t)endpoint_count);
+                 page->count > 0 && page->ival[0] > 0 ? (size_t)page->ival[0] : STORE_PAGE_ITEMS,
+                 (size_t)endpoint_count);
 }
--- a/standins/store/store.h
+++ b/standins/store/store.h
@@ -1,13 +1,19 @@
 /**
  * @file store.h
- * @brief Stand-in of the platform's object store: objects by kind and name, revisions, conditions, pages, watches.
+ * @brief Stand-in for the platform's object store: objects by kind and name, with revisions, conditional writes, paged
+ *        listings and watches.
  *
- * Faults are asked for with POST /control?NAME=VALUE: down (ms), how (silent, busy, reset), slow (ms an answer),
- * lose (the next N writes are done and not answered), late (the next N writes are done a second later and not
- * answered), forget (history is dropped, watches are cut), refuse (PER CENT of calls get 429), mute (1: watches that
- * wait now or are sent from now on are never answered, on open connections; 0: later ones are again). With endpoint=N,
- * down and how strike just those who come by that endpoint, while the others are served: the store listens at several
- * ports.
+ * Faults are requested with POST /control?NAME=VALUE, several of them joined by "&":
+ *
+ *  - down=MS: an outage of so many milliseconds; how=silent|busy|reset: calls get no answer, 503 or a reset connection
+ *  - slow=MS: each answer is delayed by this time
+ *  - lose=N: the next N successful writes are not answered
+ *  - late=N: the next N writes are done a second later and not answered
+ *  - forget=1: the history of changes is dropped, and watches from an earlier revision are answered 410
+ *  - refuse=PERCENT: this share of calls gets 429
+ *  - mute=1: watches that wait now or begin from now on are never answered, though their connections stay open;
+ *    mute=0: watches that begin later are answered again
+ *  - endpoint=N: down and how apply to calls by the N-th port only; calls by the other ports are served
  */
 #ifndef CEDARWINCH_STANDINS_STORE_H
 #define CEDARWINCH_STANDINS_STORE_H
@@ -17,47 +23,51 @@
 
 #include "net/http_listener.h"
 
-enum { STORE_PAGE = 50, STORE_HISTORY = 500, STORE_ENDPOINTS_MAX = 16 };
+enum { STORE_PAGE_ITEMS = 50, STORE_HISTORY = 500, STORE_ENDPOINTS_MAX = 16 };
 
+/** A stored object, in a list sorted by kind and name. */
 typedef struct store_object {
     char                *kind;
     char                *name;
     uint64_t             revision;
-    uint64_t             created;
+    uint64_t             created; /**< revision at the creation */
     json_t              *spec;
     json_t              *status;
-    struct store_object *next; /**< by kind, then name */
+    struct store_object *next;
 } store_object_t;
 
+/** A change of an object, as watches report it. */
 typedef struct store_change {
     uint64_t revision;
     char    *kind;
     json_t  *event;
 } store_change_t;
 
+/** A watch that waits for changes. */
 typedef struct store_watch {
-    cw_http_exchange_t *exchange;
+    cw_http_exchange_t *exchange; /**< NULL: its caller has disconnected */
     char               *kind;
-    uint64_t            from;
+    uint64_t            from; /**< it reports changes after this revision */
     uv_timer_t          timer;
     bool                is_muted; /**< it is never answered */
     struct store       *store;
     struct store_watch *next;
 } store_watch_t;
 
-/** An outage: all calls until then get the same treatment. */
+/** An outage: until it ends, all calls fail in the same way. */
 typedef struct store_outage {
     uint64_t until_ms;
-    char     how[16];
+    char     how[16]; /**< silent, busy or reset */
 } store_outage_t;
 
-/** A port that the store listens at, and an outage of it alone. */
+/** A port that the store listens at, with an outage that concerns this port only. */
 typedef struct store_endpoint {
     struct store       *store;
     cw_http_listener_t *listener;
     store_outage_t      outage;
 } store_endpoint_t;
 
+/** State of the stand-in. */
 typedef struct store {
     uv_loop_t        loop;
     store_endpoint_t endpoints[STORE_ENDPOINTS_MAX];
@@ -66,26 +76,32 @@
     uint64_t         revision;
     store_change_t   history[STORE_HISTORY];
     size_t           history_count;
-    uint64_t         forgotten; /**< changes up to here are no longer known */
+    uint64_t         forgotten_revision; /**< changes up to this revision are not in the history any more */
     store_watch_t   *watches;
     store_outage_t   outage; /**< of the whole store */
     uint64_t         slow_ms;
-    uint32_t         lose;
-    uint32_t         late;
+    uint32_t         lose; /**< writes left that are done and not answered */
+    uint32_t         late; /**< writes left that are done late and not answered */
     uint32_t         refuse_percent;
-    bool             is_mute; /**< watches sent now are never answered */
+    bool             is_mute; /**< watches that begin now are never answered */
     uint32_t         calls;
-    size_t           page; /**< items of a listing in one answer */
+    size_t           page_items; /**< number of items of a listing in one answer */
 } store_t;
 
 /* ---- store_objects.c ---- */
+/** Finds an object; NULL: there is none. */
 store_object_t *store_find(store_t *store, const char *kind, const char *name);
+/** Creates or replaces an object. */
 store_object_t *store_put(store_t *store, const char *kind, const char *name, json_t *spec);
-void            store_remove(store_t *store, store_object_t *object);
-json_t         *store_object_json(const store_object_t *object);
-json_t         *store_list(store_t *store, const char *kind, const char *after);
-/** Changes of a kind after a revision; NULL: that history is gone. */
+/** Removes and frees an object. */
+void store_remove(store_t *store, store_object_t *object);
+/** An object as calls return it. */
+json_t *store_object_json(const store_object_t *object);
+/** One page of the objects of a kind, from the first name after `after` on; NULL: from the first one. */
+json_t *store_list(store_t *store, const char *kind, const char *after);
+/** Changes of a kind after a revision; NULL: the history does not reach back so far. */
 json_t *store_changes(store_t *store, const char *kind, uint64_t after);
-void    store_forget(store_t *store);
+/** Drops the history of changes. */
+void store_forget(store_t *store);
 
 #endif
--- a/standins/store/store_objects.c
+++ b/standins/store/store_objects.c
@@ -1,13 +1,13 @@
 /**
  * @file store_objects.c
- * @brief Objects, their history and listings.
+ * @brief Stores objects with the history of their changes, and lists them.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "store.h"
 
-static int compare(const store_object_t *object, const char *kind, const char *name)
+static int compare_names(const store_object_t *object, const char *kind, const char *name)
 {
     int order = strcmp(object->kind, kind);
 
@@ -19,7 +19,7 @@
     store_object_t *object;
 
     for (object = store->objects; object != NULL; object = object->next) {
-        if (compare(object, kind, name) == 0) {
+        if (compare_names(object, kind, name) == 0) {
             return object;
         }
     }
@@ -33,12 +33,12 @@
                      "delete-requested", 0, "spec", object->spec, "status", object->status);
 }
 
-static void note_change(store_t *store, const store_object_t *object, bool gone)
+static void add_change(store_t *store, const store_object_t *object, bool is_removed)
 {
     store_change_t *change;
 
     if (store->history_count == STORE_HISTORY) {
-        store->forgotten = store->history[0].revision;
+        store->forgotten_revision = store->history[0].revision;
         free(store->history[0].kind);
         json_decref(store->history[0].event);
         memmove(store->history, store->history + 1, (STORE_HISTORY - 1) * sizeof(store->history[0]));
@@ -47,7 +47,7 @@
     change = &store->history[store->history_count++];
     change->revision = store->revision;
     change->kind = strdup(object->kind);
-    change->event = json_pack("{s:b, s:o}", "gone", gone, "object", store_object_json(object));
+    change->event = json_pack("{s:b, s:o}", "gone", is_removed, "object", store_object_json(object));
 }
 
 static store_object_t *insert(store_t *store, const char *kind, const char *name)
@@ -58,7 +58,7 @@
     if (object == NULL) {
         abort();
     }
-    while (*place != NULL && compare(*place, kind, name) < 0) {
+    while (*place != NULL && compare_names(*place, kind, name) < 0) {
         place = &(*place)->next;
     }
     object->kind = strdup(kind);
@@ -81,7 +81,7 @@
     json_decref(object->spec);
     object->spec = json_incref(spec);
     object->revision = store->revision;
-    note_change(store, object, false);
+    add_change(store, object, false);
     return object;
 }
 
@@ -91,7 +91,7 @@
 
     store->revision++;
     object->revision = store->revision;
-    note_change(store, object, true);
+    add_change(store, object, true);
     while (*place != object) {
         place = &(*place)->next;
     }
@@ -106,20 +106,20 @@
 json_t *store_list(store_t *store, const char *kind, const char *after)
 {
     json_t         *items = json_array();
-    bool            more = false;
+    bool            has_more = false;
     store_object_t *object;
 
     for (object = store->objects; object != NULL; object = object->next) {
         if (strcmp(object->kind, kind) != 0 || (after != NULL && strcmp(object->name, after) <= 0)) {
             continue;
         }
-        if (json_array_size(items) == store->page) {
-            more = true;
+        if (json_array_size(items) == store->page_items) {
+            has_more = true;
             break;
         }
         json_array_append_new(items, store_object_json(object));
     }
-    return json_pack("{s:o, s:b, s:I}", "items", items, "has-more", more, "at", (json_int_t)store->revision);
+    return json_pack("{s:o, s:b, s:I}", "items", items, "has-more", has_more, "at", (json_int_t)store->revision);
 }
 
 json_t *store_changes(store_t *store, const char *kind, uint64_t after)
@@ -127,7 +127,7 @@
     json_t *events;
     size_t  index;
 
-    if (after < store->forgotten) {
+    if (after < store->forgotten_revision) {
         return NULL;
     }
     events = json_array();
@@ -148,5 +148,5 @@
         json_decref(store->history[index].event);
     }
     store->history_count = 0;
-    store->forgotten = store->revision;
+    store->forgotten_revision = store->revision;
 }
--- a/standins/verdict/leaves.c
+++ b/standins/verdict/leaves.c
@@ -1,6 +1,6 @@
 /**
  * @file leaves.c
- * @brief Arrivals at servers that have said that they leave.
+ * @brief Checks arrivals of requests at servers that have announced that they leave.
  */
 #include "leaves.h"
 
@@ -11,35 +11,35 @@
 #include "lives.h"
 #include "nodes.h"
 
-enum { TOLD_MAX = 4096 };
+enum { NOTICES_MAX = 4096 };
 
 static const uint64_t drain_ns = 2000000000;
 
-/** A node has passed on a server's leave. */
-typedef struct told {
+/** The first answer with a server's announcement that a node passed on. */
+typedef struct notice {
     char     node[48];
-    char     server[64]; /* its id */
+    char     server[64]; /* id without the incarnation */
     uint64_t at;
-} told_t;
+} leave_notice_t;
 
-static told_t   tellings[TOLD_MAX];
-static uint64_t count;
+static leave_notice_t notices[NOTICES_MAX];
+static uint64_t       count;
 
-static void note_told(const record_t *record)
+static void add_notice(const record_t *record)
 {
     uint64_t index;
 
     for (index = 0; index < count; index++) {
-        if (strcmp(tellings[index].node, record->node) == 0 && strcmp(tellings[index].server, record->leaving) == 0) {
+        if (strcmp(notices[index].node, record->node) == 0 && strcmp(notices[index].server, record->leaving) == 0) {
             return;
         }
     }
-    if (count == TOLD_MAX) {
+    if (count == NOTICES_MAX) {
         abort();
     }
-    tellings[count].at = record->ns;
-    snprintf(tellings[count].node, sizeof(tellings[count].node), "%s", record->node);
-    snprintf(tellings[count].server, sizeof(tellings[count].server), "%s", record->leaving);
+    notices[count].at = record->ns;
+    snprintf(notices[count].node, sizeof(notices[count].node), "%s", record->node);
+    snprintf(notices[count].server, sizeof(notices[count].server), "%s", record->leaving);
     count++;
 }
 
@@ -51,12 +51,12 @@
     char        detail[96];
 
     for (index = 0; node != NULL && index < count; index++) {
-        const told_t *told = &tellings[index];
+        const leave_notice_t *notice = &notices[index];
 
-        if (strcmp(told->node, node) == 0 && lives_is_of(record->server, told->server) && sent > told->at + drain_ns &&
-            !nodes_restarted_between(node, told->at, record->ns)) {
+        if (strcmp(notice->node, node) == 0 && incarnation_is_of(record->server, notice->server) &&
+            sent > notice->at + drain_ns && !nodes_restarted_between(node, notice->at, record->ns)) {
             snprintf(detail, sizeof(detail), "from %s, which had passed on its leave %.3f s before it was sent", node,
-                     (double)(sent - told->at) / 1e9);
+                     (double)(sent - notice->at) / 1e9);
             records_violation("DRAIN", record, detail);
         }
     }
@@ -70,7 +70,7 @@
         const record_t *record = &records->items[index];
 
         if (record->of_caller && record->leaving[0] != '\0') {
-            note_told(record);
+            add_notice(record);
         } else if (strcmp(record->event, "arrive") == 0) {
             check_arrival(record);
         }
--- a/standins/verdict/leaves.h
+++ b/standins/verdict/leaves.h
@@ -1,6 +1,6 @@
 /**
  * @file leaves.h
- * @brief Do servers that said in an answer that they leave get nothing more?
+ * @brief Checks that servers that announced in an answer that they leave get no further requests.
  */
 #ifndef CEDARWINCH_STANDINS_VERDICT_LEAVES_H
 #define CEDARWINCH_STANDINS_VERDICT_LEAVES_H
@@ -8,11 +8,12 @@
 #include "records.h"
 
 /**
- * DRAIN: a request that a caller sent later than two seconds after a node had passed on an answer with a server's leave
- * reaches that server from that node, which was neither restarted nor frozen since. What lies between nodes excuses
- * nothing.
+ * Checks the rule DRAIN. It is violated by a request that reaches a leaving server from a node that has passed on an
+ * answer with the server's announcement, if the caller sent the request more than two seconds after that answer and the
+ * node was neither restarted nor frozen in between. Faults of links between nodes are no exception.
  *
- * The records are sorted, and nodes_collect has been called. Returns how many nodes had been told of a leave.
+ * The records must be sorted, and nodes_collect must have been called. Returns the number of pairs of a node and a
+ * server whose announcement it passed on.
  */
 uint64_t leaves_check(const records_t *records);
 
--- a/standins/verdict/limits.h
+++ b/standins/verdict/limits.h
@@ -1,6 +1,6 @@
 /**
  * @file limits.h
- * @brief Do servers that name a rate limit get no more than it allows?
+ * @brief Checks that servers that state a rate limit get no more requests than it allows.
  */
 #ifndef CEDARWINCH_STANDINS_VERDICT_LIMITS_H
 #define CEDARWINCH_STANDINS_VERDICT_LIMITS_H
@@ -8,12 +8,12 @@
 #include "records.h"
 
 /**
- * LIMIT: from three seconds after a server first named its limit, it gets in some four seconds more requests than one
- * and a half times what that allows and five, from nodes that passed on an answer with it half a second before or
- * earlier. Nodes in trouble (killed, frozen, cut) do not count until three seconds after it.
+ * Checks the rule LIMIT. It is violated if a server gets within four seconds more than five requests above one and a
+ * half times the number that its limit allows. Counted are requests that arrive at least three seconds after the server
+ * began to state a limit, from nodes that passed on an answer with this limit at least half a second before. Requests
+ * from nodes in trouble (killed, frozen or cut off), or within three seconds after the trouble, are not counted.
  *
- * The records are sorted, and nodes_collect has been called. Returns how many arrivals at servers with a limit were
- * counted.
+ * The records must be sorted, and nodes_collect must have been called. Returns the number of counted arrivals.
  */
 uint64_t limits_check(const records_t *records);
 
--- a/standins/verdict/lives.c
+++ b/standins/verdict/lives.c
@@ -1,14 +1,14 @@
 /**
  * @file lives.c
- * @brief Names of lives.
+ * @brief Compares names of incarnations with ids of servers.
  */
 #include "lives.h"
 
 #include <string.h>
 
-bool lives_is_of(const char *life, const char *id)
+bool incarnation_is_of(const char *incarnation, const char *id)
 {
     size_t length = strlen(id);
 
-    return strncmp(life, id, length) == 0 && life[length] == '@';
+    return strncmp(incarnation, id, length) == 0 && incarnation[length] == '@';
 }
--- a/standins/verdict/lives.h
+++ b/standins/verdict/lives.h
@@ -1,13 +1,13 @@
 /**
  * @file lives.h
- * @brief Lives of servers by the id that callers know them by.
+ * @brief Names of incarnations of servers in records.
  */
 #ifndef CEDARWINCH_STANDINS_VERDICT_LIVES_H
 #define CEDARWINCH_STANDINS_VERDICT_LIVES_H
 
 #include <stdbool.h>
 
-/** Records name a life of a server: its id, "@" and when it was born. Is it one of the server of this id? */
-bool lives_is_of(const char *life, const char *id);
+/** Whether the name of an incarnation (server id, "@", time of the start in ms) belongs to the server of this id. */
+bool incarnation_is_of(const char *incarnation, const char *id);
 
 #endif
--- a/standins/verdict/main.c
+++ b/standins/verdict/main.c
@@ -1,17 +1,18 @@
 /**
  * @file main.c
- * @brief Checks what servers and callers have recorded: owners, fences, runs, promises.
+ * @brief Checks the records of servers and callers for violations of the guarantees of the router.
  *
- * Reads JSON lines of servers and callers from the files named, in any order; prints one line for each violation and a
- * last one "N runs, N attempts, N violations". Exit code 1 when there is a violation.
+ * Reads JSON lines of servers and callers from the files named as arguments, in any order. Prints one line for each
+ * violation and a last line "N runs, N attempts, N violations". The exit code is 1 if there is a violation. Rules:
  *
- *  - OWNER: two lives of servers begin requests on a key while both hold it. A life holds a key from its grant to its
- *    release, its stop, or the end of the hold since the last grant.
- *  - FENCE: a key is granted with a fence that is not above those with which other lives had it.
- *  - TWICE: a request whose method is not GET has run more than once.
- *  - PROMISE: a request answered 429, 503, 408 or 421 that is not to be repeated has run.
- *  - WHOLE: a 2xx without a run.
- *  - LIMIT, DRAIN, BUDGET: limits.h, leaves.h, rests.h.
+ *  - OWNER is violated if two incarnations of servers begin requests on a key while both hold it. An incarnation holds
+ *    a key from its grant to its release, its stop, or the end of the hold time since the last grant.
+ *  - FENCE is violated if a key is granted with a fence that is not above the fences of all grants of the key to other
+ *    incarnations.
+ *  - TWICE is violated if a request whose method is not GET has run more than once.
+ *  - PROMISE is violated if a request whose method is not GET has run though it was answered 429, 503, 408 or 421.
+ *  - WHOLE is violated if a request was answered 2xx though it has not run.
+ *  - LIMIT, DRAIN, BUDGET: see limits.h, leaves.h, rests.h.
  */
 #include <inttypes.h>
 #include <stdbool.h>
@@ -26,48 +27,48 @@
 #include "records.h"
 #include "rests.h"
 
-enum { KEYS = 65536, LIVES_MAX = 256, HOLD_MS = 8000 };
+enum { KEYS = 65536, INCARNATIONS_MAX = 256, HOLD_MS = 8000 };
 
-/** All that is known of one request's id. */
+/** Everything recorded about one request id. */
 typedef struct attempt {
     char           id[80];
     uint32_t       runs;
     int            status;
-    bool           once;
+    bool           is_unsafe; /**< it must not be repeated */
     UT_hash_handle hh;
 } attempt_t;
 
-/** One life of a server. */
-typedef struct life {
+/** One incarnation of a server, with the times (ns) of its hold of each key. */
+typedef struct incarnation {
     char     server[64];
-    uint64_t since[KEYS];
-    uint64_t until[KEYS];
-    uint64_t begun[KEYS];
-    uint64_t fence[KEYS];
-} life_t;
+    uint64_t since[KEYS];       /**< begin of the hold */
+    uint64_t until[KEYS];       /**< end of the hold; 0: not held */
+    uint64_t run_started[KEYS]; /**< start of the latest run */
+    uint64_t fence[KEYS];       /**< of the latest grant */
+} incarnation_t;
 
-static attempt_t *attempts;
-static life_t    *lives[LIVES_MAX];
-static size_t     life_count;
+static attempt_t     *attempts;
+static incarnation_t *incarnations[INCARNATIONS_MAX];
+static size_t         incarnation_count;
 
-static life_t *life_of(const char *server)
+static incarnation_t *incarnation_of(const char *server)
 {
     size_t index;
 
-    for (index = 0; index < life_count; index++) {
-        if (strcmp(lives[index]->server, server) == 0) {
-            return lives[index];
+    for (index = 0; index < incarnation_count; index++) {
+        if (strcmp(incarnations[index]->server, server) == 0) {
+            return incarnations[index];
         }
     }
-    if (life_count == LIVES_MAX) {
+    if (incarnation_count == INCARNATIONS_MAX) {
         abort();
     }
-    lives[life_count] = calloc(1, sizeof(life_t));
-    if (lives[life_count] == NULL) {
+    incarnations[incarnation_count] = calloc(1, sizeof(incarnation_t));
+    if (incarnations[incarnation_count] == NULL) {
         abort();
     }
-    snprintf(lives[life_count]->server, sizeof(lives[0]->server), "%s", server);
-    return lives[life_count++];
+    snprintf(incarnations[incarnation_count]->server, sizeof(incarnations[0]->server), "%s", server);
+    return incarnations[incarnation_count++];
 }
 
 static attempt_t *attempt_of(const char *id)
@@ -86,44 +87,45 @@
     return attempt;
 }
 
-static void take_grant(const record_t *record)
+static void handle_grant(const record_t *record)
 {
-    life_t  *life = life_of(record->server);
-    uint32_t key;
-    size_t   index;
-    bool     told = false;
+    incarnation_t *incarnation = incarnation_of(record->server);
+    uint32_t       key;
+    size_t         index;
+    bool           is_reported = false;
 
     for (key = record->low; key <= record->last && key < KEYS; key++) {
-        for (index = 0; index < life_count && !told; index++) {
-            if (lives[index] != life && lives[index]->fence[key] >= record->fence) {
-                records_violation("FENCE", record, lives[index]->server);
-                told = true;
+        for (index = 0; index < incarnation_count && !is_reported; index++) {
+            if (incarnations[index] != incarnation && incarnations[index]->fence[key] >= record->fence) {
+                records_violation("FENCE", record, incarnations[index]->server);
+                is_reported = true;
             }
         }
-        if (life->until[key] <= record->ns) {
-            life->since[key] = record->ns;
+        if (incarnation->until[key] <= record->ns) {
+            incarnation->since[key] = record->ns;
         }
-        life->fence[key] = record->fence;
-        life->until[key] = record->ns + (uint64_t)HOLD_MS * 1000000;
+        incarnation->fence[key] = record->fence;
+        incarnation->until[key] = record->ns + (uint64_t)HOLD_MS * 1000000;
     }
 }
 
-static void take_run(const record_t *record)
+static void handle_run(const record_t *record)
 {
-    life_t  *life = life_of(record->server);
-    uint32_t key = record->low;
-    size_t   index;
+    incarnation_t *incarnation = incarnation_of(record->server);
+    uint32_t       key = record->low;
+    size_t         index;
 
     attempt_of(record->id)->runs++;
     if (record->fence == 0) {
         return; /* not divided by key */
     }
-    life->begun[key] = record->ns;
-    for (index = 0; index < life_count; index++) {
-        const life_t *other = lives[index];
-        uint64_t      both = other->since[key] > life->since[key] ? other->since[key] : life->since[key];
+    incarnation->run_started[key] = record->ns;
+    for (index = 0; index < incarnation_count; index++) {
+        const incarnation_t *other = incarnations[index];
+        uint64_t both_since = other->since[key] > incarnation->since[key] ? other->since[key] : incarnation->since[key];
 
-        if (other != life && other->until[key] > record->ns && other->begun[key] >= both && both > 0) {
+        if (other != incarnation && other->until[key] > record->ns && other->run_started[key] >= both_since &&
+            both_since > 0) {
             records_violation("OWNER", record, other->server);
         }
     }
@@ -131,33 +133,33 @@
 
 static void end_holds(const record_t *record, uint32_t low, uint32_t last)
 {
-    life_t  *life = life_of(record->server);
-    uint32_t key;
+    incarnation_t *incarnation = incarnation_of(record->server);
+    uint32_t       key;
 
     for (key = low; key <= last && key < KEYS; key++) {
-        life->until[key] = 0;
+        incarnation->until[key] = 0;
     }
 }
 
-static void take_record(const record_t *record)
+static void handle_record(const record_t *record)
 {
     if (record->of_caller) {
         attempt_t *attempt = attempt_of(record->id);
 
         attempt->status = record->status;
-        attempt->once = strcmp(record->method, "GET") != 0;
+        attempt->is_unsafe = strcmp(record->method, "GET") != 0;
     } else if (strcmp(record->event, "grant") == 0) {
-        take_grant(record);
+        handle_grant(record);
     } else if (strcmp(record->event, "release") == 0) {
         end_holds(record, record->low, record->last);
     } else if (strcmp(record->event, "stop") == 0) {
         end_holds(record, 0, KEYS - 1);
     } else if (strcmp(record->event, "run") == 0) {
-        take_run(record);
+        handle_run(record);
     }
 }
 
-static bool is_promise(int status)
+static bool promises_no_run(int status)
 {
     return status == 429 || status == 503 || status == 408 || status == 421;
 }
@@ -167,10 +169,10 @@
     record_t record = {.ns = 0};
 
     snprintf(record.id, sizeof(record.id), "%s", attempt->id);
-    if (attempt->once && attempt->runs > 1) {
+    if (attempt->is_unsafe && attempt->runs > 1) {
         records_violation("TWICE", &record, "not to be repeated");
     }
-    if (attempt->once && is_promise(attempt->status) && attempt->runs > 0) {
+    if (attempt->is_unsafe && promises_no_run(attempt->status) && attempt->runs > 0) {
         records_violation("PROMISE", &record, "answered as not run");
     }
     if (attempt->status >= 200 && attempt->status < 300 && attempt->runs == 0) {
@@ -196,7 +198,7 @@
     }
     records_sort(&records);
     for (index = 0; index < records.count; index++) {
-        take_record(&records.items[index]);
+        handle_record(&records.items[index]);
         runs += strcmp(records.items[index].event, "run") == 0 ? 1 : 0;
     }
     HASH_ITER(hh, attempts, attempt, next)
--- a/standins/verdict/nodes.c
+++ b/standins/verdict/nodes.c
@@ -1,6 +1,6 @@
 /**
  * @file nodes.c
- * @brief Destinations of requests, and spans of trouble.
+ * @brief Stores destinations of requests, and time spans in which nodes were in trouble.
  */
 #include "nodes.h"
 
@@ -9,17 +9,18 @@
 #include <string.h>
 #include <uthash.h>
 
+/** The destination of one attempt, by the request's id. */
 typedef struct destination {
-    const record_t *end; /* of the attempt, as its caller saw it */
+    const record_t *end_record; /* record of the attempt's end, written by its caller */
     UT_hash_handle  hh;
 } destination_t;
 
-/** From the moment at which a node was struck until calm returned. */
+/** A time span from a "trouble" or "cut" record of a node until its "calm" record. */
 typedef struct trouble {
     char     node[48];
-    bool     is_cut; /* from others; else it was restarted or frozen */
+    bool     is_cut; /* cut off from other nodes; false: restarted or frozen */
     uint64_t from;
-    uint64_t until; /* UINT64_MAX: not yet */
+    uint64_t until; /* UINT64_MAX: it has not ended */
 } trouble_t;
 
 static destination_t *destinations;
@@ -33,7 +34,7 @@
     if (destination == NULL) {
         abort();
     }
-    destination->end = record;
+    destination->end_record = record;
     HASH_ADD_KEYPTR(hh, destinations, record->id, strlen(record->id), destination);
 }
 
@@ -78,24 +79,24 @@
     }
 }
 
-static const record_t *end_of(const char *id)
+static const record_t *end_record_of(const char *id)
 {
     destination_t *destination;
 
     HASH_FIND_STR(destinations, id, destination);
-    return destination == NULL ? NULL : destination->end;
+    return destination == NULL ? NULL : destination->end_record;
 }
 
 const char *nodes_of_request(const char *id)
 {
-    const record_t *end = end_of(id);
+    const record_t *end = end_record_of(id);
 
     return end == NULL ? NULL : end->node;
 }
 
 uint64_t nodes_request_sent(const char *id)
 {
-    const record_t *end = end_of(id);
+    const record_t *end = end_record_of(id);
 
     return end == NULL ? 0 : end->sent_ns;
 }
--- a/standins/verdict/records.c
+++ b/standins/verdict/records.c
@@ -1,6 +1,6 @@
 /**
  * @file records.c
- * @brief Reads records, and prints what they violate.
+ * @brief Reads records, and prints violations of rules.
  */
 #include "records.h"
 
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { LINE_MAX_BYTES = 4096, GROW = 4096 };
+enum { LINE_MAX_BYTES = 4096, RECORDS_STEP = 4096 };
 
 static uint64_t violations;
 
@@ -26,12 +26,12 @@
     return (uint64_t)json_integer_value(json_object_get(line, key));
 }
 
-static void add(records_t *records, const json_t *line)
+static void add_record(records_t *records, const json_t *line)
 {
     record_t *record;
 
-    if (records->count % GROW == 0) {
-        records->items = realloc(records->items, (records->count + GROW) * sizeof(*records->items));
+    if (records->count % RECORDS_STEP == 0) {
+        records->items = realloc(records->items, (records->count + RECORDS_STEP) * sizeof(*records->items));
         if (records->items == NULL) {
             abort();
         }
@@ -69,7 +69,7 @@
         json_t *value = json_loads(line, 0, NULL);
 
         if (value != NULL && json_object_get(value, "ns") != NULL) {
-            add(records, value);
+            add_record(records, value);
         }
         json_decref(value);
     }
--- a/standins/verdict/records.h
+++ b/standins/verdict/records.h
@@ -1,6 +1,6 @@
 /**
  * @file records.h
- * @brief Records of servers, callers and the test itself, one JSON line each.
+ * @brief Records written by servers, callers and the test script, one JSON line each.
  */
 #ifndef CEDARWINCH_STANDINS_VERDICT_RECORDS_H
 #define CEDARWINCH_STANDINS_VERDICT_RECORDS_H
@@ -9,23 +9,24 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/** One record; fields that it does not have are empty or 0. */
 typedef struct record {
-    uint64_t ns;
+    uint64_t ns; /**< monotonic time */
     char     event[12];
-    char     server[64]; /**< one life of a server */
+    char     server[64]; /**< incarnation of a server */
     char     id[80];     /**< of the request */
     char     method[16];
-    char     node[48];    /**< of a caller: whom it asked; of the test: the node in trouble */
-    char     limit[64];   /**< of a caller: the server that named a limit with the answer; empty: none */
-    char     leaving[64]; /**< of a caller: the server that said with the answer that it leaves; empty: none */
+    char     node[48];    /**< of a caller: the node that it asked; of the test: the node in trouble */
+    char     limit[64];   /**< of a caller: id of the server that stated a limit in the answer; empty: none */
+    char     leaving[64]; /**< of a caller: id of the server that announced its leave in the answer; empty: none */
     uint64_t sent_ns;     /**< of a caller: when it sent the request */
-    uint32_t low;
-    uint32_t last;
+    uint32_t low;         /**< first key of the range */
+    uint32_t last;        /**< last key of the range, inclusive */
     uint64_t fence;
-    double   rest_s; /**< of a server: the rest that it asked for */
-    double   per_s;  /**< of a server: the limit that it names from now on; below 0: none */
-    int      status;
-    bool     of_caller;
+    double   rest_s;    /**< of a server: time for which it asked to get no requests */
+    double   per_s;     /**< of a server: the rate limit that it states from now on; below 0: none */
+    int      status;    /**< of a caller: status of the answer; 0: no answer */
+    bool     of_caller; /**< written by a caller; false: by a server or the test */
 } record_t;
 
 /** All records read. */
@@ -34,13 +35,14 @@
     size_t    count;
 } records_t;
 
-/** Appends the records of a file; false: it cannot be read. */
+/** Appends the records of a file. Returns false if the file cannot be read. */
 bool records_read(records_t *records, const char *file);
-/** In order of their times. */
+/** Sorts the records by time. */
 void records_sort(records_t *records);
 
 /** Prints a violation and counts it. */
-void     records_violation(const char *rule, const record_t *record, const char *detail);
+void records_violation(const char *rule, const record_t *record, const char *detail);
+/** Number of violations printed so far. */
 uint64_t records_violations(void);
 
 #endif
--- a/standins/verdict/rests.c
+++ b/standins/verdict/rests.c
@@ -1,6 +1,6 @@
 /**
  * @file rests.c
- * @brief Arrivals during rests.
+ * @brief Checks arrivals of requests during the rests that servers asked for.
  */
 #include "rests.h"
 
@@ -9,9 +9,9 @@
 
 #include "nodes.h"
 
-enum { CROSSING = 2 };
+enum { ARRIVALS_MAX = 2 };
 
-static const uint64_t crossing_ns = 500000000;
+static const uint64_t settle_ns = 500000000;
 
 static uint64_t arrivals_during(const records_t *records, size_t first, const char *node, uint64_t until)
 {
@@ -23,7 +23,7 @@
         const record_t *record = &records->items[index];
         const char     *sender;
 
-        if (record->ns < rest->ns + crossing_ns || strcmp(record->event, "arrive") != 0 ||
+        if (record->ns < rest->ns + settle_ns || strcmp(record->event, "arrive") != 0 ||
             strcmp(record->server, rest->server) != 0) {
             continue;
         }
@@ -45,7 +45,7 @@
         return;
     }
     arrivals = arrivals_during(records, index, node, until);
-    if (arrivals > CROSSING) {
+    if (arrivals > ARRIVALS_MAX) {
         snprintf(detail, sizeof(detail), "%s was asked for %g s of rest, and sent %llu requests in them", node,
                  rest->rest_s, (unsigned long long)arrivals);
         records_violation("BUDGET", rest, detail);
--- a/standins/verdict/rests.h
+++ b/standins/verdict/rests.h
@@ -1,6 +1,6 @@
 /**
  * @file rests.h
- * @brief Do servers that turn a node away and ask for rest get it?
+ * @brief Checks that servers that refuse a request and ask for rest get no requests during it.
  */
 #ifndef CEDARWINCH_STANDINS_VERDICT_RESTS_H
 #define CEDARWINCH_STANDINS_VERDICT_RESTS_H
@@ -8,10 +8,12 @@
 #include "records.h"
 
 /**
- * BUDGET: more than two requests reach a server from a node between half a second after it has answered that node 503
- * with a rest and the end of that time, during which the node was not in trouble.
+ * Checks the rule BUDGET. It is violated if more than two requests reach a server from a node during a rest, that is
+ * the time (Retry-After) which the server asked that node for with a 503. The first half second of the rest does not
+ * count, nor do rests during which the node was in trouble.
  *
- * The records are sorted, and nodes_collect has been called. Returns how many rests were asked for.
+ * The records must be sorted, and nodes_collect must have been called. Returns the number of rests that servers asked
+ * for.
  */
 uint64_t rests_check(const records_t *records);
 
