--- a/standins/callers/main.c
+++ b/standins/callers/main.c
@@ -1,11 +1,12 @@
 /**
  * @file main.c
- * @brief Callers with a fixed rate of requests (open loop), who come back when they are told to.
+ * @brief Load generator: callers that send requests at a fixed rate (open loop), and retry once after a Retry-After.
  *
- * Each request goes to a node in turn and takes one of the kinds given. One JSON line on standard output for each
- * attempt's end; the last line sums up. Ids are unique to an attempt; the path's last part names its kind.
+ * Nodes and the given kinds of requests are used in turn. Prints one JSON line on standard output at the end of each
+ * attempt, and a last line with sums. Each attempt has an id of its own; the path consists of the prefix of the kind
+ * and the number of the request.
  *
- * With --pipeline, so many requests are sent at once on a connection of their own, and none comes back.
+ * With --pipeline, so many requests are sent at once on a connection of their own, and none is retried.
  */
 #include <argtable2.h>
 #include <inttypes.h>
@@ -20,7 +21,7 @@
 
 enum { ERRORS_MAX = 10, PIPELINE_MAX = 16, NODES_MAX = 32, KINDS_MAX = 8, KEYS = 65536, TEXT_MAX = 200, DRAIN_S = 8 };
 
-/** HOST,PREFIX,METHOD,DEADLINE_MS,KEYED(0|1) */
+/** A kind of request, as HOST,PREFIX,METHOD,DEADLINE_MS,KEYED(0|1) on the command line. */
 typedef struct kind {
     char     host[TEXT_MAX];
     char     prefix[TEXT_MAX];
@@ -29,43 +30,45 @@
     uint32_t keyed;
 } kind_t;
 
+/** State of the load generator. */
 typedef struct callers {
     uv_loop_t             loop;
     cw_upstream_t        *upstream;
     cw_upstream_target_t *nodes[NODES_MAX];
     char                  addresses[NODES_MAX][64];
     size_t                node_count;
-    uint64_t              pipeline;   /**< requests sent at once on a connection; 1: one */
-    size_t                body_bytes; /**< of requests that have a body */
-    uint64_t              unread;     /**< behind an answer that closed the connection */
+    uint64_t              pipeline;   /**< requests sent at once on a connection; 1: no pipelining */
+    size_t                body_bytes; /**< size of the body of requests other than GET */
+    uint64_t              unread;     /**< requests that followed one whose answer closed the connection */
     kind_t                kinds[KINDS_MAX];
     size_t                kind_count;
-    uv_timer_t            pace;
+    uv_timer_t            pace_timer;
     uint64_t              sent;
-    uint64_t              total;
+    uint64_t              total; /**< requests to send */
     uint64_t              per_s;
     uint64_t              started_ms;
-    uint64_t              under_way;
-    uint64_t              counts[600]; /**< by status; 0: no answer */
-    uint64_t              wrong;
-    uint32_t              hot_percent; /**< of requests: all about one key */
-    const char           *credential;  /**< sent in "Authorization"; NULL: none */
-    char                  run[24];
+    uint64_t              in_flight;
+    uint64_t              counts[600];   /**< number of attempts by status; 0: no answer */
+    uint64_t              wrong;         /**< successful answers that are not the attempt's own */
+    uint32_t              hot_percent;   /**< share of requests for one key, the same for all of them */
+    const char           *credential;    /**< sent in "Authorization"; NULL: none */
+    char                  id_prefix[24]; /**< beginning of all ids */
     uint64_t              random;
 } callers_t;
 
+/** A request, and its latest attempt. */
 typedef struct attempt {
     callers_t    *callers;
     const kind_t *kind;
-    const char   *node; /**< whom it was sent to */
+    const char   *node; /**< address of the node that it was sent to */
     uint64_t      number;
     uint32_t      retries;
     uint32_t      key;
     uint64_t      started_ns;
-    uint64_t      sent_ns; /**< the latest time */
+    uint64_t      sent_ns; /**< when the latest attempt was sent */
     uint64_t      deadline_ns;
     char          id[80];
-    uv_timer_t    again;
+    uv_timer_t    retry_timer;
 } attempt_t;
 
 static uint64_t next_random(callers_t *callers)
@@ -81,27 +84,28 @@
     free(handle->data);
 }
 
-static void finish(attempt_t *attempt)
+static void finish_attempt(attempt_t *attempt)
 {
-    attempt->callers->under_way--;
-    uv_close((uv_handle_t *)&attempt->again, free_attempt);
+    attempt->callers->in_flight--;
+    uv_close((uv_handle_t *)&attempt->retry_timer, free_attempt);
 }
 
-static void on_again(uv_timer_t *timer)
+static void on_retry(uv_timer_t *timer)
 {
     send_attempt(timer->data);
 }
 
-/* A 2xx has to be this attempt's: the server answers with the id as its body. */
-static bool is_right(const attempt_t *attempt, const cw_http_fields_t *fields, const char *body, size_t body_length)
+/* Whether a 2xx is the answer to this attempt: servers sign it and send the id as its body. */
+static bool is_own_answer(const attempt_t *attempt, const cw_http_fields_t *fields, const char *body,
+                          size_t body_length)
 {
     const char *signature = cw_http_fields_find(fields, "X-Server-Signature");
 
     return signature != NULL && body_length == strlen(attempt->id) && memcmp(body, attempt->id, body_length) == 0;
 }
 
-/* The server whose answer has this field; empty: the answer has not, or there was none. */
-static const char *server_that_says(const cw_http_fields_t *fields, const char *name)
+/* The server whose answer has this header field; empty: the answer does not have it, or there is no answer. */
+static const char *server_with_field(const cw_http_fields_t *fields, const char *name)
 {
     const char *server = fields == NULL || cw_http_fields_find(fields, name) == NULL
                              ? NULL
@@ -110,14 +114,14 @@
     return server == NULL ? "" : server;
 }
 
-/* fields: NULL: no answer. */
+/* Prints the record of an attempt's end; fields is NULL if there was no answer. */
 static void print_end(const attempt_t *attempt, int status, const cw_http_fields_t *fields, const char *fault)
 {
     printf("{\"ns\":%" PRIu64 ",\"event\":\"end\",\"id\":\"%s\",\"method\":\"%s\",\"status\":%d,\"ms\":%" PRIu64
            ",\"sent_ns\":%" PRIu64 ",\"node\":\"%s\",\"limit\":\"%s\",\"leaving\":\"%s\",\"fault\":\"%s\"}\n",
            uv_hrtime(), attempt->id, attempt->kind->method, status, (uv_hrtime() - attempt->started_ns) / 1000000,
-           attempt->sent_ns, attempt->node, server_that_says(fields, "Server-Limit"),
-           server_that_says(fields, "Server-Leaving"), fault == NULL ? "" : fault);
+           attempt->sent_ns, attempt->node, server_with_field(fields, "Server-Limit"),
+           server_with_field(fields, "Server-Leaving"), fault == NULL ? "" : fault);
 }
 
 static void on_answer(void *context, const cw_upstream_answer_t *answer)
@@ -129,7 +133,7 @@
     double      wait_ms = retry_after == NULL ? -1 : atof(retry_after) * 1000;
     uint64_t    now = uv_hrtime();
 
-    if (status >= 200 && status < 300 && !is_right(attempt, answer->fields, answer->body, answer->body_length)) {
+    if (status >= 200 && status < 300 && !is_own_answer(attempt, answer->fields, answer->body, answer->body_length)) {
         callers->wrong++;
     }
     callers->counts[status < 600 ? status : 599]++;
@@ -137,13 +141,13 @@
     if (status == 503 && wait_ms >= 0 && attempt->retries == 0 &&
         now + (uint64_t)(wait_ms * 3e6) < attempt->deadline_ns) {
         attempt->retries++;
-        uv_timer_start(&attempt->again, on_again, (uint64_t)wait_ms, 0);
+        uv_timer_start(&attempt->retry_timer, on_retry, (uint64_t)wait_ms, 0);
         return;
     }
-    finish(attempt);
+    finish_attempt(attempt);
 }
 
-/* Gives how long the caller waits, in milliseconds. */
+/* Appends an attempt's request to `text`. Returns the time until its deadline in milliseconds. */
 static uint64_t write_attempt(attempt_t *attempt, cw_bytes_t *text)
 {
     const callers_t *callers = attempt->callers;
@@ -153,7 +157,8 @@
     bool             has_body = strcmp(kind->method, "GET") != 0;
 
     attempt->sent_ns = now;
-    snprintf(attempt->id, sizeof(attempt->id), "%s-%" PRIu64 "-%u", callers->run, attempt->number, attempt->retries);
+    snprintf(attempt->id, sizeof(attempt->id), "%s-%" PRIu64 "-%u", callers->id_prefix, attempt->number,
+             attempt->retries);
     cw_bytes_append_format(text, "%s %s%" PRIu64 " HTTP/1.1\r\nHost: %s\r\n", kind->method, kind->prefix,
                            attempt->number, kind->host);
     cw_bytes_append_format(text, "X-Request-Id: %s\r\nX-Deadline-Ms: %" PRIu64 "\r\n", attempt->id, left_ms);
@@ -206,9 +211,9 @@
     attempt->key = next_random(callers) % 100 < callers->hot_percent ? 30000 : (uint32_t)(next_random(callers) % KEYS);
     attempt->started_ns = uv_hrtime();
     attempt->deadline_ns = attempt->started_ns + (uint64_t)attempt->kind->deadline_ms * 1000000;
-    attempt->again.data = attempt;
-    uv_timer_init(&callers->loop, &attempt->again);
-    callers->under_way++;
+    attempt->retry_timer.data = attempt;
+    uv_timer_init(&callers->loop, &attempt->retry_timer);
+    callers->in_flight++;
     return attempt;
 }
 
@@ -219,7 +224,7 @@
     callers_t               *callers = attempt->callers;
     int                      status = answer->end == PIPELINE_ANSWERED ? answer->status : 0;
 
-    if (status >= 200 && status < 300 && !is_right(attempt, answer->fields, answer->body, answer->body_length)) {
+    if (status >= 200 && status < 300 && !is_own_answer(attempt, answer->fields, answer->body, answer->body_length)) {
         callers->wrong++;
     }
     if (answer->end == PIPELINE_UNREAD) {
@@ -228,10 +233,10 @@
         callers->counts[status < 600 ? status : 599]++;
     }
     print_end(attempt, status, status == 0 ? NULL : answer->fields, faults[answer->end]);
-    finish(attempt);
+    finish_attempt(attempt);
 }
 
-static void begin_pipeline(callers_t *callers)
+static void send_pipeline(callers_t *callers)
 {
     void       *attempts[PIPELINE_MAX];
     cw_bytes_t  text = {0};
@@ -248,7 +253,7 @@
     cw_bytes_clear(&text);
 }
 
-static void print_sum(const callers_t *callers)
+static void print_summary(const callers_t *callers)
 {
     size_t status;
 
@@ -262,20 +267,20 @@
     printf("}\n");
 }
 
-static void on_pace(uv_timer_t *timer)
+static void on_pace_timer(uv_timer_t *timer)
 {
     callers_t *callers = timer->data;
     uint64_t   due = (uv_now(&callers->loop) - callers->started_ms) * callers->per_s / 1000;
 
     while (callers->sent < callers->total && callers->sent < due) {
         if (callers->pipeline > 1) {
-            begin_pipeline(callers);
+            send_pipeline(callers);
         } else {
             send_attempt(create_attempt(callers));
         }
     }
     if (callers->sent == callers->total &&
-        (callers->under_way == 0 ||
+        (callers->in_flight == 0 ||
          uv_now(&callers->loop) - callers->started_ms > callers->total * 1000 / callers->per_s + DRAIN_S * 1000)) {
         uv_stop(&callers->loop);
     }
@@ -306,12 +311,12 @@
 
 static int run(callers_t *callers)
 {
-    callers->pace.data = callers;
+    callers->pace_timer.data = callers;
     callers->started_ms = uv_now(&callers->loop);
-    uv_timer_init(&callers->loop, &callers->pace);
-    uv_timer_start(&callers->pace, on_pace, 0, 5);
+    uv_timer_init(&callers->loop, &callers->pace_timer);
+    uv_timer_start(&callers->pace_timer, on_pace_timer, 0, 5);
     uv_run(&callers->loop, UV_RUN_DEFAULT);
-    print_sum(callers);
+    print_summary(callers);
     return callers->wrong == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
@@ -350,7 +355,7 @@
     }
     callers.hot_percent = hot->count > 0 ? (uint32_t)hot->ival[0] : 0;
     callers.credential = credential->count > 0 ? credential->sval[0] : NULL;
-    snprintf(callers.run, sizeof(callers.run), "%s", name->count > 0 ? name->sval[0] : "r");
+    snprintf(callers.id_prefix, sizeof(callers.id_prefix), "%s", name->count > 0 ? name->sval[0] : "r");
     for (index = 0; index < kinds->count; index++) {
         if (!parse_kind(&callers.kinds[callers.kind_count++], kinds->sval[index])) {
             fprintf(stderr, "cw-callers: a kind is HOST,PREFIX,METHOD,MS,KEYED\n");
--- a/standins/callers/pipeline.c
+++ b/standins/callers/pipeline.c
@@ -1,6 +1,6 @@
 /**
  * @file pipeline.c
- * @brief A caller's connection on which several requests are sent before the first is answered.
+ * @brief Sends pipelined requests on a connection, and parses their answers.
  */
 #include "pipeline.h"
 
@@ -13,6 +13,7 @@
 
 enum { REQUESTS_MAX = 32, CHUNK = 16 * 1024 };
 
+/** A connection with its requests. */
 typedef struct pipeline {
     uv_tcp_t                tcp;
     uv_connect_t            connect;
@@ -20,13 +21,13 @@
     cw_bytes_t              bytes;
     void                   *requests[REQUESTS_MAX];
     size_t                  count;
-    size_t                  done;
-    pipeline_answered_t     answered;
+    size_t                  done; /* requests that have ended */
+    pipeline_callback_t     answered;
     http_parser             parser;
     cw_http_fields_t        fields;
     cw_http_field_builder_t builder;
     cw_bytes_t              body;
-    bool                    closes; /* the last answer said so */
+    bool                    closes; /* the latest answer announced that the connection closes */
     char                    chunk[CHUNK];
 } pipeline_t;
 
@@ -40,7 +41,7 @@
     free(pipeline);
 }
 
-static void end(pipeline_t *pipeline, pipeline_end_t kind)
+static void end_pipeline(pipeline_t *pipeline, pipeline_end_t kind)
 {
     pipeline_answer_t answer = {.end = kind};
 
@@ -75,7 +76,7 @@
     return 0;
 }
 
-static int on_message(http_parser *parser)
+static int on_message_end(http_parser *parser)
 {
     pipeline_t       *pipeline = parser->data;
     pipeline_answer_t answer = {.end = PIPELINE_ANSWERED,
@@ -85,7 +86,7 @@
                                 .body_length = pipeline->body.length};
 
     if (pipeline->done == pipeline->count) {
-        return -1; /* an answer that nobody asked for */
+        return -1; /* more answers than requests */
     }
     pipeline->answered(pipeline->requests[pipeline->done++], &answer);
     pipeline->closes = http_should_keep_alive(parser) == 0;
@@ -96,7 +97,7 @@
 }
 
 static const http_parser_settings parser_settings = {
-    .on_header_field = on_name, .on_header_value = on_value, .on_body = on_body, .on_message_complete = on_message};
+    .on_header_field = on_name, .on_header_value = on_value, .on_body = on_body, .on_message_complete = on_message_end};
 
 static void on_allocate(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
 {
@@ -118,7 +119,7 @@
     }
     if (pipeline->done == pipeline->count || length < 0 || pipeline->closes ||
         HTTP_PARSER_ERRNO(&pipeline->parser) != HPE_OK) {
-        end(pipeline, pipeline->closes ? PIPELINE_UNREAD : PIPELINE_CUT);
+        end_pipeline(pipeline, pipeline->closes ? PIPELINE_UNREAD : PIPELINE_CUT);
     }
 }
 
@@ -127,7 +128,7 @@
     pipeline_t *pipeline = write->data;
 
     if (status != 0) {
-        end(pipeline, PIPELINE_CUT);
+        end_pipeline(pipeline, PIPELINE_CUT);
     }
 }
 
@@ -137,26 +138,26 @@
     uv_buf_t    buffer = uv_buf_init(pipeline->bytes.data, (unsigned)pipeline->bytes.length);
 
     if (status != 0) {
-        end(pipeline, PIPELINE_NOT_SENT);
+        end_pipeline(pipeline, PIPELINE_NOT_SENT);
         return;
     }
     pipeline->write.data = pipeline;
     uv_read_start((uv_stream_t *)&pipeline->tcp, on_allocate, on_read);
     if (uv_write(&pipeline->write, (uv_stream_t *)&pipeline->tcp, &buffer, 1, on_written) != 0) {
-        end(pipeline, PIPELINE_NOT_SENT);
+        end_pipeline(pipeline, PIPELINE_NOT_SENT);
     }
 }
 
 void pipeline_send(uv_loop_t *loop, const char *address, const char *bytes, size_t length, void *const *requests,
-                   size_t count, pipeline_answered_t answered)
+                   size_t count, pipeline_callback_t answered)
 {
     pipeline_t        *pipeline = calloc(1, sizeof(*pipeline));
-    struct sockaddr_in place;
+    struct sockaddr_in node_address;
     char               host[64] = "";
     int                port = 0;
 
     if (pipeline == NULL || count > REQUESTS_MAX || sscanf(address, "%63[^:]:%d", host, &port) != 2 ||
-        uv_ip4_addr(host, port, &place) != 0) {
+        uv_ip4_addr(host, port, &node_address) != 0) {
         abort();
     }
     memcpy(pipeline->requests, requests, count * sizeof(*requests));
@@ -168,7 +169,7 @@
     uv_tcp_init(loop, &pipeline->tcp);
     pipeline->tcp.data = pipeline;
     pipeline->connect.data = pipeline;
-    if (uv_tcp_connect(&pipeline->connect, &pipeline->tcp, (const struct sockaddr *)&place, on_connected) != 0) {
-        end(pipeline, PIPELINE_NOT_SENT);
+    if (uv_tcp_connect(&pipeline->connect, &pipeline->tcp, (const struct sockaddr *)&node_address, on_connected) != 0) {
+        end_pipeline(pipeline, PIPELINE_NOT_SENT);
     }
 }
--- a/standins/callers/pipeline.h
+++ b/standins/callers/pipeline.h
@@ -10,14 +10,15 @@
 
 #include "net/http_header.h"
 
-/** Why a request of the connection ended. */
+/** How a request of the connection ended. */
 typedef enum pipeline_end {
     PIPELINE_ANSWERED,
-    PIPELINE_UNREAD,  /**< it was behind an answer that closed the connection: nobody has read it */
-    PIPELINE_CUT,     /**< the connection ended though it had not been said that it would */
-    PIPELINE_NOT_SENT /**< no connection */
+    PIPELINE_UNREAD,  /**< it followed a request whose answer closed the connection, so the node has not read it */
+    PIPELINE_CUT,     /**< the connection ended though no answer had announced that */
+    PIPELINE_NOT_SENT /**< the connection could not be made */
 } pipeline_end_t;
 
+/** The end of one request; the fields besides `end` are set for PIPELINE_ANSWERED only. */
 typedef struct pipeline_answer {
     pipeline_end_t          end;
     int                     status;
@@ -26,11 +27,12 @@
     size_t                  body_length;
 } pipeline_answer_t;
 
-typedef void (*pipeline_answered_t)(void *request, const pipeline_answer_t *answer);
+/** Called at the end of a request. */
+typedef void (*pipeline_callback_t)(void *request, const pipeline_answer_t *answer);
 
-/** Sends these bytes, which hold `count` requests, on a connection of their own. Each of `requests` is called back
- * once, in order. */
+/** Sends bytes that contain `count` requests on a new connection. `answered` is called once for each of `requests`, in
+ * order. */
 void pipeline_send(uv_loop_t *loop, const char *address, const char *bytes, size_t length, void *const *requests,
-                   size_t count, pipeline_answered_t answered);
+                   size_t count, pipeline_callback_t answered);
 
 #endif
--- a/standins/link/link_datagrams.c
+++ b/standins/link/link_datagrams.c
@@ -1,6 +1,6 @@
 /**
  * @file link_datagrams.c
- * @brief One socket for each node; a datagram leaves by the socket of the node that sent it.
+ * @brief Has one socket for each node; a datagram is sent from the socket of its sender, whose address receivers know.
  */
 #include "link_datagrams.h"
 
@@ -8,13 +8,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { DATAGRAM_MAX = 65536, REORDER_MS = 30 /* several reports of a node apart: at 150 ms from each of many nodes */ };
+enum {
+    DATAGRAM_MAX = 65536,
+    REORDER_MS = 30 /* each node reports every 150 ms, so several reports of many nodes overtake a datagram */
+};
 
+/** The proxy's socket for one node. */
 typedef struct node_socket {
     uv_udp_t            socket;
     link_datagrams_t   *datagrams;
     const link_end_t   *end;
-    struct sockaddr_in  bound;
+    struct sockaddr_in  bound; /* address that the node binds */
     struct node_socket *next;
 } node_socket_t;
 
@@ -25,16 +29,16 @@
     char           received[DATAGRAM_MAX];
 };
 
-/** A datagram that is sent later. */
+/** A datagram that is sent after a delay. */
 typedef struct late_datagram {
     uv_timer_t     timer;
     node_socket_t *from;
     node_socket_t *to;
     size_t         length;
     char           bytes[];
-} late_datagram_t;
+} delayed_datagram_t;
 
-/* A datagram that the socket does not take is lost, as on any link. */
+/* A datagram that the socket does not accept is lost, as on a network. */
 static void send_now(node_socket_t *from, const node_socket_t *to, char *bytes, size_t length)
 {
     uv_buf_t buffer = uv_buf_init(bytes, (unsigned)length);
@@ -42,56 +46,56 @@
     (void)uv_udp_try_send(&from->socket, &buffer, 1, (const struct sockaddr *)&to->bound);
 }
 
-static void free_late(uv_handle_t *handle)
+static void free_delayed(uv_handle_t *handle)
 {
     free(handle->data);
 }
 
-static void on_late(uv_timer_t *timer)
+static void on_delayed(uv_timer_t *timer)
 {
-    late_datagram_t *late = timer->data;
+    delayed_datagram_t *delayed = timer->data;
 
-    send_now(late->from, late->to, late->bytes, late->length);
-    uv_close((uv_handle_t *)timer, free_late);
+    send_now(delayed->from, delayed->to, delayed->bytes, delayed->length);
+    uv_close((uv_handle_t *)timer, free_delayed);
 }
 
-static void send_late(node_socket_t *from, node_socket_t *to, const char *bytes, size_t length, uint32_t delay_ms)
+static void send_delayed(node_socket_t *from, node_socket_t *to, const char *bytes, size_t length, uint32_t delay_ms)
 {
-    late_datagram_t *late = malloc(sizeof(*late) + length);
+    delayed_datagram_t *delayed = malloc(sizeof(*delayed) + length);
 
-    if (late == NULL) {
+    if (delayed == NULL) {
         abort();
     }
-    late->from = from;
-    late->to = to;
-    late->length = length;
-    memcpy(late->bytes, bytes, length);
-    uv_timer_init(from->datagrams->loop, &late->timer);
-    late->timer.data = late;
-    uv_timer_start(&late->timer, on_late, delay_ms, 0);
+    delayed->from = from;
+    delayed->to = to;
+    delayed->length = length;
+    memcpy(delayed->bytes, bytes, length);
+    uv_timer_init(from->datagrams->loop, &delayed->timer);
+    delayed->timer.data = delayed;
+    uv_timer_start(&delayed->timer, on_delayed, delay_ms, 0);
 }
 
-static void pass_on(node_socket_t *from, node_socket_t *to, char *bytes, size_t length)
+static void forward(node_socket_t *from, node_socket_t *to, char *bytes, size_t length)
 {
     link_rules_t *rules = from->datagrams->rules;
-    uint32_t      delay_ms = link_rules_number(rules, LINK_DELAY, from->end, to->end);
+    uint32_t      delay_ms = link_rules_value(rules, LINK_DELAY, from->end, to->end);
     unsigned      copies = 1;
 
     if (link_rules_is_cut(rules, from->end, to->end) ||
-        link_rules_draw(rules, link_rules_number(rules, LINK_LOSE, from->end, to->end))) {
+        link_rules_draw(rules, link_rules_value(rules, LINK_LOSE, from->end, to->end))) {
         return;
     }
-    if (link_rules_draw(rules, link_rules_number(rules, LINK_DOUBLE, from->end, to->end))) {
+    if (link_rules_draw(rules, link_rules_value(rules, LINK_DOUBLE, from->end, to->end))) {
         copies = 2;
     }
-    if (link_rules_draw(rules, link_rules_number(rules, LINK_REORDER, from->end, to->end))) {
+    if (link_rules_draw(rules, link_rules_value(rules, LINK_REORDER, from->end, to->end))) {
         delay_ms += REORDER_MS;
     }
     for (; copies > 0; copies--) {
         if (delay_ms == 0) {
             send_now(from, to, bytes, length);
         } else {
-            send_late(from, to, bytes, length, delay_ms);
+            send_delayed(from, to, bytes, length, delay_ms);
         }
     }
 }
@@ -129,7 +133,7 @@
         fprintf(stderr, "cw-link: a datagram to %s from an address that no node binds\n", to->end->name);
         return;
     }
-    pass_on(from, to, buffer->base, (size_t)length);
+    forward(from, to, buffer->base, (size_t)length);
 }
 
 link_datagrams_t *link_datagrams_create(uv_loop_t *loop, link_rules_t *rules)
@@ -157,7 +161,7 @@
     socket->end = end;
     socket->bound = *bound;
     socket->next = datagrams->sockets;
-    datagrams->sockets = socket; /* freed with the process, as all here */
+    datagrams->sockets = socket; /* never freed: lives as long as the process */
     uv_udp_init(datagrams->loop, &socket->socket);
     socket->socket.data = socket;
     error = uv_udp_bind(&socket->socket, (const struct sockaddr *)known, 0);
--- a/standins/link/link_datagrams.h
+++ b/standins/link/link_datagrams.h
@@ -1,6 +1,7 @@
 /**
  * @file link_datagrams.h
- * @brief Datagrams between nodes: each node is known by an address of the proxy's, and binds another one.
+ * @brief Forwards datagrams between nodes: other nodes know a node by an address of the proxy; the node binds another
+ * one.
  */
 #ifndef CW_LINK_DATAGRAMS_H
 #define CW_LINK_DATAGRAMS_H
@@ -11,8 +12,10 @@
 
 typedef struct link_datagrams link_datagrams_t;
 
+/** Creates a forwarder without nodes. It lives as long as the process. */
 link_datagrams_t *link_datagrams_create(uv_loop_t *loop, link_rules_t *rules);
-/** Binds the address by which others know a node; what comes there goes to the address that the node binds. */
+/** Binds the address by which others know a node; datagrams received there are sent to the address that the node binds.
+ * Returns 0 or an error of libuv. */
 int link_datagrams_add(link_datagrams_t *datagrams, const link_end_t *end, const struct sockaddr_in *known,
                        const struct sockaddr_in *bound);
 
--- a/standins/link/link_processes.c
+++ b/standins/link/link_processes.c
@@ -1,6 +1,6 @@
 /**
  * @file link_processes.c
- * @brief By the kernel's tables: the connection's inode, and the process that has it open.
+ * @brief Asks the kernel for the connection's inode, and searches the processes for an open descriptor of it.
  */
 #include "link_processes.h"
 
@@ -16,53 +16,53 @@
 #include <unistd.h>
 
 enum {
-    LINE_MAX_BYTES = 512, /* of /proc/net/tcp: 150 and the inode's address */
-    PATH_MAX_BYTES = 320, /* /proc, two numbers and a name of a directory's entry */
+    LINE_MAX_BYTES = 512, /* of /proc/net/tcp: 150 characters and the address of the inode */
+    PATH_MAX_BYTES = 320, /* "/proc", two numbers and the name of a directory entry */
     SOCKET_NAME_MAX = 64,
-    ANSWER_REST = 512 /* attributes that may follow an answer of the kernel; none is asked for */
+    ATTRIBUTES_BYTES = 512 /* room for attributes that may follow an answer of the kernel, though none is requested */
 };
 
-/* Asks the kernel for one connection: a table of many thousands takes tens of milliseconds to read. 0: no answer. */
-static unsigned long ask_inode(const struct sockaddr_in *local, const struct sockaddr_in *remote)
+/* Asks the kernel for the inode of one connection; 0: no answer. Reading /proc/net/tcp instead takes tens of
+ * milliseconds if there are many thousands of connections. */
+static unsigned long query_inode(const struct sockaddr_in *local, const struct sockaddr_in *remote)
 {
     struct {
         struct nlmsghdr         header;
         struct inet_diag_req_v2 request;
-    } question = {
-        .header = {.nlmsg_len = sizeof(question), .nlmsg_type = SOCK_DIAG_BY_FAMILY, .nlmsg_flags = NLM_F_REQUEST},
-        .request = {.sdiag_family = AF_INET, .sdiag_protocol = IPPROTO_TCP, .idiag_states = UINT32_MAX}};
+    } query = {.header = {.nlmsg_len = sizeof(query), .nlmsg_type = SOCK_DIAG_BY_FAMILY, .nlmsg_flags = NLM_F_REQUEST},
+               .request = {.sdiag_family = AF_INET, .sdiag_protocol = IPPROTO_TCP, .idiag_states = UINT32_MAX}};
     struct {
         struct nlmsghdr      header;
         struct inet_diag_msg message;
-        char                 rest[ANSWER_REST];
+        char                 attributes[ATTRIBUTES_BYTES];
     } answer = {0};
     int     descriptor = socket(AF_NETLINK, SOCK_DGRAM | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
     ssize_t length = -1;
 
-    question.request.id.idiag_sport = local->sin_port;
-    question.request.id.idiag_dport = remote->sin_port;
-    question.request.id.idiag_src[0] = local->sin_addr.s_addr;
-    question.request.id.idiag_dst[0] = remote->sin_addr.s_addr;
-    question.request.id.idiag_cookie[0] = INET_DIAG_NOCOOKIE;
-    question.request.id.idiag_cookie[1] = INET_DIAG_NOCOOKIE;
+    query.request.id.idiag_sport = local->sin_port;
+    query.request.id.idiag_dport = remote->sin_port;
+    query.request.id.idiag_src[0] = local->sin_addr.s_addr;
+    query.request.id.idiag_dst[0] = remote->sin_addr.s_addr;
+    query.request.id.idiag_cookie[0] = INET_DIAG_NOCOOKIE;
+    query.request.id.idiag_cookie[1] = INET_DIAG_NOCOOKIE;
     if (descriptor < 0) {
         return 0;
     }
-    if (send(descriptor, &question, sizeof(question), 0) == (ssize_t)sizeof(question)) {
+    if (send(descriptor, &query, sizeof(query), 0) == (ssize_t)sizeof(query)) {
         length = recv(descriptor, &answer, sizeof(answer), MSG_DONTWAIT);
     }
     (void)close(descriptor);
     return length > 0 && answer.header.nlmsg_type == SOCK_DIAG_BY_FAMILY ? answer.message.idiag_inode : 0;
 }
 
-/* As /proc/net/tcp writes it: the number in the byte order of this machine, the port as a number. */
-static void format_place(char *text, size_t size, const struct sockaddr_in *place)
+/* Formats an address as /proc/net/tcp does: the IP address as a number in this machine's byte order, then the port. */
+static void format_address(char *text, size_t size, const struct sockaddr_in *address)
 {
-    snprintf(text, size, "%08X:%04X", place->sin_addr.s_addr, ntohs(place->sin_port));
+    snprintf(text, size, "%08X:%04X", address->sin_addr.s_addr, ntohs(address->sin_port));
 }
 
-/* Where the kernel does not answer. 0: not found. */
-static unsigned long find_inode(const struct sockaddr_in *local, const struct sockaddr_in *remote)
+/* Finds the inode in /proc/net/tcp, for kernels that do not answer query_inode; 0: not found. */
+static unsigned long read_inode(const struct sockaddr_in *local, const struct sockaddr_in *remote)
 {
     FILE         *table = fopen("/proc/net/tcp", "r");
     char          line[LINE_MAX_BYTES];
@@ -75,8 +75,8 @@
     if (table == NULL) {
         return 0;
     }
-    format_place(wanted_local, sizeof(wanted_local), local);
-    format_place(wanted_remote, sizeof(wanted_remote), remote);
+    format_address(wanted_local, sizeof(wanted_local), local);
+    format_address(wanted_remote, sizeof(wanted_remote), remote);
     while (inode == 0 && fgets(line, sizeof(line), table) != NULL) {
         unsigned long number;
 
@@ -89,7 +89,7 @@
     return inode;
 }
 
-static bool has_open(int process, const char *socket_name)
+static bool has_socket_open(int process, const char *socket_name)
 {
     char           path[PATH_MAX_BYTES];
     char           name[SOCKET_NAME_MAX];
@@ -100,7 +100,7 @@
     snprintf(path, sizeof(path), "/proc/%d/fd", process);
     directory = opendir(path);
     if (directory == NULL) {
-        return false; /* it has ended */
+        return false; /* the process has ended */
     }
     while (!found && (entry = readdir(directory)) != NULL) {
         ssize_t length;
@@ -116,20 +116,21 @@
     return found;
 }
 
-const link_end_t *link_process_of(const link_rules_t *rules, const uv_tcp_t *accepted, const struct sockaddr_in *listen)
+const link_end_t *link_end_of_connection(const link_rules_t *rules, const uv_tcp_t *accepted,
+                                         const struct sockaddr_in *listen)
 {
-    struct sockaddr_in other;
-    int                length = sizeof(other);
+    struct sockaddr_in remote;
+    int                length = sizeof(remote);
     char               socket_name[SOCKET_NAME_MAX];
     unsigned long      inode;
     size_t             position;
 
-    if (uv_tcp_getpeername(accepted, (struct sockaddr *)&other, &length) != 0) {
+    if (uv_tcp_getpeername(accepted, (struct sockaddr *)&remote, &length) != 0) {
         return NULL;
     }
-    inode = ask_inode(&other, listen);
+    inode = query_inode(&remote, listen);
     if (inode == 0) {
-        inode = find_inode(&other, listen);
+        inode = read_inode(&remote, listen);
     }
     if (inode == 0) {
         return NULL;
@@ -138,7 +139,7 @@
     for (position = 0; position < rules->end_count; position++) {
         const link_end_t *end = &rules->ends[position];
 
-        if (end->process != 0 && has_open(end->process, socket_name)) {
+        if (end->process != 0 && has_socket_open(end->process, socket_name)) {
             return end;
         }
     }
--- a/standins/link/link_processes.h
+++ b/standins/link/link_processes.h
@@ -1,6 +1,7 @@
 /**
  * @file link_processes.h
- * @brief Which process a connection comes from: all programs on loopback connect from the same address.
+ * @brief Finds the process that a connection comes from: addresses do not tell, since all programs connect from the
+ * same one.
  */
 #ifndef CW_LINK_PROCESSES_H
 #define CW_LINK_PROCESSES_H
@@ -9,8 +10,9 @@
 
 #include "link_rules.h"
 
-/** The end whose process has the other side of an accepted connection; NULL: none of them. */
-const link_end_t *link_process_of(const link_rules_t *rules, const uv_tcp_t *accepted,
-                                  const struct sockaddr_in *listen);
+/** Finds the end whose process has the other side of an accepted connection; NULL: there is none. `listen` is the
+ * address at which the connection was accepted. */
+const link_end_t *link_end_of_connection(const link_rules_t *rules, const uv_tcp_t *accepted,
+                                         const struct sockaddr_in *listen);
 
 #endif
--- a/standins/link/link_rules.c
+++ b/standins/link/link_rules.c
@@ -1,6 +1,6 @@
 /**
  * @file link_rules.c
- * @brief A table that is searched in order: a test has a few faults at once.
+ * @brief Keeps faults in a table that is searched linearly, since a test has only a few at once.
  */
 #include "link_rules.h"
 
@@ -42,7 +42,7 @@
     return strcmp(name, "all") == 0 || strcmp(name, end->name) == 0 || strcmp(name, end->group) == 0;
 }
 
-bool link_rules_knows(const link_rules_t *rules, const char *name)
+bool link_rules_has_match(const link_rules_t *rules, const char *name)
 {
     size_t position;
 
@@ -72,25 +72,24 @@
     return rule->fault != LINK_CUT_ONE_WAY && link_end_matches(from, rule->to) && link_end_matches(to, rule->from);
 }
 
-uint32_t link_rules_number(const link_rules_t *rules, link_fault_t fault, const link_end_t *from, const link_end_t *to)
+uint32_t link_rules_value(const link_rules_t *rules, link_fault_t fault, const link_end_t *from, const link_end_t *to)
 {
-    uint32_t number = 0;
+    uint32_t value = 0;
     size_t   position;
 
     for (position = 0; position < rules->rule_count; position++) {
         const link_rule_t *rule = &rules->rules[position];
 
         if (rule->fault == fault && applies(rule, from, to)) {
-            number = rule->number;
+            value = rule->value;
         }
     }
-    return number;
+    return value;
 }
 
 bool link_rules_is_cut(const link_rules_t *rules, const link_end_t *from, const link_end_t *to)
 {
-    return link_rules_number(rules, LINK_CUT, from, to) != 0 ||
-           link_rules_number(rules, LINK_CUT_ONE_WAY, from, to) != 0;
+    return link_rules_value(rules, LINK_CUT, from, to) != 0 || link_rules_value(rules, LINK_CUT_ONE_WAY, from, to) != 0;
 }
 
 bool link_rules_draw(link_rules_t *rules, uint32_t percent)
--- a/standins/link/link_streams.c
+++ b/standins/link/link_streams.c
@@ -1,6 +1,7 @@
 /**
  * @file link_streams.c
- * @brief Each connection has two ways; what a way may not pass is not read, so that its sender sees an open connection.
+ * @brief Forwards the two directions of each connection. A direction that may not pass bytes is not read, so that its
+ *        sender sees a connection that stays open.
  */
 #include "link_streams.h"
 
@@ -15,16 +16,16 @@
 enum {
     BACKLOG = 128,
     READ_BYTES = 65536,
-    QUEUE_BYTES_MOST = 256 * 1024 /* that wait in one way; beyond it nothing is read */
+    QUEUE_BYTES_MAX = 256 * 1024 /* of one direction; a direction is not read while its queue is full */
 };
 
-/** Bytes that are sent later; none: the sender has ended its side. */
+/** Bytes that are sent at due_ms; length 0: the sender has shut down its side. */
 typedef struct late_bytes {
     uint64_t           due_ms;
     struct late_bytes *next;
     size_t             length;
     char               bytes[];
-} late_bytes_t;
+} delayed_bytes_t;
 
 typedef struct stream stream_t;
 
@@ -36,33 +37,35 @@
     const link_end_t *from;
     const link_end_t *to;
     uv_timer_t        timer;
-    late_bytes_t     *first;
-    late_bytes_t    **last;
-    size_t            queued;
-    uint64_t          due_ms; /**< of the bytes read last */
+    delayed_bytes_t  *first;
+    delayed_bytes_t **last;
+    size_t            queued; /**< bytes read and not written yet */
+    uint64_t          due_ms; /**< due time of the bytes read last */
     bool              is_reading;
-    bool              is_read_out; /**< the sender has ended its side */
-    bool              has_ended;   /**< and the receiver has been sent that */
-} stream_way_t;
+    bool              source_ended; /**< the sender has shut down its side */
+    bool              target_ended; /**< the shutdown has been passed on to the receiver */
+} stream_direction_t;
 
+/** A connection. */
 struct stream {
-    link_streams_t *streams;
-    uv_tcp_t        near; /**< accepted */
-    uv_tcp_t        far;
-    uv_connect_t    connect;
-    stream_way_t    forth;
-    stream_way_t    back;
-    unsigned        handles; /**< not closed yet */
-    bool            is_connected;
-    bool            is_stalled;
-    bool            is_closing;
-    stream_t       *next;
+    link_streams_t    *streams;
+    uv_tcp_t           accepted; /**< accepted by the proxy */
+    uv_tcp_t           outgoing; /**< made to the target */
+    uv_connect_t       connect;
+    stream_direction_t forward;
+    stream_direction_t backward;
+    unsigned           handles; /**< number of handles that are not closed yet */
+    bool               is_connected;
+    bool               is_stalled; /**< passes nothing until link_streams_heal */
+    bool               is_closing;
+    stream_t          *next;
 };
 
+/** A listener for connections from one end to another. */
 typedef struct stream_listener {
     uv_tcp_t           socket;
     link_streams_t    *streams;
-    const link_end_t  *from; /**< of connections whose process is no end */
+    const link_end_t  *from; /**< sender of connections whose process belongs to no end */
     const link_end_t  *to;
     struct sockaddr_in listen;
     struct sockaddr_in target;
@@ -75,23 +78,23 @@
     char          received[READ_BYTES];
 };
 
-/** A write under way. */
+/** A write that has not completed. */
 typedef struct stream_write {
-    uv_write_t    request;
-    stream_way_t *way;
-    late_bytes_t *bytes;
+    uv_write_t          request;
+    stream_direction_t *direction;
+    delayed_bytes_t    *bytes;
 } stream_write_t;
 
-static void update_way(stream_way_t *way);
+static void update_direction(stream_direction_t *direction);
 
 /* ---- the end of a connection ---- */
 
-static void free_queue(stream_way_t *way)
+static void free_queue(stream_direction_t *direction)
 {
-    late_bytes_t *bytes;
+    delayed_bytes_t *bytes;
 
-    while ((bytes = way->first) != NULL) {
-        way->first = bytes->next;
+    while ((bytes = direction->first) != NULL) {
+        direction->first = bytes->next;
         free(bytes);
     }
 }
@@ -101,8 +104,8 @@
     stream_t *stream = handle->data;
 
     if (--stream->handles == 0) {
-        free_queue(&stream->forth);
-        free_queue(&stream->back);
+        free_queue(&stream->forward);
+        free_queue(&stream->backward);
         free(stream);
     }
 }
@@ -114,10 +117,10 @@
     }
 }
 
-static void close_timer(stream_way_t *way)
+static void close_timer(stream_direction_t *direction)
 {
-    way->timer.data = way->stream; /* as on_closed takes it */
-    uv_close((uv_handle_t *)&way->timer, on_closed);
+    direction->timer.data = direction->stream; /* on_closed expects the stream there */
+    uv_close((uv_handle_t *)&direction->timer, on_closed);
 }
 
 static void close_stream(stream_t *stream, bool with_reset)
@@ -132,10 +135,10 @@
         place = &(*place)->next;
     }
     *place = stream->next;
-    close_socket(&stream->near, with_reset);
-    close_socket(&stream->far, with_reset);
-    close_timer(&stream->forth);
-    close_timer(&stream->back);
+    close_socket(&stream->accepted, with_reset);
+    close_socket(&stream->outgoing, with_reset);
+    close_timer(&stream->forward);
+    close_timer(&stream->backward);
 }
 
 /* ---- sending ---- */
@@ -143,46 +146,46 @@
 static void on_written(uv_write_t *request, int status)
 {
     stream_write_t *write = request->data;
-    stream_t       *stream = write->way->stream;
+    stream_t       *stream = write->direction->stream;
 
-    write->way->queued -= write->bytes->length;
+    write->direction->queued -= write->bytes->length;
     if (status != 0) {
         close_stream(stream, true);
     } else {
-        update_way(write->way);
+        update_direction(write->direction);
     }
     free(write->bytes);
     free(write);
 }
 
-static void on_shut(uv_shutdown_t *request, int status)
+static void on_shutdown(uv_shutdown_t *request, int status)
 {
-    stream_way_t *way = request->data;
-    stream_t     *stream = way->stream;
+    stream_direction_t *direction = request->data;
+    stream_t           *stream = direction->stream;
 
-    (void)status; /* the receiver has gone: its other way ends with an error */
-    way->has_ended = true;
-    if (stream->forth.has_ended && stream->back.has_ended) {
+    (void)status; /* ignored: if the receiver is gone, the other direction ends with an error */
+    direction->target_ended = true;
+    if (stream->forward.target_ended && stream->backward.target_ended) {
         close_stream(stream, false);
     }
     free(request);
 }
 
-static void end_way(stream_way_t *way)
+static void shut_down_target(stream_direction_t *direction)
 {
     uv_shutdown_t *request = malloc(sizeof(*request));
 
     if (request == NULL) {
         abort();
     }
-    request->data = way;
-    if (uv_shutdown(request, (uv_stream_t *)way->target, on_shut) != 0) {
+    request->data = direction;
+    if (uv_shutdown(request, (uv_stream_t *)direction->target, on_shutdown) != 0) {
         free(request);
-        close_stream(way->stream, true);
+        close_stream(direction->stream, true);
     }
 }
 
-static void send_bytes(stream_way_t *way, late_bytes_t *bytes)
+static void send_bytes(stream_direction_t *direction, delayed_bytes_t *bytes)
 {
     stream_write_t *write = calloc(1, sizeof(*write));
     uv_buf_t        buffer = uv_buf_init(bytes->bytes, (unsigned)bytes->length);
@@ -190,68 +193,68 @@
     if (write == NULL) {
         abort();
     }
-    write->way = way;
+    write->direction = direction;
     write->bytes = bytes;
     write->request.data = write;
-    if (uv_write(&write->request, (uv_stream_t *)way->target, &buffer, 1, on_written) != 0) {
+    if (uv_write(&write->request, (uv_stream_t *)direction->target, &buffer, 1, on_written) != 0) {
         free(write);
         free(bytes);
-        close_stream(way->stream, true);
+        close_stream(direction->stream, true);
     }
 }
 
-static bool may_pass(const stream_way_t *way)
+static bool may_pass(const stream_direction_t *direction)
 {
-    const stream_t *stream = way->stream;
+    const stream_t *stream = direction->stream;
 
     return stream->is_connected && !stream->is_closing && !stream->is_stalled &&
-           !link_rules_is_cut(stream->streams->rules, way->from, way->to);
+           !link_rules_is_cut(stream->streams->rules, direction->from, direction->to);
 }
 
 static void on_due(uv_timer_t *timer);
 
-/* Sends what is due; a way that is cut keeps what it has until it passes again. */
-static void send_due(stream_way_t *way)
+/* Sends the bytes that are due. A direction that is cut keeps its bytes until it may pass them again. */
+static void send_due(stream_direction_t *direction)
 {
-    uint64_t now = uv_now(way->stream->streams->loop);
+    uint64_t now = uv_now(direction->stream->streams->loop);
 
-    while (way->first != NULL && way->first->due_ms <= now && may_pass(way)) {
-        late_bytes_t *bytes = way->first;
+    while (direction->first != NULL && direction->first->due_ms <= now && may_pass(direction)) {
+        delayed_bytes_t *bytes = direction->first;
 
-        way->first = bytes->next;
-        if (way->first == NULL) {
-            way->last = &way->first;
+        direction->first = bytes->next;
+        if (direction->first == NULL) {
+            direction->last = &direction->first;
         }
         if (bytes->length == 0) {
             free(bytes);
-            end_way(way);
+            shut_down_target(direction);
         } else {
-            send_bytes(way, bytes);
+            send_bytes(direction, bytes);
         }
     }
-    if (way->first != NULL && may_pass(way)) {
-        uv_timer_start(&way->timer, on_due, way->first->due_ms - now, 0);
+    if (direction->first != NULL && may_pass(direction)) {
+        uv_timer_start(&direction->timer, on_due, direction->first->due_ms - now, 0);
     }
 }
 
 static void on_due(uv_timer_t *timer)
 {
-    stream_way_t *way = timer->data;
+    stream_direction_t *direction = timer->data;
 
-    send_due(way);
+    send_due(direction);
 }
 
 /* ---- receiving ---- */
 
-static uint64_t due_of(stream_way_t *way, size_t length)
+static uint64_t due_time(stream_direction_t *direction, size_t length)
 {
-    const link_rules_t *rules = way->stream->streams->rules;
-    uint64_t            due_ms = uv_now(way->stream->streams->loop);
-    uint32_t            throttle = link_rules_number(rules, LINK_THROTTLE, way->from, way->to);
+    const link_rules_t *rules = direction->stream->streams->rules;
+    uint64_t            due_ms = uv_now(direction->stream->streams->loop);
+    uint32_t            throttle = link_rules_value(rules, LINK_THROTTLE, direction->from, direction->to);
 
-    due_ms += link_rules_number(rules, LINK_DELAY, way->from, way->to);
-    if (due_ms < way->due_ms) {
-        due_ms = way->due_ms; /* bytes stay in order */
+    due_ms += link_rules_value(rules, LINK_DELAY, direction->from, direction->to);
+    if (due_ms < direction->due_ms) {
+        due_ms = direction->due_ms; /* keeps the order of bytes */
     }
     if (throttle != 0) {
         due_ms += length * 1000 / throttle;
@@ -259,21 +262,21 @@
     return due_ms;
 }
 
-static void queue_bytes(stream_way_t *way, const char *received, size_t length)
+static void queue_bytes(stream_direction_t *direction, const char *received, size_t length)
 {
-    late_bytes_t *bytes = malloc(sizeof(*bytes) + length);
+    delayed_bytes_t *bytes = malloc(sizeof(*bytes) + length);
 
     if (bytes == NULL) {
         abort();
     }
-    bytes->due_ms = due_of(way, length);
+    bytes->due_ms = due_time(direction, length);
     bytes->next = NULL;
     bytes->length = length;
     memcpy(bytes->bytes, received, length);
-    way->due_ms = bytes->due_ms;
-    way->queued += length;
-    *way->last = bytes;
-    way->last = &bytes->next;
+    direction->due_ms = bytes->due_ms;
+    direction->queued += length;
+    *direction->last = bytes;
+    direction->last = &bytes->next;
 }
 
 static void on_allocate(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
@@ -286,8 +289,8 @@
 
 static void on_read(uv_stream_t *source, ssize_t length, const uv_buf_t *buffer)
 {
-    stream_t     *stream = source->data;
-    stream_way_t *way = source == (uv_stream_t *)&stream->near ? &stream->forth : &stream->back;
+    stream_t           *stream = source->data;
+    stream_direction_t *direction = source == (uv_stream_t *)&stream->accepted ? &stream->forward : &stream->backward;
 
     if (length == 0) {
         return;
@@ -297,34 +300,34 @@
         return;
     }
     if (length == UV_EOF) {
-        way->is_read_out = true;
-        queue_bytes(way, "", 0);
+        direction->source_ended = true;
+        queue_bytes(direction, "", 0);
     } else {
-        queue_bytes(way, buffer->base, (size_t)length);
+        queue_bytes(direction, buffer->base, (size_t)length);
     }
-    send_due(way);
+    send_due(direction);
     if (!stream->is_closing) {
-        update_way(way);
+        update_direction(direction);
     }
 }
 
-/* Reads while the way may pass and has space. */
-static void update_way(stream_way_t *way)
+/* Starts or stops reading: a direction is read while it may pass bytes and its queue has space. */
+static void update_direction(stream_direction_t *direction)
 {
     bool wanted;
 
-    if (way->stream->is_closing) {
+    if (direction->stream->is_closing) {
         return;
     }
-    wanted = may_pass(way) && !way->is_read_out && way->queued < QUEUE_BYTES_MOST;
-    if (wanted == way->is_reading) {
+    wanted = may_pass(direction) && !direction->source_ended && direction->queued < QUEUE_BYTES_MAX;
+    if (wanted == direction->is_reading) {
         return;
     }
-    way->is_reading = wanted;
+    direction->is_reading = wanted;
     if (!wanted) {
-        (void)uv_read_stop((uv_stream_t *)way->source);
-    } else if (uv_read_start((uv_stream_t *)way->source, on_allocate, on_read) != 0) {
-        close_stream(way->stream, true);
+        (void)uv_read_stop((uv_stream_t *)direction->source);
+    } else if (uv_read_start((uv_stream_t *)direction->source, on_allocate, on_read) != 0) {
+        close_stream(direction->stream, true);
     }
 }
 
@@ -342,18 +345,18 @@
         return;
     }
     stream->is_connected = true;
-    update_way(&stream->forth);
-    update_way(&stream->back);
+    update_direction(&stream->forward);
+    update_direction(&stream->backward);
 }
 
-static void init_way(stream_t *stream, stream_way_t *way, uv_tcp_t *source, uv_tcp_t *target)
+static void init_direction(stream_t *stream, stream_direction_t *direction, uv_tcp_t *source, uv_tcp_t *target)
 {
-    way->stream = stream;
-    way->source = source;
-    way->target = target;
-    way->last = &way->first;
-    uv_timer_init(stream->streams->loop, &way->timer);
-    way->timer.data = way;
+    direction->stream = stream;
+    direction->source = source;
+    direction->target = target;
+    direction->last = &direction->first;
+    uv_timer_init(stream->streams->loop, &direction->timer);
+    direction->timer.data = direction;
 }
 
 static stream_t *create_stream(stream_listener_t *listener)
@@ -364,18 +367,18 @@
         abort();
     }
     stream->streams = listener->streams;
-    uv_tcp_init(listener->streams->loop, &stream->near);
-    uv_tcp_init(listener->streams->loop, &stream->far);
-    stream->near.data = stream;
-    stream->far.data = stream;
+    uv_tcp_init(listener->streams->loop, &stream->accepted);
+    uv_tcp_init(listener->streams->loop, &stream->outgoing);
+    stream->accepted.data = stream;
+    stream->outgoing.data = stream;
     stream->connect.data = stream;
     stream->handles = 4;
-    init_way(stream, &stream->forth, &stream->near, &stream->far);
-    init_way(stream, &stream->back, &stream->far, &stream->near);
-    stream->forth.from = listener->from;
-    stream->forth.to = listener->to;
-    stream->back.from = listener->to;
-    stream->back.to = listener->from;
+    init_direction(stream, &stream->forward, &stream->accepted, &stream->outgoing);
+    init_direction(stream, &stream->backward, &stream->outgoing, &stream->accepted);
+    stream->forward.from = listener->from;
+    stream->forward.to = listener->to;
+    stream->backward.from = listener->to;
+    stream->backward.to = listener->from;
     stream->next = listener->streams->open;
     listener->streams->open = stream;
     return stream;
@@ -392,16 +395,17 @@
         return;
     }
     stream = create_stream(listener);
-    if (uv_accept(socket, (uv_stream_t *)&stream->near) != 0) {
+    if (uv_accept(socket, (uv_stream_t *)&stream->accepted) != 0) {
         close_stream(stream, true);
         return;
     }
-    owner = link_process_of(listener->streams->rules, &stream->near, &listener->listen);
+    owner = link_end_of_connection(listener->streams->rules, &stream->accepted, &listener->listen);
     if (owner != NULL) {
-        stream->forth.from = owner;
-        stream->back.to = owner;
+        stream->forward.from = owner;
+        stream->backward.to = owner;
     }
-    if (uv_tcp_connect(&stream->connect, &stream->far, (const struct sockaddr *)&listener->target, on_connected) != 0) {
+    if (uv_tcp_connect(&stream->connect, &stream->outgoing, (const struct sockaddr *)&listener->target, on_connected) !=
+        0) {
         close_stream(stream, true);
     }
 }
@@ -421,7 +425,7 @@
 int link_streams_add(link_streams_t *streams, const link_end_t *from, const link_end_t *to,
                      const struct sockaddr_in *listen, const struct sockaddr_in *target)
 {
-    stream_listener_t *listener = calloc(1, sizeof(*listener)); /* freed with the process */
+    stream_listener_t *listener = calloc(1, sizeof(*listener)); /* never freed: lives as long as the process */
     int                error;
 
     if (listener == NULL) {
@@ -442,8 +446,8 @@
 
 static bool is_between(const stream_t *stream, const char *one, const char *other)
 {
-    const link_end_t *from = stream->forth.from;
-    const link_end_t *to = stream->forth.to;
+    const link_end_t *from = stream->forward.from;
+    const link_end_t *to = stream->forward.to;
 
     return (link_end_matches(from, one) && link_end_matches(to, other)) ||
            (link_end_matches(from, other) && link_end_matches(to, one));
@@ -481,7 +485,7 @@
     return count;
 }
 
-static bool is_reset(const uv_tcp_t *socket)
+static bool has_been_reset(const uv_tcp_t *socket)
 {
     uv_os_fd_t descriptor;
     int        error = 0;
@@ -493,7 +497,8 @@
     return getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &error, &length) == 0 && error == ECONNRESET;
 }
 
-/* What one side has reset passes nothing more: a sender that has no connection any more sends nothing again. */
+/* Closes connections that one side has reset, before bytes pass again: a real sender that has lost its connection does
+ * not send its bytes again either. */
 void link_streams_update(link_streams_t *streams)
 {
     stream_t *stream = streams->open;
@@ -501,15 +506,15 @@
     while (stream != NULL) {
         stream_t *next = stream->next;
 
-        if (is_reset(&stream->near) || is_reset(&stream->far)) {
+        if (has_been_reset(&stream->accepted) || has_been_reset(&stream->outgoing)) {
             close_stream(stream, true);
         }
-        send_due(&stream->forth);
+        send_due(&stream->forward);
         if (!stream->is_closing) {
-            send_due(&stream->back);
+            send_due(&stream->backward);
         }
-        update_way(&stream->forth);
-        update_way(&stream->back);
+        update_direction(&stream->forward);
+        update_direction(&stream->backward);
         stream = next;
     }
 }
--- a/standins/link/main.c
+++ b/standins/link/main.c
@@ -1,20 +1,22 @@
 /**
  * @file main.c
- * @brief Proxy for connections and datagrams on loopback, with faults that a test sets by lines on standard input.
+ * @brief Proxy for connections and datagrams on loopback that injects faults, by commands of a test on standard input.
  *
- * Each line gets one line back when it is in force: "ok", for `stall` and `reset` with the number of connections, or
- * "error" and a reason. The end of standard input ends the proxy. First the links:
+ * Each command is one line and is answered by one line when it is in force: "ok", with the number of connections after
+ * `stall` and `reset`, or "error" and a reason. The proxy ends at the end of standard input. Commands that define
+ * links:
  *
- *   end NAME GROUP                  a side of links; faults name ends, groups or "all"
- *   process NAME PID                connections of that process come from that end
- *   node NAME KNOWN BOUND           datagrams to KNOWN go to BOUND, and come from the KNOWN of the node that sent them
- *   link FROM TO LISTEN TARGET      connections; from FROM unless their process is another end's
+ *   end NAME GROUP                  defines an end of links; faults name ends, groups or "all"
+ *   process NAME PID                connections of this process come from this end
+ *   node NAME KNOWN BOUND           datagrams to the address KNOWN are sent to BOUND, from the KNOWN of their sender
+ *   link FROM TO LISTEN TARGET      connections to LISTEN are forwarded to TARGET; they come from the end that has
+ * their process, else from FROM
  *
- * Then faults, which are in force until `heal`, except `reset`:
+ * Commands for faults, which last until `heal` (except `reset`, which takes effect once):
  *
  *   cut A B | cut-one-way A B       nothing passes between A and B, or from A to B; connections stay open
  *   stall A B                       nothing passes on connections that are open now; new ones work
- *   reset A B                       connections that are open now are reset
+ *   reset A B                       resets connections that are open now
  *   delay A B MS | throttle A B BYTES_PER_S
  *   lose A B PERCENT | double A B PERCENT | reorder A B PERCENT     of datagrams
  */
@@ -29,30 +31,32 @@
 
 enum { ERRORS_MAX = 10, LINE_BYTES = 512, FIELDS_MAX = 5, PERCENT_MAX = 100 };
 
+/** State of the proxy. */
 typedef struct link_proxy {
     uv_loop_t         loop;
     uv_pipe_t         input;
     link_rules_t      rules;
     link_datagrams_t *datagrams;
     link_streams_t   *streams;
-    char              line[LINE_BYTES];
+    char              line[LINE_BYTES]; /**< standard input that is not handled yet */
     size_t            length;
 } link_proxy_t;
 
+/** A command and its function. */
 typedef struct link_command {
     const char *name;
-    int         fields; /**< with its name */
-    /** NULL: done, with its line on standard output; else the reason why not. */
+    int         fields; /**< number of fields, the name included */
+    /** Returns NULL after it has printed its line on standard output, else the reason for an error. */
     const char *(*run)(link_proxy_t *proxy, char **fields);
 } link_command_t;
 
-static void say_ok(void)
+static void print_ok(void)
 {
     puts("ok");
 }
 
 /* "IPv4:PORT" */
-static bool place_from_text(struct sockaddr_in *place, const char *text)
+static bool address_from_text(struct sockaddr_in *address, const char *text)
 {
     char  host[INET_ADDRSTRLEN];
     char *colon = strrchr(text, ':');
@@ -65,7 +69,7 @@
     snprintf(host, sizeof(host), "%.*s", (int)(colon - text), text);
     port = strtol(colon + 1, &end, 10);
     return *end == '\0' && end != colon + 1 && port > 0 && port <= UINT16_MAX &&
-           uv_ip4_addr(host, (int)port, place) == 0;
+           uv_ip4_addr(host, (int)port, address) == 0;
 }
 
 static bool number_from_text(uint32_t *number, const char *text)
@@ -87,7 +91,7 @@
     if (link_rules_add_end(&proxy->rules, fields[1], fields[2]) == NULL) {
         return "too many ends, or too long a name";
     }
-    say_ok();
+    print_ok();
     return NULL;
 }
 
@@ -100,7 +104,7 @@
         return "no such end, or no process id";
     }
     end->process = (int)process;
-    say_ok();
+    print_ok();
     return NULL;
 }
 
@@ -111,14 +115,14 @@
     struct sockaddr_in bound;
     int                error;
 
-    if (end == NULL || !place_from_text(&known, fields[2]) || !place_from_text(&bound, fields[3])) {
+    if (end == NULL || !address_from_text(&known, fields[2]) || !address_from_text(&bound, fields[3])) {
         return "no such end, or not IPv4:PORT";
     }
     error = link_datagrams_add(proxy->datagrams, end, &known, &bound);
     if (error != 0) {
         return uv_strerror(error);
     }
-    say_ok();
+    print_ok();
     return NULL;
 }
 
@@ -130,24 +134,25 @@
     struct sockaddr_in target;
     int                error;
 
-    if (from == NULL || to == NULL || !place_from_text(&listen, fields[3]) || !place_from_text(&target, fields[4])) {
+    if (from == NULL || to == NULL || !address_from_text(&listen, fields[3]) ||
+        !address_from_text(&target, fields[4])) {
         return "no such end, or not IPv4:PORT";
     }
     error = link_streams_add(proxy->streams, from, to, &listen, &target);
     if (error != 0) {
         return uv_strerror(error);
     }
-    say_ok();
+    print_ok();
     return NULL;
 }
 
 /* ---- faults ---- */
 
-static const char *add_rule(link_proxy_t *proxy, link_fault_t fault, char **fields, uint32_t number)
+static const char *add_rule(link_proxy_t *proxy, link_fault_t fault, char **fields, uint32_t value)
 {
-    link_rule_t rule = {.fault = fault, .number = number};
+    link_rule_t rule = {.fault = fault, .value = value};
 
-    if (!link_rules_knows(&proxy->rules, fields[1]) || !link_rules_knows(&proxy->rules, fields[2])) {
+    if (!link_rules_has_match(&proxy->rules, fields[1]) || !link_rules_has_match(&proxy->rules, fields[2])) {
         return "no such end or group";
     }
     snprintf(rule.from, sizeof(rule.from), "%s", fields[1]);
@@ -156,18 +161,18 @@
         return "too many faults";
     }
     link_streams_update(proxy->streams);
-    say_ok();
+    print_ok();
     return NULL;
 }
 
-static const char *add_number(link_proxy_t *proxy, link_fault_t fault, char **fields, uint32_t most)
+static const char *add_rule_with_value(link_proxy_t *proxy, link_fault_t fault, char **fields, uint32_t max)
 {
-    uint32_t number;
+    uint32_t value;
 
-    if (!number_from_text(&number, fields[3]) || number > most) {
+    if (!number_from_text(&value, fields[3]) || value > max) {
         return "not a number, or out of its range";
     }
-    return add_rule(proxy, fault, fields, number);
+    return add_rule(proxy, fault, fields, value);
 }
 
 static const char *run_cut(link_proxy_t *proxy, char **fields)
@@ -182,32 +187,32 @@
 
 static const char *run_delay(link_proxy_t *proxy, char **fields)
 {
-    return add_number(proxy, LINK_DELAY, fields, INT32_MAX);
+    return add_rule_with_value(proxy, LINK_DELAY, fields, INT32_MAX);
 }
 
 static const char *run_throttle(link_proxy_t *proxy, char **fields)
 {
-    return add_number(proxy, LINK_THROTTLE, fields, INT32_MAX);
+    return add_rule_with_value(proxy, LINK_THROTTLE, fields, INT32_MAX);
 }
 
 static const char *run_lose(link_proxy_t *proxy, char **fields)
 {
-    return add_number(proxy, LINK_LOSE, fields, PERCENT_MAX);
+    return add_rule_with_value(proxy, LINK_LOSE, fields, PERCENT_MAX);
 }
 
 static const char *run_double(link_proxy_t *proxy, char **fields)
 {
-    return add_number(proxy, LINK_DOUBLE, fields, PERCENT_MAX);
+    return add_rule_with_value(proxy, LINK_DOUBLE, fields, PERCENT_MAX);
 }
 
 static const char *run_reorder(link_proxy_t *proxy, char **fields)
 {
-    return add_number(proxy, LINK_REORDER, fields, PERCENT_MAX);
+    return add_rule_with_value(proxy, LINK_REORDER, fields, PERCENT_MAX);
 }
 
 static const char *run_stall(link_proxy_t *proxy, char **fields)
 {
-    if (!link_rules_knows(&proxy->rules, fields[1]) || !link_rules_knows(&proxy->rules, fields[2])) {
+    if (!link_rules_has_match(&proxy->rules, fields[1]) || !link_rules_has_match(&proxy->rules, fields[2])) {
         return "no such end or group";
     }
     printf("ok %u\n", link_streams_stall(proxy->streams, fields[1], fields[2]));
@@ -216,7 +221,7 @@
 
 static const char *run_reset(link_proxy_t *proxy, char **fields)
 {
-    if (!link_rules_knows(&proxy->rules, fields[1]) || !link_rules_knows(&proxy->rules, fields[2])) {
+    if (!link_rules_has_match(&proxy->rules, fields[1]) || !link_rules_has_match(&proxy->rules, fields[2])) {
         return "no such end or group";
     }
     printf("ok %u\n", link_streams_reset(proxy->streams, fields[1], fields[2]));
@@ -228,7 +233,7 @@
     (void)fields;
     proxy->rules.rule_count = 0;
     link_streams_heal(proxy->streams);
-    say_ok();
+    print_ok();
     return NULL;
 }
 
@@ -261,7 +266,7 @@
     return "no such command, or not so many fields";
 }
 
-static void take_line(link_proxy_t *proxy, char *line)
+static void handle_line(link_proxy_t *proxy, char *line)
 {
     const char *reason = run_line(proxy, line);
 
@@ -285,18 +290,18 @@
     char         *end;
 
     (void)buffer;
-    if (length < 0) { /* its end, or a line that is longer than any command */
+    if (length < 0) { /* end of input, or no room: a line is longer than any command */
         uv_stop(&proxy->loop);
         return;
     }
     proxy->length += (size_t)length;
     while ((end = memchr(proxy->line, '\n', proxy->length)) != NULL) {
-        size_t taken = (size_t)(end - proxy->line) + 1;
+        size_t line_length = (size_t)(end - proxy->line) + 1;
 
         *end = '\0';
-        take_line(proxy, proxy->line);
-        proxy->length -= taken;
-        memmove(proxy->line, proxy->line + taken, proxy->length);
+        handle_line(proxy, proxy->line);
+        proxy->length -= line_length;
+        memmove(proxy->line, proxy->line + line_length, proxy->length);
     }
 }
 
