--- a/sim/lease_events.c
+++ b/sim/lease_events.c
@@ -1,6 +1,6 @@
 /**
  * @file lease_events.c
- * @brief Logical time, chance and violations.
+ * @brief Logical time with a heap of events, pseudo-random numbers, and violations.
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -8,26 +8,26 @@
 
 #include "lease_internal.h"
 
-enum { EVENTS_FIRST = 256 };
+enum { INITIAL_EVENTS = 256 };
 
 static bool comes_before(const sim_event_t *left, const sim_event_t *right)
 {
-    return left->at != right->at ? left->at < right->at : left->order < right->order;
+    return left->at != right->at ? left->at < right->at : left->sequence < right->sequence;
 }
 
-void sim_at(sim_world_t *world, cw_time_us_t at, void (*happen)(sim_world_t *world, void *data), void *data)
+void sim_schedule(sim_world_t *world, cw_time_us_t at, void (*run)(sim_world_t *world, void *data), void *data)
 {
     size_t index = world->event_count;
 
     if (world->event_count == world->event_capacity) {
-        world->event_capacity = world->event_capacity == 0 ? EVENTS_FIRST : 2 * world->event_capacity;
+        world->event_capacity = world->event_capacity == 0 ? INITIAL_EVENTS : 2 * world->event_capacity;
         world->events = realloc(world->events, world->event_capacity * sizeof(*world->events));
         if (world->events == NULL) {
             abort();
         }
     }
     world->events[world->event_count++] =
-        (sim_event_t){.at = at, .order = world->event_order++, .happen = happen, .data = data};
+        (sim_event_t){.at = at, .sequence = world->event_sequence++, .run = run, .data = data};
     while (index > 0 && comes_before(&world->events[index], &world->events[(index - 1) / 2])) {
         sim_event_t event = world->events[index];
 
@@ -74,11 +74,11 @@
     if (event.at > world->now) {
         world->now = event.at;
     }
-    event.happen(world, event.data);
+    event.run(world, event.data);
     return true;
 }
 
-/* splitmix64 */
+/* The generator splitmix64. */
 static uint64_t next_random(uint64_t *state)
 {
     uint64_t value = (*state += 0x9e3779b97f4a7c15u);
@@ -88,22 +88,22 @@
     return value ^ (value >> 31);
 }
 
-uint64_t sim_below(sim_world_t *world, uint64_t bound)
+uint64_t sim_random_below(sim_world_t *world, uint64_t bound)
 {
     return next_random(&world->random) % bound;
 }
 
-double sim_chance(sim_world_t *world)
+double sim_random_fraction(sim_world_t *world)
 {
     return (double)(next_random(&world->random) >> 11) / 9007199254740992.0;
 }
 
-bool sim_is(sim_world_t *world, double chance)
+bool sim_random_bool(sim_world_t *world, double chance)
 {
-    return sim_chance(world) < chance;
+    return sim_random_fraction(world) < chance;
 }
 
-bool sim_is_rough(const sim_world_t *world)
+bool sim_has_faults(const sim_world_t *world)
 {
     return world->now < world->settings.calm_at;
 }
--- a/sim/lease_faults.c
+++ b/sim/lease_faults.c
@@ -1,13 +1,13 @@
 /**
  * @file lease_faults.c
- * @brief Faults by chance, and the run from start to end.
+ * @brief Random faults, and the run of the simulation from start to end.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "lease_internal.h"
 
-enum { TICK_MS = 20, FAULTS_MS = 100, REQUEST_MS = 3, SETTLE_S = 14 };
+enum { TICK_INTERVAL_MS = 20, FAULTS_INTERVAL_MS = 100, REQUEST_INTERVAL_MS = 3, SETTLE_S = 14 };
 
 void cw_sim_settings_rough(cw_sim_settings_t *settings, uint64_t seed)
 {
@@ -23,27 +23,27 @@
                                     .freezes = 0.08,
                                     .cuts = 0.15,
                                     .crashes = 0.1,
-                                    .herd_kills = 0.01,
+                                    .all_node_kills = 0.01,
                                     .moves = 2.0};
 }
 
-static bool in_this_step(sim_world_t *world, double a_second)
+static bool begins_in_step(sim_world_t *world, double per_second)
 {
-    return sim_is(world, a_second * FAULTS_MS / 1000);
+    return sim_random_bool(world, per_second * FAULTS_INTERVAL_MS / 1000);
 }
 
-static uint32_t any_node(sim_world_t *world)
+static uint32_t pick_node(sim_world_t *world)
 {
     uint32_t index;
 
-    if (sim_is(world, 0.5)) { /* leaders draw faults */
+    if (sim_random_bool(world, 0.5)) { /* half of the faults strike a leader, if there is one */
         for (index = 0; index < CW_SIM_NODES; index++) {
             if (world->nodes[index].up && world->nodes[index].leadership.leading) {
                 return index;
             }
         }
     }
-    return (uint32_t)sim_below(world, CW_SIM_NODES);
+    return (uint32_t)sim_random_below(world, CW_SIM_NODES);
 }
 
 static void heal(sim_world_t *world, void *data)
@@ -58,17 +58,17 @@
 
 static void cut(sim_world_t *world)
 {
-    sim_node_t *node = &world->nodes[any_node(world)];
+    sim_node_t *node = &world->nodes[pick_node(world)];
 
-    node->cut_store = sim_is(world, 0.5);
-    node->cut_nodes = sim_is(world, 0.5);
-    node->cut_servers = (uint32_t)sim_below(world, 1u << CW_SIM_ADDRESSES);
-    sim_at(world, world->now + CW_MS(500 + sim_below(world, 7000)), heal, node);
+    node->cut_store = sim_random_bool(world, 0.5);
+    node->cut_nodes = sim_random_bool(world, 0.5);
+    node->cut_servers = (uint32_t)sim_random_below(world, 1u << CW_SIM_ADDRESSES);
+    sim_schedule(world, world->now + CW_MS(500 + sim_random_below(world, 7000)), heal, node);
 }
 
 static void kill_all(sim_world_t *world)
 {
-    cw_time_us_t down = CW_MS(200 + sim_below(world, 2000));
+    cw_time_us_t down = CW_MS(200 + sim_random_below(world, 2000));
     uint32_t     index;
 
     for (index = 0; index < CW_SIM_NODES; index++) {
@@ -76,26 +76,26 @@
     }
 }
 
-void sim_faults(sim_world_t *world)
+void sim_inject_faults(sim_world_t *world)
 {
     const cw_sim_settings_t *settings = &world->settings;
 
-    if (in_this_step(world, settings->kills)) {
-        sim_node_kill(world, any_node(world), CW_MS(100 + sim_below(world, 4000)));
+    if (begins_in_step(world, settings->kills)) {
+        sim_node_kill(world, pick_node(world), CW_MS(100 + sim_random_below(world, 4000)));
     }
-    if (in_this_step(world, settings->freezes)) {
-        world->nodes[any_node(world)].frozen_until = world->now + CW_MS(200 + sim_below(world, 6000));
+    if (begins_in_step(world, settings->freezes)) {
+        world->nodes[pick_node(world)].frozen_until = world->now + CW_MS(200 + sim_random_below(world, 6000));
     }
-    if (in_this_step(world, settings->outages)) {
-        world->store_down_until = world->now + CW_MS(500 + sim_below(world, 6500));
+    if (begins_in_step(world, settings->outages)) {
+        world->store_down_until = world->now + CW_MS(500 + sim_random_below(world, 6500));
     }
-    if (in_this_step(world, settings->crashes)) {
-        sim_server_crash(world, (uint32_t)sim_below(world, CW_SIM_ADDRESSES));
+    if (begins_in_step(world, settings->crashes)) {
+        sim_server_crash(world, (uint32_t)sim_random_below(world, CW_SIM_ADDRESSES));
     }
-    if (in_this_step(world, settings->cuts)) {
+    if (begins_in_step(world, settings->cuts)) {
         cut(world);
     }
-    if (in_this_step(world, settings->herd_kills)) {
+    if (begins_in_step(world, settings->all_node_kills)) {
         kill_all(world);
     }
 }
@@ -107,27 +107,27 @@
     sim_node_t *node = data;
 
     sim_node_tick(node);
-    sim_at(world, world->now + CW_MS(TICK_MS), on_tick, node);
+    sim_schedule(world, world->now + CW_MS(TICK_INTERVAL_MS), on_tick, node);
 }
 
 static void on_faults(sim_world_t *world, void *data)
 {
     (void)data;
-    if (sim_is_rough(world)) {
-        sim_faults(world);
-        sim_at(world, world->now + CW_MS(FAULTS_MS), on_faults, NULL);
+    if (sim_has_faults(world)) {
+        sim_inject_faults(world);
+        sim_schedule(world, world->now + CW_MS(FAULTS_INTERVAL_MS), on_faults, NULL);
     }
 }
 
 static void on_request(sim_world_t *world, void *data)
 {
-    sim_node_t *node = &world->nodes[sim_below(world, CW_SIM_NODES)];
+    sim_node_t *node = &world->nodes[sim_random_below(world, CW_SIM_NODES)];
 
     (void)data;
     if (sim_node_runs(node)) {
-        sim_request(world, node, (uint32_t)sim_below(world, CW_CELLS));
+        sim_send_request(world, node, (uint32_t)sim_random_below(world, CW_CELLS));
     }
-    sim_at(world, world->now + CW_MS(REQUEST_MS), on_request, NULL);
+    sim_schedule(world, world->now + CW_MS(REQUEST_INTERVAL_MS), on_request, NULL);
 }
 
 static void check_end(sim_world_t *world)
@@ -181,10 +181,11 @@
     sim_servers_start(world);
     for (index = 0; index < CW_SIM_NODES; index++) {
         sim_node_start(world, index);
-        sim_at(world, world->now + (cw_time_us_t)sim_below(world, CW_MS(TICK_MS)), on_tick, &world->nodes[index]);
+        sim_schedule(world, world->now + (cw_time_us_t)sim_random_below(world, CW_MS(TICK_INTERVAL_MS)), on_tick,
+                     &world->nodes[index]);
     }
-    sim_at(world, world->now + CW_SECONDS(3), on_faults, NULL);
-    sim_at(world, world->now, on_request, NULL);
+    sim_schedule(world, world->now + CW_SECONDS(3), on_faults, NULL);
+    sim_schedule(world, world->now, on_request, NULL);
     while (world->now < CW_SECONDS(1) + settings->length && sim_step(world)) {
     }
     check_end(world);
--- a/sim/lease_internal.h
+++ b/sim/lease_internal.h
@@ -1,6 +1,6 @@
 /**
  * @file lease_internal.h
- * @brief State of the simulated world.
+ * @brief State of the simulation.
  */
 #ifndef CEDARWINCH_SIM_LEASE_INTERNAL_H
 #define CEDARWINCH_SIM_LEASE_INTERNAL_H
@@ -9,39 +9,40 @@
 
 typedef struct sim_world sim_world_t;
 
-/** Something that happens at a time. */
+/** An event at a logical time. */
 typedef struct sim_event {
     cw_time_us_t at;
-    uint64_t     order; /**< of two at the same time, the one made first */
-    void (*happen)(sim_world_t *world, void *data);
+    uint64_t     sequence; /**< events at the same time run in the order of their creation */
+    void (*run)(sim_world_t *world, void *data);
     void *data;
 } sim_event_t;
 
-/** What one life of a server knows of one cell. */
+/** State of one cell at one incarnation of a server. */
 typedef struct sim_cell {
-    uint64_t     seen;  /**< highest fence */
-    uint64_t     held;  /**< fence it was granted with; 0: never */
-    cw_time_us_t since; /**< holds without a pause since */
-    cw_time_us_t until;
-    cw_time_us_t begun; /**< last request begun */
+    uint64_t     seen_fence;         /**< highest fence of all orders */
+    uint64_t     granted_fence;      /**< fence of the latest grant; 0: never granted */
+    cw_time_us_t held_since;         /**< start of the hold, which renewals extend without a gap */
+    cw_time_us_t held_until;         /**< end of the hold */
+    cw_time_us_t request_started_at; /**< start of the latest request */
 } sim_cell_t;
 
-/** A server's present life at an address. */
+/** The current incarnation of a server at an address. */
 typedef struct sim_server {
     char         id[CW_SERVER_ID_MAX];
     char         address[CW_SERVER_ADDRESS_MAX];
     bool         up;
-    bool         listed;
-    cw_time_us_t listed_until; /**< its entry goes, when it is down */
+    bool         listed;       /**< it has an entry in the store */
+    cw_time_us_t listed_until; /**< when its entry expires while it is down */
     sim_cell_t   cells[CW_CELLS];
 } sim_server_t;
 
+/** An object in the store. */
 typedef struct sim_object {
     json_t  *value;
     uint64_t revision;
 } sim_object_t;
 
-/** Table a node routes by. */
+/** Table that a node routes by. */
 typedef struct sim_table {
     uint64_t     term;
     uint64_t     number;
@@ -50,24 +51,25 @@
     cw_time_us_t valid_until;
 } sim_table_t;
 
+/** A node of the router. */
 typedef struct sim_node {
     sim_world_t    *world;
     uint32_t        index;
-    uint64_t        life; /**< calls of an earlier life bring nothing */
+    uint64_t        incarnation; /**< answers to calls of earlier incarnations are dropped */
     bool            up;
     cw_time_us_t    frozen_until;
     bool            cut_store;
     bool            cut_nodes;
-    uint32_t        cut_servers; /**< one bit an address */
+    uint32_t        cut_servers; /**< one bit for each address of a server */
     cw_leadership_t leadership;
     cw_assigner_t  *assigner;
     cw_store_port_t port;
     uint64_t        assigner_term;
-    uint64_t        number; /**< of the tables it told as a leader */
+    uint64_t        number; /**< number of the tables that it sent as a leader */
     bool            tables_due;
-    cw_time_us_t    told_at;
-    cw_time_us_t    word_at; /**< last word of a leader with authority */
-    cw_time_us_t    read_at;
+    cw_time_us_t    heartbeat_sent_at;
+    cw_time_us_t    heartbeat_at; /**< latest heartbeat of a leader with authority */
+    cw_time_us_t    read_at;      /**< latest read of the record in the store */
     cw_time_us_t    next_plan;
     sim_table_t     table;
 } sim_node_t;
@@ -80,47 +82,64 @@
     sim_event_t      *events; /**< a heap */
     size_t            event_count;
     size_t            event_capacity;
-    uint64_t          event_order;
+    uint64_t          event_sequence;
     sim_object_t      lock;
     sim_object_t      record;
     uint64_t          revision;
     cw_time_us_t      store_down_until;
     sim_node_t        nodes[CW_SIM_NODES];
     sim_server_t      servers[CW_SIM_ADDRESSES];
-    uint64_t          lives;
-    uint64_t          fences[CW_CELLS]; /**< highest taken */
-    char              fence_of[CW_CELLS][CW_SERVER_ID_MAX];
+    uint64_t          incarnations;                         /**< number of incarnations of servers so far */
+    uint64_t          fences[CW_CELLS];                     /**< highest fence of a grant that a server accepted */
+    char              fence_of[CW_CELLS][CW_SERVER_ID_MAX]; /**< the server that has it */
     cw_time_us_t      served_at[CW_CELLS];
     cw_server_list_t *list;
 };
 
 /* ---- lease_events.c ---- */
-void     sim_at(sim_world_t *world, cw_time_us_t at, void (*happen)(sim_world_t *world, void *data), void *data);
-bool     sim_step(sim_world_t *world);
-double   sim_chance(sim_world_t *world);
-uint64_t sim_below(sim_world_t *world, uint64_t bound);
-bool     sim_is(sim_world_t *world, double chance);
-bool     sim_is_rough(const sim_world_t *world);
-void     sim_violation(sim_world_t *world, const char *format, ...) __attribute__((format(printf, 2, 3)));
+/** Schedules an event. */
+void sim_schedule(sim_world_t *world, cw_time_us_t at, void (*run)(sim_world_t *world, void *data), void *data);
+/** Runs the next event; false: there is none. */
+bool sim_step(sim_world_t *world);
+/** A pseudo-random number from 0 to below 1. */
+double sim_random_fraction(sim_world_t *world);
+/** A pseudo-random number from 0 to below the bound. */
+uint64_t sim_random_below(sim_world_t *world, uint64_t bound);
+/** True with this probability. */
+bool sim_random_bool(sim_world_t *world, double chance);
+/** Whether faults still occur. */
+bool sim_has_faults(const sim_world_t *world);
+/** Records a violation. */
+void sim_violation(sim_world_t *world, const char *format, ...) __attribute__((format(printf, 2, 3)));
 
 /* ---- lease_store.c ---- */
+/** Sets the node's port to the simulated store. */
 void sim_store_port(sim_node_t *node);
 
 /* ---- lease_servers.c ---- */
+/** Starts a server at each address. */
 void sim_servers_start(sim_world_t *world);
+/** Crashes the server at an address; it restarts as another incarnation seconds later. */
 void sim_server_crash(sim_world_t *world, uint32_t address);
+/** Updates the list of servers that leaders read. */
 void sim_list_servers(sim_world_t *world);
-void sim_order(sim_node_t *node, const cw_order_t *order);
-/** A request for a cell comes from a node. */
-void sim_request(sim_world_t *world, sim_node_t *node, uint32_t cell);
+/** Sends an order of a node's assigner to a server. */
+void sim_send_order(sim_node_t *node, const cw_order_t *order);
+/** A node routes a request for a cell. */
+void sim_send_request(sim_world_t *world, sim_node_t *node, uint32_t cell);
 
 /* ---- lease_nodes.c ---- */
+/** Starts a node without any state. */
 void sim_node_start(sim_world_t *world, uint32_t index);
+/** Kills a node, which restarts after the time `down`. */
 void sim_node_kill(sim_world_t *world, uint32_t index, cw_time_us_t down);
+/** Runs the periodic work of a node. */
 void sim_node_tick(sim_node_t *node);
+/** Whether a node is neither down nor frozen. */
 bool sim_node_runs(const sim_node_t *node);
 
 /* ---- lease_faults.c ---- */
-void sim_faults(sim_world_t *world);
+/** Draws the faults that begin in this step. */
+void sim_inject_faults(sim_world_t *world);
 
 #endif
--- a/sim/lease_nodes.c
+++ b/sim/lease_nodes.c
@@ -1,6 +1,7 @@
 /**
  * @file lease_nodes.c
- * @brief Nodes: each follows or leads with the router's own state machines, and routes by what leaders tell.
+ * @brief Model of nodes: each follows or leads by the router's own state machines, and routes by the tables that
+ * leaders send.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,25 +10,25 @@
 #include "lease_internal.h"
 
 enum {
-    WORD_EVERY_MS = 150,
-    WORD_OLD_MS = 900,
+    HEARTBEAT_INTERVAL_MS = 150,
+    HEARTBEAT_TIMEOUT_MS = 900,
     TABLE_VALID_MS = 4000,
-    READ_EVERY_MS = 700,
-    PLAN_EVERY_MS = 300,
+    READ_INTERVAL_MS = 700,
+    PLAN_INTERVAL_MS = 300,
     LINK_US = 300,
     LINK_SPREAD_US = 1500,
-    LOST_MS = 1200
+    SERVER_LOST_MS = 1200
 };
 
-/** A leader's heartbeat on its way to one node. */
+/** A leader's heartbeat with its table, on its way to one node. */
 typedef struct sim_word {
     sim_node_t *to;
-    uint64_t    life;
+    uint64_t    incarnation;
     uint64_t    term;
     uint64_t    revision;
-    bool        able;
+    bool        has_authority;
     sim_table_t table;
-} sim_word_t;
+} sim_heartbeat_t;
 
 bool sim_node_runs(const sim_node_t *node)
 {
@@ -38,10 +39,10 @@
 
 static void send_order(void *context, const cw_order_t *order)
 {
-    sim_order(context, order);
+    sim_send_order(context, order);
 }
 
-static void tables_changed(void *context)
+static void on_tables_changed(void *context)
 {
     sim_node_t *node = context;
 
@@ -49,7 +50,8 @@
     node->tables_due = true;
 }
 
-static void note(void *context, const char *service, const char *event, const cw_range_t *range, const char *detail)
+static void log_decision(void *context, const char *service, const char *event, const cw_range_t *range,
+                         const char *detail)
 {
     const sim_node_t *node = context;
 
@@ -61,7 +63,7 @@
     }
 }
 
-static void end_assigner(sim_node_t *node)
+static void free_assigner(sim_node_t *node)
 {
     if (node->assigner != NULL) {
         cw_assigner_free(node->assigner);
@@ -69,7 +71,7 @@
     }
 }
 
-static void begin_assigner(sim_node_t *node)
+static void create_assigner(sim_node_t *node)
 {
     cw_assigner_settings_t settings = {.hold = CW_MS(5000),
                                        .hold_most = CW_MS(8000),
@@ -80,9 +82,9 @@
                                        .late_orders = CW_SECONDS(13),
                                        .table_valid = CW_MS(TABLE_VALID_MS)};
     cw_assigner_ports_t    ports = {
-           .context = node, .store = &node->port, .order = send_order, .changed = tables_changed, .note = note};
+           .context = node, .store = &node->port, .order = send_order, .changed = on_tables_changed, .note = log_decision};
 
-    end_assigner(node);
+    free_assigner(node);
     node->assigner_term = node->leadership.lock.term;
     node->assigner =
         cw_assigner_create("service", node->assigner_term, node->leadership.settings.incarnation, &settings, &ports);
@@ -100,9 +102,9 @@
 
     cw_leadership_replied(&node->leadership, reply, node->world->now);
     if (node->leadership.leading && (!before || node->leadership.lock.term != term)) {
-        begin_assigner(node);
+        create_assigner(node);
     } else if (before && !node->leadership.leading) {
-        end_assigner(node);
+        free_assigner(node);
     }
 }
 
@@ -127,9 +129,9 @@
     json_decref(value);
 }
 
-/* ---- plans: forced moves as the planner makes them, and moves at random in place of balance ---- */
+/* ---- plans: forced moves as the planner makes them, and random moves instead of those for balance ---- */
 
-static const cw_server_entry_t *any_server(sim_node_t *node, const char *except)
+static const cw_server_entry_t *pick_server(sim_node_t *node, const char *except)
 {
     const cw_server_list_t *list = node->world->list;
     size_t                  start;
@@ -138,7 +140,7 @@
     if (list->count == 0) {
         return NULL;
     }
-    start = sim_below(node->world, list->count);
+    start = sim_random_below(node->world, list->count);
     for (index = 0; index < list->count; index++) {
         const cw_server_entry_t *entry = &list->entries[(start + index) % list->count];
 
@@ -160,7 +162,7 @@
         return range->hold_until <= now && cw_server_list_find(node->world->list, range->owner.id) == NULL;
     }
     return cw_server_list_find(node->world->list, range->owner.id) == NULL ||
-           (range->failing_since != 0 && now - range->failing_since > CW_MS(LOST_MS));
+           (range->failing_since != 0 && now - range->failing_since > CW_MS(SERVER_LOST_MS));
 }
 
 static void plan_moves(sim_node_t *node)
@@ -171,17 +173,17 @@
 
     for (index = 0; index < ranges->count; index++) {
         const cw_range_t        *range = &ranges->items[index];
-        const cw_server_entry_t *to = any_server(node, range->owner.id);
+        const cw_server_entry_t *to = pick_server(node, range->owner.id);
 
         if (to != NULL && must_move(node, range) &&
             (!unreachable || cw_server_list_find(node->world->list, range->owner.id) == NULL)) {
             cw_assigner_plan_move(node->assigner, range->low, range->last, to, node->world->list);
         }
     }
-    if (sim_is(node->world, node->world->settings.moves * PLAN_EVERY_MS / 1000)) {
-        uint32_t                 cell = (uint32_t)sim_below(node->world, CW_CELLS);
+    if (sim_random_bool(node->world, node->world->settings.moves * PLAN_INTERVAL_MS / 1000)) {
+        uint32_t                 cell = (uint32_t)sim_random_below(node->world, CW_CELLS);
         const cw_range_t        *range = cw_range_list_find(ranges, cell * CW_CELL_KEYS);
-        const cw_server_entry_t *to = any_server(node, range->owner.id);
+        const cw_server_entry_t *to = pick_server(node, range->owner.id);
 
         if (to != NULL && cw_assigner_is_settled(node->assigner, range, node->world->now)) {
             cw_assigner_plan_move(node->assigner, cell * CW_CELL_KEYS, (cell + 1) * CW_CELL_KEYS - 1, to,
@@ -189,8 +191,8 @@
             node->world->result->moves++;
         }
     }
-    if (sim_is(node->world, 0.1)) {
-        (void)cw_assigner_plan_merge(node->assigner, (uint32_t)sim_below(node->world, CW_CELLS) * CW_CELL_KEYS);
+    if (sim_random_bool(node->world, 0.1)) {
+        (void)cw_assigner_plan_merge(node->assigner, (uint32_t)sim_random_below(node->world, CW_CELLS) * CW_CELL_KEYS);
     }
     if (cw_assigner_is_stale(node->assigner, node->world->now)) {
         cw_assigner_plan_refresh(node->assigner);
@@ -206,20 +208,21 @@
     if (node->world->now < node->next_plan || !cw_assigner_may_plan(node->assigner)) {
         return;
     }
-    node->next_plan = node->world->now + CW_MS(PLAN_EVERY_MS);
+    node->next_plan = node->world->now + CW_MS(PLAN_INTERVAL_MS);
     if (cw_assigner_state(node->assigner) == CW_ASSIGNER_EMPTY) {
         for (index = 0; index < node->world->list->count && index < CW_SIM_ADDRESSES - 2; index++) {
             entries[index] = &node->world->list->entries[index];
         }
-        cw_assigner_plan_first(node->assigner, entries, index, node->world->now); /* four parts: cells stay whole */
+        cw_assigner_plan_first(node->assigner, entries, index,
+                               node->world->now); /* four ranges, so that their bounds are bounds of cells */
         return;
     }
     plan_moves(node);
 }
 
-/* ---- what leaders tell ---- */
+/* ---- heartbeats and tables of leaders ---- */
 
-static void set_table(sim_table_t *table, const cw_range_list_t *ranges, bool by_record)
+static void set_table(sim_table_t *table, const cw_range_list_t *ranges, bool is_from_record)
 {
     uint32_t cell;
 
@@ -227,7 +230,7 @@
         const cw_range_t *range = cw_range_list_find(ranges, cell * CW_CELL_KEYS);
 
         snprintf(table->owner[cell], sizeof(table->owner[cell]), "%s", range == NULL ? "" : range->owner.id);
-        if (by_record) {
+        if (is_from_record) {
             table->routable[cell] = range != NULL && range->former.id[0] == '\0';
         } else {
             table->routable[cell] = range != NULL && cw_range_is_routable(range);
@@ -235,66 +238,69 @@
     }
 }
 
-static void hear_word(sim_world_t *world, void *data)
+static void receive_heartbeat(sim_world_t *world, void *data)
 {
-    sim_word_t *word = data;
-    sim_node_t *node = word->to;
-
-    if (sim_node_runs(node) && node->life == word->life) {
-        cw_leadership_receive_heartbeat(&node->leadership, word->term, word->revision, word->able, world->now);
-        if (word->able && !node->leadership.leading &&
-            (word->term > node->table.term ||
-             (word->term == node->table.term && word->table.number >= node->table.number))) {
-            node->table = word->table;
-            node->table.term = word->term;
+    sim_heartbeat_t *heartbeat = data;
+    sim_node_t      *node = heartbeat->to;
+
+    if (sim_node_runs(node) && node->incarnation == heartbeat->incarnation) {
+        cw_leadership_receive_heartbeat(&node->leadership, heartbeat->term, heartbeat->revision,
+                                        heartbeat->has_authority, world->now);
+        if (heartbeat->has_authority && !node->leadership.leading &&
+            (heartbeat->term > node->table.term ||
+             (heartbeat->term == node->table.term && heartbeat->table.number >= node->table.number))) {
+            node->table = heartbeat->table;
+            node->table.term = heartbeat->term;
             node->table.valid_until = world->now + CW_MS(TABLE_VALID_MS);
-            node->word_at = world->now;
+            node->heartbeat_at = world->now;
         }
     }
-    free(word);
+    free(heartbeat);
 }
 
-static void tell_others(sim_node_t *node, bool able)
+static void send_heartbeats(sim_node_t *node, bool has_authority)
 {
     sim_world_t *world = node->world;
     uint32_t     index;
 
     if (cw_assigner_state(node->assigner) != CW_ASSIGNER_READY ||
-        (!node->tables_due && world->now - node->told_at < CW_MS(WORD_EVERY_MS))) {
+        (!node->tables_due && world->now - node->heartbeat_sent_at < CW_MS(HEARTBEAT_INTERVAL_MS))) {
         return;
     }
-    node->told_at = world->now;
+    node->heartbeat_sent_at = world->now;
     node->tables_due = false;
-    if (able) {
+    if (has_authority) {
         set_table(&node->table, cw_assigner_ranges(node->assigner), false);
         node->table.term = node->assigner_term;
         node->table.number = node->number;
         node->table.valid_until = world->now + CW_MS(TABLE_VALID_MS);
-        node->word_at = world->now;
+        node->heartbeat_at = world->now;
     }
     for (index = 0; index < CW_SIM_NODES; index++) {
-        sim_node_t *to = &world->nodes[index];
-        sim_word_t *word;
+        sim_node_t      *to = &world->nodes[index];
+        sim_heartbeat_t *heartbeat;
 
-        if (to == node || !to->up || node->cut_nodes || to->cut_nodes || sim_is(world, 0.05)) {
+        if (to == node || !to->up || node->cut_nodes || to->cut_nodes || sim_random_bool(world, 0.05)) {
             continue;
         }
-        word = calloc(1, sizeof(*word));
-        if (word == NULL) {
+        heartbeat = calloc(1, sizeof(*heartbeat));
+        if (heartbeat == NULL) {
             abort();
         }
-        word->to = to;
-        word->life = to->life;
-        word->term = node->assigner_term;
-        word->revision = node->leadership.revision;
-        word->able = able;
-        word->table = node->table;
-        sim_at(world, world->now + (cw_time_us_t)(LINK_US + sim_below(world, LINK_SPREAD_US)), hear_word, word);
+        heartbeat->to = to;
+        heartbeat->incarnation = to->incarnation;
+        heartbeat->term = node->assigner_term;
+        heartbeat->revision = node->leadership.revision;
+        heartbeat->has_authority = has_authority;
+        heartbeat->table = node->table;
+        sim_schedule(world, world->now + (cw_time_us_t)(LINK_US + sim_random_below(world, LINK_SPREAD_US)),
+                     receive_heartbeat, heartbeat);
     }
 }
 
-/* ---- a node without a leader's heartbeat reads the record ---- */
+/* ---- reads of the record by nodes that receive no heartbeat of a leader ---- */
 
+/** A read of the record. */
 typedef struct sim_read {
     sim_node_t  *node;
     cw_time_us_t sent_at;
@@ -306,7 +312,7 @@
     sim_node_t            *node = read->node;
     cw_assignment_record_t record;
 
-    if (reply->result == CW_STORE_DONE && !node->leadership.leading && node->word_at < read->sent_at &&
+    if (reply->result == CW_STORE_DONE && !node->leadership.leading && node->heartbeat_at < read->sent_at &&
         cw_assignment_record_from_json(&record, reply->value)) {
         set_table(&node->table, &record.ranges, true);
         node->table.number = 0;
@@ -320,8 +326,8 @@
 {
     sim_read_t *read;
 
-    if (node->world->now - node->word_at < CW_MS(WORD_OLD_MS) ||
-        node->world->now - node->read_at < CW_MS(READ_EVERY_MS)) {
+    if (node->world->now - node->heartbeat_at < CW_MS(HEARTBEAT_TIMEOUT_MS) ||
+        node->world->now - node->read_at < CW_MS(READ_INTERVAL_MS)) {
         return;
     }
     read = malloc(sizeof(*read));
@@ -334,28 +340,28 @@
     node->port.read(node->port.context, "assignments", "service", on_record, read);
 }
 
-/* ---- life ---- */
+/* ---- starts, kills and ticks ---- */
 
 void sim_node_start(sim_world_t *world, uint32_t index)
 {
     sim_node_t              *node = &world->nodes[index];
     cw_leadership_settings_t settings = {
         .hold = CW_MS(3000), .renew_every = CW_MS(750), .heartbeat_timeout = CW_MS(900), .read_every = CW_MS(400)};
-    uint64_t life = node->life + 1;
+    uint64_t incarnation = node->incarnation + 1;
 
     memset(node, 0, sizeof(*node));
     node->world = world;
     node->index = index;
-    node->life = life;
+    node->incarnation = incarnation;
     node->up = true;
     sim_store_port(node);
     snprintf(settings.node, sizeof(settings.node), "n%u", index);
     snprintf(settings.address, sizeof(settings.address), "10.1.0.%u", index);
-    settings.incarnation = life * 1000 + index + 1;
+    settings.incarnation = incarnation * 1000 + index + 1;
     cw_leadership_init(&node->leadership, &settings, world->now);
 }
 
-static void start_again(sim_world_t *world, void *data)
+static void restart_node(sim_world_t *world, void *data)
 {
     sim_node_t *node = data;
 
@@ -370,28 +376,29 @@
         return;
     }
     node->up = false;
-    node->life++;
-    node->assigner = NULL; /* its memory is gone; what a call under way holds is left to it */
-    sim_at(world, world->now + down, start_again, node);
+    node->incarnation++;
+    node->assigner = NULL; /* not freed: calls in flight still refer to it */
+    sim_schedule(world, world->now + down, restart_node, node);
 }
 
 void sim_node_tick(sim_node_t *node)
 {
-    bool able;
+    bool has_authority;
 
     if (!sim_node_runs(node)) {
         return;
     }
     step_lock(node);
-    able = cw_leadership_has_authority(&node->leadership, node->world->now);
+    has_authority = cw_leadership_has_authority(&node->leadership, node->world->now);
     if (node->assigner != NULL) {
-        if (able) {
+        if (has_authority) {
             plan(node);
         }
-        cw_assigner_tick(node->assigner, node->world->list, able, node->leadership.failures > 0, node->world->now);
-        tell_others(node, able);
+        cw_assigner_tick(node->assigner, node->world->list, has_authority, node->leadership.failures > 0,
+                         node->world->now);
+        send_heartbeats(node, has_authority);
     }
-    if (!able) {
+    if (!has_authority) {
         read_record(node);
     }
 }
--- a/sim/lease_store.c
+++ b/sim/lease_store.c
@@ -1,6 +1,6 @@
 /**
  * @file lease_store.c
- * @brief The store: conditional writes that may be answered, lost, or done seconds later.
+ * @brief Model of the store: conditional writes whose answers may be lost, and which may be done seconds later.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -11,9 +11,10 @@
 
 typedef enum sim_call_kind { SIM_READ, SIM_CREATE, SIM_REPLACE } sim_call_kind_t;
 
+/** A call of a node to the store. */
 typedef struct sim_call {
     sim_node_t        *node;
-    uint64_t           life;
+    uint64_t           incarnation;
     sim_call_kind_t    kind;
     sim_object_t      *object;
     uint64_t           revision;
@@ -21,73 +22,73 @@
     cw_store_replied_t replied;
     void              *data;
     cw_store_result_t  result;
-    uint64_t           told_revision;
-    json_t            *told;
+    uint64_t           reply_revision;
+    json_t            *reply_value;
 } sim_call_t;
 
 static void free_call(sim_call_t *call)
 {
     json_decref(call->value);
-    json_decref(call->told);
+    json_decref(call->reply_value);
     free(call);
 }
 
-static void answer(sim_world_t *world, void *data)
+static void deliver_answer(sim_world_t *world, void *data)
 {
     sim_call_t      *call = data;
     sim_node_t      *node = call->node;
-    cw_store_reply_t reply = {.result = call->result, .revision = call->told_revision, .value = call->told};
+    cw_store_reply_t reply = {.result = call->result, .revision = call->reply_revision, .value = call->reply_value};
 
-    if (node->life != call->life || !node->up) {
+    if (node->incarnation != call->incarnation || !node->up) {
         free_call(call);
         return;
     }
-    if (node->frozen_until > world->now) { /* taken when it wakes */
-        sim_at(world, node->frozen_until, answer, call);
+    if (node->frozen_until > world->now) { /* the node receives the answer at the end of the freeze */
+        sim_schedule(world, node->frozen_until, deliver_answer, call);
         return;
     }
     call->replied(call->data, &reply);
     free_call(call);
 }
 
-/* The call reaches the store: what it does there. */
-static void take_effect(sim_world_t *world, sim_call_t *call)
+/* Carries a call out in the store, and sets its result. */
+static void apply_call(sim_world_t *world, sim_call_t *call)
 {
     sim_object_t *object = call->object;
-    bool          fits =
+    bool          condition_holds =
         call->kind == SIM_CREATE ? object->value == NULL : object->value != NULL && object->revision == call->revision;
 
     call->result = CW_STORE_DONE;
     if (call->kind == SIM_READ) {
         call->result = object->value == NULL ? CW_STORE_NOT_FOUND : CW_STORE_DONE;
-    } else if (fits) {
+    } else if (condition_holds) {
         json_decref(object->value);
         object->value = json_deep_copy(call->value);
         object->revision = ++world->revision;
     } else {
         call->result = object->value == NULL ? CW_STORE_NOT_FOUND : CW_STORE_CONFLICT;
     }
-    call->told_revision = object->revision;
-    json_decref(call->told);
-    call->told = json_deep_copy(object->value);
+    call->reply_revision = object->revision;
+    json_decref(call->reply_value);
+    call->reply_value = json_deep_copy(object->value);
 }
 
-/* Done although the caller was told nothing. */
-static void take_effect_late(sim_world_t *world, void *data)
+/* Carries a call out whose caller has got no answer. */
+static void apply_late_call(sim_world_t *world, void *data)
 {
     sim_call_t *call = data;
 
-    take_effect(world, call);
+    apply_call(world, call);
     free_call(call);
 }
 
-static void tell_nothing(sim_world_t *world, sim_call_t *call)
+static void leave_unanswered(sim_world_t *world, sim_call_t *call)
 {
     call->result = CW_STORE_UNKNOWN;
-    call->told_revision = 0;
-    json_decref(call->told);
-    call->told = NULL;
-    sim_at(world, world->now + CW_MS(TIMEOUT_MS), answer, call);
+    call->reply_revision = 0;
+    json_decref(call->reply_value);
+    call->reply_value = NULL;
+    sim_schedule(world, world->now + CW_MS(TIMEOUT_MS), deliver_answer, call);
 }
 
 static sim_call_t *copy_call(const sim_call_t *call)
@@ -99,41 +100,42 @@
     }
     *copy = *call;
     copy->value = json_deep_copy(call->value);
-    copy->told = NULL;
+    copy->reply_value = NULL;
     return copy;
 }
 
-static void arrive(sim_world_t *world, void *data)
+static void on_call_arrived(sim_world_t *world, void *data)
 {
     sim_call_t *call = data;
     bool        is_write = call->kind != SIM_READ;
-    bool        rough = sim_is_rough(world);
+    bool        has_faults = sim_has_faults(world);
 
     if (call->node->cut_store || world->store_down_until > world->now) {
-        if (sim_is(world, 0.5)) {
-            tell_nothing(world, call);
+        if (sim_random_bool(world, 0.5)) {
+            leave_unanswered(world, call);
             return;
         }
         call->result = CW_STORE_REFUSED;
-        sim_at(world, world->now + ANSWER_US, answer, call);
+        sim_schedule(world, world->now + ANSWER_US, deliver_answer, call);
         return;
     }
-    if (is_write && rough && sim_is(world, world->settings.store_late)) {
-        sim_at(world, world->now + CW_MS(LATE_FIRST_MS + sim_below(world, LATE_SPREAD_MS)), take_effect_late,
-               copy_call(call));
-        tell_nothing(world, call);
+    if (is_write && has_faults && sim_random_bool(world, world->settings.store_late)) {
+        sim_schedule(world, world->now + CW_MS(LATE_FIRST_MS + sim_random_below(world, LATE_SPREAD_MS)),
+                     apply_late_call, copy_call(call));
+        leave_unanswered(world, call);
         return;
     }
-    take_effect(world, call);
-    if (is_write && rough && sim_is(world, world->settings.store_lost)) {
-        tell_nothing(world, call);
+    apply_call(world, call);
+    if (is_write && has_faults && sim_random_bool(world, world->settings.store_lost)) {
+        leave_unanswered(world, call);
         return;
     }
-    sim_at(world, world->now + ANSWER_US + (cw_time_us_t)sim_below(world, ANSWER_SPREAD_US), answer, call);
+    sim_schedule(world, world->now + ANSWER_US + (cw_time_us_t)sim_random_below(world, ANSWER_SPREAD_US),
+                 deliver_answer, call);
 }
 
-static void start(sim_node_t *node, sim_call_kind_t kind, const char *object_kind, uint64_t revision, json_t *value,
-                  cw_store_replied_t replied, void *data)
+static void start_call(sim_node_t *node, sim_call_kind_t kind, const char *object_kind, uint64_t revision,
+                       json_t *value, cw_store_replied_t replied, void *data)
 {
     sim_world_t *world = node->world;
     sim_call_t  *call = calloc(1, sizeof(*call));
@@ -142,34 +144,35 @@
         abort();
     }
     call->node = node;
-    call->life = node->life;
+    call->incarnation = node->incarnation;
     call->kind = kind;
     call->object = strcmp(object_kind, "leaders") == 0 ? &world->lock : &world->record;
     call->revision = revision;
     call->value = json_deep_copy(value);
     call->replied = replied;
     call->data = data;
-    sim_at(world, world->now + ANSWER_US + (cw_time_us_t)sim_below(world, ANSWER_SPREAD_US), arrive, call);
+    sim_schedule(world, world->now + ANSWER_US + (cw_time_us_t)sim_random_below(world, ANSWER_SPREAD_US),
+                 on_call_arrived, call);
 }
 
 static void read_object(void *context, const char *kind, const char *name, cw_store_replied_t replied, void *data)
 {
     (void)name;
-    start(context, SIM_READ, kind, 0, NULL, replied, data);
+    start_call(context, SIM_READ, kind, 0, NULL, replied, data);
 }
 
 static void create_object(void *context, const char *kind, const char *name, json_t *value, cw_store_replied_t replied,
                           void *data)
 {
     (void)name;
-    start(context, SIM_CREATE, kind, 0, value, replied, data);
+    start_call(context, SIM_CREATE, kind, 0, value, replied, data);
 }
 
 static void replace_object(void *context, const char *kind, const char *name, uint64_t revision, json_t *value,
                            cw_store_replied_t replied, void *data)
 {
     (void)name;
-    start(context, SIM_REPLACE, kind, revision, value, replied, data);
+    start_call(context, SIM_REPLACE, kind, revision, value, replied, data);
 }
 
 void sim_store_port(sim_node_t *node)
--- a/sim/lease_world.h
+++ b/sim/lease_world.h
@@ -1,12 +1,14 @@
 /**
  * @file lease_world.h
- * @brief Deterministic simulation of leadership, assignments and grants: the router's own state machines over a model
- *        of the store, the servers and the links between them, in logical time.
+ * @brief Deterministic simulation of leadership, assignments and grants: runs the router's own state machines with a
+ *        model of the store, the servers and the links between them, in logical time.
  *
- * Keys are taken in cells: CW_CELLS equal parts of the key space; moves begin and end at cells. Checked at each request
- * that a server begins: no other server that holds the cell at the same time has begun one during that time. Checked at
- * each grant taken: its fence is above all fences with which other servers had the cell. Checked at the end: the record
- * in the store is whole, and all cells are served again.
+ * The key space is divided into CW_CELLS equal cells; moves begin and end at bounds of cells. The simulation checks
+ *
+ *  - at each request that a server begins: no other server that holds the cell at the same time has begun a request on
+ *    it since both hold it,
+ *  - at each grant that a server accepts: its fence is above all fences with which other servers held the cell,
+ *  - at the end: the assignment record in the store covers all keys, and all cells are served again.
  */
 #ifndef CEDARWINCH_SIM_LEASE_WORLD_H
 #define CEDARWINCH_SIM_LEASE_WORLD_H
@@ -15,45 +17,48 @@
 #include "lease/leadership.h"
 
 enum {
-    CW_CELLS = 32,
+    CW_CELLS = 32, /**< parts of the key space */
     CW_CELL_KEYS = (CW_KEY_LAST + 1) / CW_CELLS,
     CW_SIM_NODES = 5,
     CW_SIM_ADDRESSES = 6,
     CW_SIM_VIOLATIONS_MAX = 8
 };
 
-/** How often faults come; chances are for one call or one second, as named. */
+/** Length of a run and frequency of faults: probabilities of a call, or rates per second. */
 typedef struct cw_sim_settings {
     uint64_t     seed;
-    cw_time_us_t length;
-    cw_time_us_t calm_at;    /**< no faults from here on */
-    double       store_lost; /**< of writes: done, not answered */
-    double       store_late; /**< of writes: done 1 to 6 s later, not answered */
-    double       order_lost; /**< of orders: carried out, not answered */
-    double       order_late; /**< of orders: carried out 2 to 12 s later, not answered */
-    double       outages;    /**< of the store, a second */
-    double       kills;      /**< of a node, a second */
-    double       freezes;    /**< of a node, a second */
-    double       cuts;       /**< of a node from the store, from servers or from nodes, a second */
-    double       crashes;    /**< of a server, a second */
-    double       herd_kills; /**< of all nodes at once, a second */
-    double       moves;      /**< of cells at random, a second */
-    bool         trace;
+    cw_time_us_t length;         /**< duration of the run */
+    cw_time_us_t calm_at;        /**< no faults from this time on */
+    double       store_lost;     /**< probability that a write is done and not answered */
+    double       store_late;     /**< probability that a write is done 1 to 6 s later and not answered */
+    double       order_lost;     /**< probability that an order is carried out and not answered */
+    double       order_late;     /**< probability that an order is carried out 2 to 12 s later and not answered */
+    double       outages;        /**< outages of the store per second */
+    double       kills;          /**< kills of a node per second */
+    double       freezes;        /**< freezes of a node per second */
+    double       cuts;           /**< cuts of a node from the store, from servers or from nodes, per second */
+    double       crashes;        /**< crashes of a server per second */
+    double       all_node_kills; /**< kills of all nodes at once per second */
+    double       moves;          /**< moves of a random cell per second */
+    bool         trace;          /**< print each decision of a leader's assigner */
 } cw_sim_settings_t;
 
+/** Counts and violations of a run. */
 typedef struct cw_sim_result {
-    uint64_t requests;    /**< begun by servers */
-    uint64_t turned_away; /**< by servers that did not hold the key */
-    uint64_t unrouted;    /**< no table, or the owner is moving */
-    uint64_t grants;
-    uint64_t moves;
-    uint64_t leaders; /**< changes of leadership */
+    uint64_t requests;    /**< requests that servers began */
+    uint64_t turned_away; /**< requests rejected by servers that did not hold the cell */
+    uint64_t unrouted;    /**< requests that a node did not route: no valid table, or the cell is being moved */
+    uint64_t grants;      /**< grants that servers accepted */
+    uint64_t moves;       /**< random moves */
+    uint64_t leaders;     /**< changes of leadership */
     uint32_t violations;
     char     violation[CW_SIM_VIOLATIONS_MAX][160];
-    bool     served_at_end; /**< every cell, in the last seconds */
+    bool     served_at_end; /**< each cell has been served in the last seconds */
 } cw_sim_result_t;
 
+/** Sets the usual frequencies of faults. */
 void cw_sim_settings_rough(cw_sim_settings_t *settings, uint64_t seed);
+/** Runs the simulation; runs with equal settings are equal. */
 void cw_sim_run(const cw_sim_settings_t *settings, cw_sim_result_t *result);
 
 #endif
--- a/sim/main.c
+++ b/sim/main.c
@@ -1,6 +1,6 @@
 /**
- * @file main_lease.c
- * @brief Command line of the lease simulator: many seeds, one line for each that shows a violation.
+ * @file main.c
+ * @brief Command line of the lease simulator: runs a range of seeds and prints one line for each.
  *
  * Exit codes: 0 no violation, 1 violations, 2 wrong command line.
  */
@@ -10,7 +10,7 @@
 
 #include "lease_world.h"
 
-enum { EXIT_VIOLATIONS = 1, EXIT_WRONG_INPUT = 2, ERRORS_MAX = 10 };
+enum { EXIT_VIOLATIONS = 1, EXIT_INVALID_ARGUMENTS = 2, ERRORS_MAX = 10 };
 
 static void print_result(uint64_t seed, const cw_sim_result_t *result)
 {
@@ -30,7 +30,7 @@
 static int run(uint64_t first, uint64_t seeds, bool quiet, bool trace)
 {
     uint64_t seed;
-    uint64_t bad = 0;
+    uint64_t failed = 0;
 
     for (seed = first; seed < first + seeds; seed++) {
         cw_sim_settings_t settings;
@@ -39,14 +39,14 @@
         cw_sim_settings_rough(&settings, seed);
         settings.trace = trace;
         cw_sim_run(&settings, &result);
-        bad += result.violations > 0 || !result.served_at_end ? 1 : 0;
+        failed += result.violations > 0 || !result.served_at_end ? 1 : 0;
         if (!quiet || result.violations > 0 || !result.served_at_end) {
             print_result(seed, &result);
         }
     }
     printf("%llu seeds, %llu with a violation or not served at the end\n", (unsigned long long)seeds,
-           (unsigned long long)bad);
-    return bad == 0 ? EXIT_SUCCESS : EXIT_VIOLATIONS;
+           (unsigned long long)failed);
+    return failed == 0 ? EXIT_SUCCESS : EXIT_VIOLATIONS;
 }
 
 int main(int argument_count, char **arguments)
@@ -68,7 +68,7 @@
         code = EXIT_SUCCESS;
     } else if (errors > 0) {
         arg_print_errors(stderr, end, "cw-lease");
-        code = EXIT_WRONG_INPUT;
+        code = EXIT_INVALID_ARGUMENTS;
     } else {
         code = run(first->count > 0 ? (uint64_t)first->ival[0] : 1, seeds->count > 0 ? (uint64_t)seeds->ival[0] : 1,
                    quiet->count > 0, trace->count > 0);
