--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Regression bounds on counts and on ratios within one run, over the stand-ins: three nodes, nine servers, 1,500 requests.
-# Absolute speeds are measured on the users' bench (docs/MEASUREMENTS.md), not here.
+# Checks counts and ratios of one run with the stand-ins (three nodes, nine servers, 1,500 requests) against upper bounds, to
+# detect regressions. Absolute speeds are not measured here, but on the users' bench (docs/MEASUREMENTS.md).
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
 failed=0
-bound() { # NAME VALUE MOST
+bound() { # NAME VALUE MAX: checks and prints one value
     local verdict=held
     awk -v v="$2" -v m="$3" 'BEGIN {exit !(v <= m)}' || { verdict=BROKEN; failed=1; }
     printf '%-52s %10s   at most %-8s %s\n' "$1" "$2" "$3" "$verdict"
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,18 +1,19 @@
 #!/usr/bin/env bash
-# Starts nodes, servers and a store on loopback addresses of their own, for the demo, the benchmark and process tests.
-# To be sourced. Everything it starts is ended, by its process id, when the shell ends.
+# Functions that start nodes, servers and a store on loopback addresses of their own, for the demo, the benchmark and process
+# tests. This file is sourced. All processes that it has started are killed by their process ids when the shell ends.
 #
-#   cluster_start NODES            the store and that many nodes, in zones z1, z2, z3 (CLUSTER_ZONES: how many zones)
-#   cluster_server NAME ARGS...    one server (cw-server's arguments); its id in SERVER_PIDS[NAME]
-#   cluster_configure FILE         writes config/main
-#   cluster_wait_ready             until each node says it is ready
-#   cluster_callers NAME ARGS...   callers; records go to $WORK/callers-NAME.json
-#   cluster_check                  checks all records; its verdict on standard output
+#   cluster_start NODES            starts the store and so many nodes, in zones z1, z2, z3 (CLUSTER_ZONES: number of zones)
+#   cluster_server NAME ARGS...    starts a server (cw-server) with these arguments; sets its process id in SERVER_PIDS[NAME]
+#   cluster_configure JSON         writes the configuration to the store's object config/main
+#   cluster_wait_ready             waits until each node is ready
+#   cluster_callers NAME ARGS...   runs callers (cw-callers); their records go to $WORK/callers-NAME.json
+#   cluster_check                  checks all records, and prints the findings (cw-verdict)
 #
-# With LINKED=1 a proxy (cw-link) lies between the nodes, from nodes and servers to the store, and from nodes to servers:
-#   link FAULT...                  one of its commands, in force when it returns; LINK_REPLY has what it answered
-# Its ends are n1, n2 ... (nodes), the servers' names, "store" and "callers"; the group of nodes and servers is what
-# group_of gives for their zone: the zone itself, unless a test sets another function.
+# With LINKED=1 a proxy (cw-link) forwards datagrams between nodes, and connections from nodes and servers to the store and
+# from nodes to servers:
+#   link COMMAND...                sends a command to the proxy and waits until it is in force; sets LINK_REPLY to the answer
+# The ends of links are n1, n2 ... (nodes), the names of servers, "store" and "callers". The group of a node or server is the
+# output of group_of for its zone: the zone itself, unless a test defines another function.
 set -u
 BUILD=${BUILD:-build}
 WORK=$(mktemp -d)
@@ -29,10 +30,11 @@
 }
 trap cluster_end EXIT
 
-# Waits until a command succeeds; the runner's time limit ends a wait for what never comes.
+# Waits until a command succeeds. There is no timeout of its own: the time limit of the test runner ends a wait in vain.
 until_true() { until "$@" >/dev/null 2>&1; do sleep 0.05; done; }
 
-# Each node has an endpoint of its own to the store, beside the first one, where STORE_ENDPOINTS gives the number of all endpoints.
+# Address of the store for a node. If STORE_ENDPOINTS (number of endpoints) is set, the first endpoint serves operators and
+# servers, and each node has a further endpoint of its own; else all use the first one.
 store_of() { # NODE
     local port
     port=$(awk -v n="${STORE_ENDPOINTS:+$1}" '{print $(n == "" ? 2 : n + 2)}' "$WORK/store.out")
@@ -40,14 +42,14 @@
 }
 
 # ---- the proxy ----
-LINK_STORE_PORT=20000        # and the node's number: the store, as that node reaches it
-LINK_SERVER_STORE_PORT=21000 # and the server's number: the same for a server
-LINK_SERVER_PORT=9000        # and the server's number: the server itself
+LINK_STORE_PORT=20000        # plus the number of a node: port at which that node reaches the store
+LINK_SERVER_STORE_PORT=21000 # plus the number of a server: port at which that server reaches the store
+LINK_SERVER_PORT=9000        # plus the number of a server: port of the server itself and of the proxy for it
 declare -A LINKED_NODES=()
 LINKED_SERVERS=0
 LINK_REPLY=""
 
-group_of() { echo "$1"; } # ZONE
+group_of() { echo "$1"; } # ZONE: the group of ends in that zone
 
 link_start() {
     coproc LINK { exec "$BUILD/cw-link" --seed "${SEED:-1}" 2>>"$WORK/link.err"; }
@@ -60,7 +62,8 @@
     read -r -u "${LINK[0]}" LINK_REPLY
     [ "${LINK_REPLY%% *}" = ok ] || { echo "link: $*: $LINK_REPLY" >&2; return 1; }
 }
-# A node is known by NET.N as ever, binds another address for datagrams, and has a link of its own to the store.
+# Defines a node's links. Other nodes know it by NET.N as without a proxy; it binds another address for datagrams, and has a
+# link of its own to the store.
 link_node() { # NODE ZONE
     [ -z "${LINKED_NODES[$1]:-}" ] || return 0
     LINKED_NODES[$1]=1
@@ -68,7 +71,7 @@
     link node "n$1" "$NET.$1:7000" "$NET.$(($1 + 110)):7000"
     link link "n$1" store "$NET.251:$((LINK_STORE_PORT + $1))" "$(store_of "$1")"
 }
-# A server is known by a port of the proxy's.
+# Defines a server's links. Nodes know the server by a port of the proxy.
 link_server() { # NAME ARGS...
     local name=$1 zone=z1
     shift
@@ -113,7 +116,7 @@
     "$BUILD/cw-store" --address "$NET.250" ${STORE_PAGE:+--page "$STORE_PAGE"} ${STORE_ENDPOINTS:+--endpoints "$STORE_ENDPOINTS"} >"$WORK/store.out" &
     PIDS+=("$!")
     until_true grep -q port "$WORK/store.out"
-    STORE="$NET.250:$(awk '{print $2}' "$WORK/store.out")" # the first endpoint is also the operator's and the servers'
+    STORE="$NET.250:$(awk '{print $2}' "$WORK/store.out")" # the first endpoint also serves operators and servers
     [ -z "${LINKED:-}" ] || link_start
     NODES=""
     for n in $(seq 1 "$1"); do
@@ -135,13 +138,13 @@
     PIDS+=("$!")
 }
 
-# One node's whole configuration, as the platform stores it.
+# Creates or replaces the configuration in the store.
 cluster_configure() {
     curl -sf -X POST "http://$STORE/api/objects/config" -d "{\"metadata\":{\"name\":\"main\"},\"spec\":$1}" >/dev/null ||
         curl -sf -X PUT "http://$STORE/api/objects/config/main" -d "{\"metadata\":{\"name\":\"main\"},\"spec\":$1}" >/dev/null
 }
 
-configuration() { # VERSION: three services, as in the demo
+configuration() { # VERSION: the configuration with two services that the demo and most tests use
     cat <<JSON
 {"version":$1,"routes":[
  {"name":"maps","host":"maps.example","path-prefix":"/docks/","route-type":"safe","timeout_ms":2000,"aim_ms":500,"priority":2,"max-attempts":3,"service":"maps"},
@@ -158,7 +161,8 @@
     done
 }
 
-# Until the leader has granted all keys: a request for any key is answered. CALLER_KEY: where callers are known by keys.
+# Waits until the leader has granted all keys: requests for keys from all parts of the key space succeed. CALLER_KEY: the
+# credential to send, if callers need one.
 cluster_wait_served() {
     local key
     for key in 0 10000 20000 30000 40000 50000 65535; do
@@ -175,7 +179,7 @@
     "$BUILD/cw-callers" --nodes "$NODES" --name "$name" "${KINDS[@]}" "$@" >"$WORK/callers-$name.json"
 }
 
-leader() { # number of the node that leads, by its metrics
+leader() { # prints the number of the node that leads, by its metrics
     local n
     for n in "${!NODE_PIDS[@]}"; do
         curl -sf "http://$NET.$n:8081/metrics" 2>/dev/null | grep -q '^cedarwinch_leading 1' && echo "$n" && return 0
@@ -185,12 +189,12 @@
 
 sum_of() { tail -1 "$WORK/callers-$1.json" | jq -r "(.$2 // 0)"; }
 
-cluster_check() { # troubles.json: of nodes, where a test records them
+cluster_check() { # troubles.json: troubles of nodes, if a test records them
     touch "$WORK/troubles.json"
     "$BUILD/cw-verdict" "$WORK"/server-*.json "$WORK"/callers-*.json "$WORK/troubles.json"
 }
 
-# ---- tests: each check counts, the last line is what the runner reads ----
+# ---- tests: checks are counted; the test runner (tests/run.sh) reads the last line ----
 CHECKS=0 FAILURES=0
 check() { # TEXT COMMAND...
     local text=$1
@@ -209,7 +213,7 @@
     [ "$FAILURES" = 0 ]
 }
 
-# What a server's record tells: that it has ended, and that its last half second brought no request.
+# Checks of a server's record: that it has ended, and that it ran no request in its last half second.
 server_ended() { grep -q '"stop"' "$WORK/server-$1.json"; }
 rested_before_end() {
     local last_run stop
@@ -218,7 +222,7 @@
     [ "$last_run" -lt "$((stop - 500000000))" ]
 }
 
-# Three services' servers as the tests use them: six of maps (divided by key), three of hires.
+# Starts the servers that most tests use: six of the service maps (divided by key), three of hires.
 usual_servers() {
     local i
     for i in 1 2 3 4 5 6; do cluster_server "m$i" --service maps --zone "z$(((i - 1) % 3 + 1))" --keyed --work-ms "${WORK_MS:-15}"; done
@@ -232,7 +236,7 @@
     cluster_wait_served
 }
 
-# ---- two regions of two zones each, for tests with LINKED=1: six nodes, 1, 2, 5 and 6 in the east, 3 and 4 in the west ----
+# ---- two regions of two zones each, for tests with LINKED=1: six nodes; 1, 2, 5 and 6 are in the east, 3 and 4 in the west ----
 regions_cluster() {
     CLUSTER_ZONES=4
     NODE_SETTINGS="zone_regions: [z1=east, z2=east, z3=west, z4=west]
@@ -252,7 +256,7 @@
     local n
     for n in $(printf '%s\n' "${!NODE_PIDS[@]}" | sort -n); do [ "$(region_of_node "$n")" != "$1" ] || echo "$n"; done
 }
-# From the other region and from the store; callers come to its nodes still.
+# Cuts a region off from the other region and from the store; callers still reach its nodes.
 cut_off_region() {
     link cut "$1" "$(other_region "$1")"
     link cut "$1" store
@@ -264,7 +268,7 @@
     done
     return 1
 }
-# The status of a request for each of some keys, in one line.
+# Prints the statuses of requests for several keys in one line.
 key_statuses() { # NODE
     local key
     for key in 0 10000 20000 30000 40000 50000 65535; do
@@ -288,7 +292,7 @@
     NODES=$(for n in $(nodes_of_region "$region"); do echo "$NET.$n:8080"; done | paste -sd,)
     cluster_callers "$@"
 }
-# What all nodes say of themselves, one line a view that differs: leader, configuration, servers.
+# Prints the different views of all nodes, one line each: leader, term, configuration, servers.
 views() {
     local n
     for n in "${!NODE_PIDS[@]}"; do
@@ -296,8 +300,8 @@
     done | sort -u
 }
 one_view() { [ "$(views | wc -l)" = 1 ]; }
-ANY_SERVER=(--kind "maps.example,/hire/,POST,2000,0") # what any server of its service may run
-# Each node of a region has a request answered that any server may run, several times in turn.
+ANY_SERVER=(--kind "maps.example,/hire/,POST,2000,0") # requests that any server of their service may run
+# Checks several times that each node of a region serves a request that any server of its service may run.
 region_serves_any() {
     local n
     for _ in 1 2 3 4 5; do
@@ -307,5 +311,5 @@
         done
     done
 }
-# How often a leader resigned because its orders did not reach servers that answer others.
+# Prints how often a leader resigned because its orders did not reach servers that answer other nodes.
 resigned_cut_off() { cat "$WORK"/node*.log | grep -c "orders do not reach servers that answer others"; }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# What was done, what was promised, and the three measures.
-# Five nodes, nine servers, callers of two kinds; the leader is killed, a server leaves, the store falls silent. A report.
+# Demo: five nodes, nine servers and callers of two kinds, while the leader is killed, a server leaves and the store stops
+# answering. Prints a report of what was done, whether the promises held, and the three measures.
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
 usual_cluster 5
--- a/scripts/dependencies.sh
+++ b/scripts/dependencies.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs the Debian packages the build needs, and only when one is missing.
+# Installs the Debian packages that the build needs, if one of them is missing. `dependencies.sh check` also installs those for
+# linting, fuzzing and model checking.
 set -eu
 packages="gcc make pkg-config libuv1-dev libhttp-parser-dev libargtable2-dev libprotobuf-c-dev libyaml-dev
 libjansson-dev libxxhash-dev nettle-dev uthash-dev check curl jq"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy on every C source, several at a time; fails when any reports.
+# Runs clang-tidy on every C source file except generated ones, several at a time. Fails if it reports anything.
 set -u
 git ls-files '*.c' | grep -v -E '\.pb-c\.' |
     xargs -P "$(( $(nproc) / 2 + 1 ))" -n 1 sh -c \
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Model checking: searches that must find nothing and complete, and searches without one safeguard each that must find
-# the violation. make spec; spec/check.sh NAME: only those whose names begin so. Some minutes on one core; three at a time here, up to 4 GB each.
+# Model checking with spin, started by `make spec`. Searches marked "hold" must complete without a violation; those marked
+# "break" leave out one safeguard each and must find a violation. spec/check.sh PREFIX runs only the searches whose names
+# begin with PREFIX. Each takes up to some minutes of one core and up to 4 GB of memory; three run at a time.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 spec=$(pwd)/spec
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,33 +1,34 @@
 /*
- * Leadership, assignment, grants, tables: one range, two leaders, two servers, a gateway, TICKS ticks of time.
+ * Model of leadership, assignment, grants and tables (src/lease and src/assignment) with one range, two leaders, two
+ * servers, a gateway (a node that routes), and TICKS ticks of time.
  *
- * The model of src/lease and src/assignment. Every step may be left out for any time, so a leader that does nothing is
- * frozen or cut off; a write or an order may land at once, or late, without an answer; a server may end and come back as
- * another life; a node may lose its memory. The gateway hears leaders, and reads the record.
+ * Any step may be delayed for any time, so a leader that does nothing is frozen or cut off. A write or an order takes
+ * effect at once, or late and without an answer. A server may end and restart as another incarnation. A node may lose
+ * its memory. The gateway receives tables from leaders, and reads the record.
  *
  * Property: while both servers hold the range, they do not both begin requests on it.
  *
- * Each safeguard can be left out with -DNO_...; spin must then find the violation (spec/check.sh):
- *   NO_AUTHORITY   a leader gives orders although its authority has ended
- *   NO_LOCK_WAIT   a follower takes the lock without waiting it out
- *   NO_ADOPTION    a new leader goes by the record without writing it once more
- *   NO_CONDITION   a record is written whatever its revision
- *   NO_HOLD_WAIT   a silent former holder is not waited out
- *   NO_TABLE_AGE   a gateway routes by its table for ever
- *   NO_TABLE_WAIT  after an unanswered order tables are not waited out
- *   NO_MOVE_GUARD  a gateway routes by the record of a move under way
- *   NO_LIFE        an order is taken by another life of the server
- *   NO_SEEN_FENCE  a release leaves no mark: an older grant that comes late is taken
+ * Each safeguard can be left out with -DNO_...; spin must then find a violation (spec/check.sh):
+ *   NO_AUTHORITY   a leader sends orders although its authority has ended
+ *   NO_LOCK_WAIT   a follower takes the lock without waiting until the lease has expired
+ *   NO_ADOPTION    a new leader uses the record without writing it again with its own term
+ *   NO_CONDITION   a late write of the record is done whatever the record's revision is
+ *   NO_HOLD_WAIT   a leader does not wait for the end of the hold of a former owner that does not answer
+ *   NO_TABLE_AGE   a gateway routes by its table without a time limit
+ *   NO_TABLE_WAIT  after an unanswered order a leader does not wait until tables have expired
+ *   NO_MOVE_GUARD  a gateway routes by a record with an unfinished move
+ *   NO_LIFE        an order is accepted by another incarnation of the server
+ *   NO_SEEN_FENCE  a server does not remember the fence of a release, so it accepts an older grant that arrives late
  */
 #ifndef TICKS
 #define TICKS 7
 #endif
-#define LEASE 1 /* of leadership */
-#define HOLD 1  /* of a grant */
-#define VALID 0 /* of a gateway's table, beyond the present tick; below HOLD */
+#define LEASE 1 /* duration of leadership, in ticks */
+#define HOLD 1  /* duration of a grant, in ticks */
+#define VALID 0 /* ticks for which a gateway's table is valid after the current one; must be less than HOLD */
 #define NONE 2
 
-/* bounds of a search: how often each may come in all */
+/* bounds of a search: how often each event may occur in total */
 #ifndef LATE_WRITES_LEFT
 #define LATE_WRITES_LEFT 1
 #endif
@@ -58,11 +59,11 @@
 
 byte now = 0;
 
-/* how often faults may come, in all */
+/* how often each event may still occur */
 byte late_writes_left = LATE_WRITES_LEFT;
 byte late_grants_left = LATE_GRANTS_LEFT;
-byte ends_left = ENDS_LEFT;   /* of servers' lives */
-byte losses_left = LOSSES_LEFT; /* of nodes' memories */
+byte ends_left = ENDS_LEFT;   /* restarts of servers */
+byte losses_left = LOSSES_LEFT; /* losses of a node's memory */
 byte moves_left = MOVES_LEFT;
 byte terms_left = TERMS_LEFT;
 
@@ -70,60 +71,60 @@
 byte lock_holder = NONE;
 byte record_owner = 0;
 byte record_former = NONE;
-bool late_write[2]; /* of a leader: without an answer, may still be done */
-bool late_write_fits[2]; /* its condition: the record's revision has not moved */
+bool late_write[2]; /* a leader's write without an answer, which may still be done */
+bool late_write_condition[2]; /* its condition holds: the record's revision has not changed */
 byte late_write_owner[2];
 byte late_write_former[2];
 
 /* servers */
 byte held_until[2]; /* holds while now < held_until */
 bool late_grant[2];
-bool begun[2]; /* a request, since both hold */
-byte life[2];
+bool request_begun[2]; /* the server has begun a request since both hold */
+byte incarnation[2];
 
 /* leaders */
 byte state[2];
 byte authority_end[2];
-bool seen[2]; /* the lock's revision has not moved since seen_at */
+bool lock_seen[2]; /* the lock's revision has not changed since seen_at */
 byte seen_at[2];
-bool read[2];  /* the record was read, and */
-bool knows[2]; /* its revision has not moved since */
+bool record_read[2];  /* the leader has read the record */
+bool record_unchanged[2]; /* the record's revision has not changed since */
 byte owner[2];
 byte former[2];
 byte phase[2];
 byte former_until[2];
-byte granted_until[2]; /* the owner's hold has surely run out */
-bool unanswered[2];    /* an order to the owner */
-byte former_life[2];
-byte owner_life[2];
+byte granted_until[2]; /* from this tick on the owner's hold has certainly ended */
+bool unanswered[2];    /* an order to the owner has got no answer */
+byte former_incarnation[2];
+byte owner_incarnation[2];
 
 /* gateways */
 byte table_owner = NONE;
 byte table_until = 0;
 
 #define BOTH_HOLD (now < held_until[0] && now < held_until[1])
-#define LATER(span) (now + (span))
-#define MAY_ORDER(i) (state[i] == READY && (now < authority_end[i] || AUTHORITY_OFF))
+#define TICKS_FROM_NOW(span) (now + (span))
+#define MAY_ORDER(i) (state[i] == READY && (now < authority_end[i] || AUTHORITY_CHECK_OFF))
 #ifdef NO_AUTHORITY
-#define AUTHORITY_OFF true
+#define AUTHORITY_CHECK_OFF true
 #else
-#define AUTHORITY_OFF false
+#define AUTHORITY_CHECK_OFF false
 #endif
 
 #define MAY_MOVE(i) (state[i] == READY && phase[i] == HELD && !late_write[i] && now < authority_end[i] && moves_left > 0)
 #define MAY_GRANT(i) (MAY_ORDER(i) && (phase[i] == GRANTING || phase[i] == HELD))
-#define IN_FORCE (now <= table_until || TABLE_AGE_OFF)
+#define TABLE_VALID (now <= table_until || TABLE_AGE_CHECK_OFF)
 #ifdef NO_MOVE_GUARD
 #define MAY_READ (record_owner != NONE)
 #else
 #define MAY_READ (record_former == NONE)
 #endif
 #ifdef NO_LIFE
-#define LIFE_OFF true
+#define INCARNATION_CHECK_OFF true
 #else
-#define LIFE_OFF false
+#define INCARNATION_CHECK_OFF false
 #endif
-#define CAN_CLEAR(i) (record_former != NONE && knows[i] && now < authority_end[i])
+#define CAN_CLEAR(i) (record_former != NONE && record_unchanged[i] && now < authority_end[i])
 #ifdef NO_HOLD_WAIT
 #define HOLD_WAITED(i) true
 #else
@@ -134,51 +135,51 @@
 #else
 #define LOCK_WAITED(i) (now > seen_at[i] + LEASE)
 #endif
-#define MAY_TAKE(i) (lock_holder == NONE || (seen[i] && lock_holder != i && LOCK_WAITED(i)))
+#define MAY_TAKE(i) (lock_holder == NONE || (lock_seen[i] && lock_holder != i && LOCK_WAITED(i)))
 #ifdef NO_CONDITION
-#define FITS(i) true
+#define CONDITION_HOLDS(i) true
 #else
-#define FITS(i) (late_write_fits[i])
+#define CONDITION_HOLDS(i) (late_write_condition[i])
 #endif
 #ifdef NO_TABLE_AGE
-#define TABLE_AGE_OFF true
+#define TABLE_AGE_CHECK_OFF true
 #else
-#define TABLE_AGE_OFF false
+#define TABLE_AGE_CHECK_OFF false
 #endif
 
 inline hold(s) {
     if
-    :: now >= held_until[s] -> begun[0] = false; begun[1] = false
+    :: now >= held_until[s] -> request_begun[0] = false; request_begun[1] = false
     :: else
     fi;
-    held_until[s] = LATER(HOLD)
+    held_until[s] = TICKS_FROM_NOW(HOLD)
 }
 
 inline begin_request(s) {
     if
     :: now < held_until[s] ->
         if
-        :: BOTH_HOLD -> begun[s] = true
+        :: BOTH_HOLD -> request_begun[s] = true
         :: else
         fi;
-        assert(!(begun[0] && begun[1]))
+        assert(!(request_begun[0] && request_begun[1]))
     :: else
     fi
 }
 
 inline lock_written() {
-    seen[0] = false;
-    seen[1] = false
+    lock_seen[0] = false;
+    lock_seen[1] = false
 }
 
 inline record_written() {
-    knows[0] = false;
-    knows[1] = false;
-    late_write_fits[0] = false;
-    late_write_fits[1] = false
+    record_unchanged[0] = false;
+    record_unchanged[1] = false;
+    late_write_condition[0] = false;
+    late_write_condition[1] = false
 }
 
-inline forget(i) {
+inline lose_state(i) {
     state[i] = FOLLOWING;
     authority_end[i] = 0;
     phase[i] = IDLE;
@@ -187,38 +188,38 @@
     unanswered[i] = false;
     former_until[i] = 0;
     granted_until[i] = 0;
-    read[i] = false;
-    knows[i] = false;
-    owner_life[i] = 0;
-    former_life[i] = 0
+    record_read[i] = false;
+    record_unchanged[i] = false;
+    owner_incarnation[i] = 0;
+    former_incarnation[i] = 0
 }
 
-inline take_record(i) { /* what a new leader knows: the record, and that anything may be in force */
+inline use_record(i) { /* a new leader knows only the record; any grant and table may be in force */
     owner[i] = record_owner;
     former[i] = record_former;
-    owner_life[i] = life[record_owner];
-    granted_until[i] = LATER(HOLD + 1);
-    former_until[i] = LATER(HOLD + 1);
+    owner_incarnation[i] = incarnation[record_owner];
+    granted_until[i] = TICKS_FROM_NOW(HOLD + 1);
+    former_until[i] = TICKS_FROM_NOW(HOLD + 1);
     unanswered[i] = true;
     if
-    :: record_former == NONE -> phase[i] = GRANTING; former_life[i] = 0
-    :: else -> phase[i] = RELEASING; former_life[i] = life[record_former]
+    :: record_former == NONE -> phase[i] = GRANTING; former_incarnation[i] = 0
+    :: else -> phase[i] = RELEASING; former_incarnation[i] = incarnation[record_former]
     fi;
     state[i] = READY
 }
 
 inline commit_move(i, to) {
     former[i] = owner[i];
-    former_life[i] = owner_life[i];
+    former_incarnation[i] = owner_incarnation[i];
     former_until[i] = granted_until[i];
 #ifndef NO_TABLE_WAIT
     if
-    :: unanswered[i] && former_until[i] < LATER(VALID + 1) -> former_until[i] = LATER(VALID + 1)
+    :: unanswered[i] && former_until[i] < TICKS_FROM_NOW(VALID + 1) -> former_until[i] = TICKS_FROM_NOW(VALID + 1)
     :: else
     fi;
 #endif
     owner[i] = to;
-    owner_life[i] = life[to];
+    owner_incarnation[i] = incarnation[to];
     granted_until[i] = 0;
     unanswered[i] = false;
     phase[i] = RELEASING
@@ -229,8 +230,8 @@
     former[i] = NONE
 }
 
-/* A release carries the new owner's fence: a grant with an older one is refused from then on. */
-inline mark_seen(s) {
+/* A release contains the new owner's fence: the server refuses grants with an older one from then on. */
+inline note_release_fence(s) {
 #ifdef NO_SEEN_FENCE
     skip
 #else
@@ -238,8 +239,8 @@
 #endif
 }
 
-/* Orders name the life they are meant for. */
-inline drop_late(s) {
+/* Orders name the incarnation for which they are meant, so an order for an earlier one is refused. */
+inline drop_late_grant(s) {
 #ifdef NO_LIFE
     skip
 #else
@@ -258,65 +259,65 @@
 end:
     do
     /* leadership */
-    :: atomic { state[i] == FOLLOWING && !seen[i] -> seen[i] = true; seen_at[i] = now }
+    :: atomic { state[i] == FOLLOWING && !lock_seen[i] -> lock_seen[i] = true; seen_at[i] = now }
     :: atomic {
         state[i] == FOLLOWING && MAY_TAKE(i) && terms_left > 0 ->
         terms_left--;
         lock_holder = i;
         lock_written();
         state[i] = LEADING;
-        authority_end[i] = LATER(LEASE)
+        authority_end[i] = TICKS_FROM_NOW(LEASE)
     }
     :: atomic {
-        state[i] != FOLLOWING && lock_holder == i && authority_end[i] != LATER(LEASE) ->
+        state[i] != FOLLOWING && lock_holder == i && authority_end[i] != TICKS_FROM_NOW(LEASE) ->
         lock_written();
-        authority_end[i] = LATER(LEASE)
+        authority_end[i] = TICKS_FROM_NOW(LEASE)
     }
-    :: atomic { state[i] != FOLLOWING && lock_holder != i -> forget(i) }
-    :: atomic { state[i] != FOLLOWING && losses_left > 0 -> losses_left--; forget(i) }
+    :: atomic { state[i] != FOLLOWING && lock_holder != i -> lose_state(i) }
+    :: atomic { state[i] != FOLLOWING && losses_left > 0 -> losses_left--; lose_state(i) }
 
-    /* the record: a new leader reads it, and writes it once more with its own term */
-    :: atomic { state[i] == LEADING && !read[i] -> read[i] = true; knows[i] = true }
+    /* the record: a new leader reads it, and writes it again with its own term */
+    :: atomic { state[i] == LEADING && !record_read[i] -> record_read[i] = true; record_unchanged[i] = true }
 #ifdef NO_ADOPTION
-    :: atomic { state[i] == LEADING && read[i] -> take_record(i) }
+    :: atomic { state[i] == LEADING && record_read[i] -> use_record(i) }
 #else
-    :: atomic { state[i] == LEADING && read[i] && knows[i] -> record_written(); knows[i] = true; take_record(i) }
-    :: atomic { state[i] == LEADING && read[i] && !knows[i] -> read[i] = false }
+    :: atomic { state[i] == LEADING && record_read[i] && record_unchanged[i] -> record_written(); record_unchanged[i] = true; use_record(i) }
+    :: atomic { state[i] == LEADING && record_read[i] && !record_unchanged[i] -> record_read[i] = false }
 #endif
 
-    /* a move: written before it is ordered */
+    /* a move: it is written to the record before orders are sent */
     :: atomic {
-        MAY_MOVE(i) && knows[i] -> /* done, and answered */
+        MAY_MOVE(i) && record_unchanged[i] -> /* the write is done and answered */
         moves_left--;
         record_written();
-        knows[i] = true;
+        record_unchanged[i] = true;
         record_owner = 1 - owner[i];
         record_former = owner[i];
         commit_move(i, 1 - owner[i])
     }
     :: atomic {
-        MAY_MOVE(i) && knows[i] && late_writes_left > 0 -> /* without an answer */
+        MAY_MOVE(i) && record_unchanged[i] && late_writes_left > 0 -> /* the write gets no answer */
         moves_left--;
         late_writes_left--;
         late_write[i] = true;
-        late_write_fits[i] = true;
+        late_write_condition[i] = true;
         late_write_owner[i] = 1 - owner[i];
         late_write_former[i] = owner[i]
     }
-    :: atomic { /* a conflict, or an outcome read back: everything from the record, written anew */
-        state[i] == READY && phase[i] == HELD && !knows[i] ->
+    :: atomic { /* after a conflict, or a write whose outcome was read back: starts again from the record, which it writes again */
+        state[i] == READY && phase[i] == HELD && !record_unchanged[i] ->
         state[i] = LEADING;
-        read[i] = false;
+        record_read[i] = false;
         phase[i] = IDLE
     }
-    :: atomic { /* the finished move is taken off the record */
+    :: atomic { /* the finished move is removed from the record */
         state[i] == READY && phase[i] == HELD && CAN_CLEAR(i) && !late_write[i] ->
         record_written();
-        knows[i] = true;
+        record_unchanged[i] = true;
         record_former = NONE
     }
-    :: atomic { /* a late write lands */
-        late_write[i] && FITS(i) ->
+    :: atomic { /* a late write is done */
+        late_write[i] && CONDITION_HOLDS(i) ->
         late_write[i] = false;
         record_written();
         record_owner = late_write_owner[i];
@@ -324,37 +325,37 @@
     }
 
     /* orders */
-    :: atomic { /* taken, and answered */
-        MAY_GRANT(i) && life[owner[i]] == owner_life[i] ->
-        granted_until[i] = LATER(HOLD + 1);
+    :: atomic { /* a grant is accepted and answered */
+        MAY_GRANT(i) && incarnation[owner[i]] == owner_incarnation[i] ->
+        granted_until[i] = TICKS_FROM_NOW(HOLD + 1);
         hold(owner[i]);
         phase[i] = HELD
     }
-    :: atomic { /* no answer: taken later, if ever */
-        MAY_GRANT(i) && late_grants_left > 0 && (life[owner[i]] == owner_life[i] || LIFE_OFF) ->
+    :: atomic { /* a grant without an answer: it is accepted later or never */
+        MAY_GRANT(i) && late_grants_left > 0 && (incarnation[owner[i]] == owner_incarnation[i] || INCARNATION_CHECK_OFF) ->
         late_grants_left--;
-        granted_until[i] = LATER(HOLD + 1);
+        granted_until[i] = TICKS_FROM_NOW(HOLD + 1);
         late_grant[owner[i]] = true;
         unanswered[i] = true
     }
-    :: atomic { /* released */
-        MAY_ORDER(i) && phase[i] == RELEASING && life[former[i]] == former_life[i] ->
+    :: atomic { /* a release is answered */
+        MAY_ORDER(i) && phase[i] == RELEASING && incarnation[former[i]] == former_incarnation[i] ->
         held_until[former[i]] = 0;
-        mark_seen(former[i]);
+        note_release_fence(former[i]);
         end_release(i)
     }
-    :: atomic { /* proof: that life has ended */
-        MAY_ORDER(i) && phase[i] == RELEASING && life[former[i]] != former_life[i] -> end_release(i)
+    :: atomic { /* no release is needed: the former owner's incarnation has ended */
+        MAY_ORDER(i) && phase[i] == RELEASING && incarnation[former[i]] != former_incarnation[i] -> end_release(i)
     }
-    :: atomic { /* waited out */
+    :: atomic { /* the former owner's hold has ended by time */
         MAY_ORDER(i) && phase[i] == RELEASING && HOLD_WAITED(i) -> end_release(i)
     }
 
-    /* what the gateway hears, if it hears it */
+    /* tables that the gateway receives; a step left out is a lost message */
     :: atomic {
         state[i] == READY && now < authority_end[i] && phase[i] == HELD ->
         table_owner = owner[i];
-        table_until = LATER(VALID)
+        table_until = TICKS_FROM_NOW(VALID)
     }
     :: atomic { state[i] == READY && now < authority_end[i] && phase[i] != HELD -> table_owner = NONE }
     od
@@ -364,13 +365,13 @@
 end:
     do
     :: atomic { late_grant[s] -> late_grant[s] = false; hold(s) }
-    :: atomic { /* ends, and comes back as another life */
-        life[s] == 0 && ends_left > 0 ->
+    :: atomic { /* the server ends, and restarts as another incarnation */
+        incarnation[s] == 0 && ends_left > 0 ->
         ends_left--;
-        life[s] = 1;
+        incarnation[s] = 1;
         held_until[s] = 0;
-        begun[s] = false;
-        drop_late(s)
+        request_begun[s] = false;
+        drop_late_grant(s)
     }
     od
 }
@@ -378,8 +379,8 @@
 proctype gateway() {
 end:
     do
-    :: atomic { MAY_READ -> table_owner = record_owner; table_until = LATER(VALID) }
-    :: atomic { table_owner != NONE && IN_FORCE -> begin_request(table_owner) }
+    :: atomic { MAY_READ -> table_owner = record_owner; table_until = TICKS_FROM_NOW(VALID) }
+    :: atomic { table_owner != NONE && TABLE_VALID -> begin_request(table_owner) }
     od
 }
 
--- a/standins/server/signals.h
+++ b/standins/server/signals.h
@@ -25,7 +25,7 @@
     size_t         count;
     size_t         next;    /**< index of the next item */
     signals_item_t now;     /**< item in force */
-    bool           is_used; /**< an item of the series has been in force */
+    bool           is_used; /**< a signal has been in force */
 } signals_t;
 
 /** Parses a series like "limit=6,none,rest=3,leaving"; NULL: an empty series. Returns false if the text is invalid. */
--- a/tests/fault_soak/many.sh
+++ b/tests/fault_soak/many.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Soaks by many seeds, one after the other: many.sh FIRST COUNT. Prints a line for each, and a sum by kind of fault; exit code 1
-# when there is a finding. The output of a seed with findings is kept and named.
+# Runs the soak with COUNT seeds from FIRST on, one after the other: many.sh FIRST COUNT. Prints one line for each seed and the
+# number of faults by kind. The exit code is 1 if there is a finding; the output of such a seed is kept, and its path printed.
 set -u
 first=$1 count=$2 failed=0
 output=$(mktemp -d)
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Runs check(1) test programs several at a time, prints each one's output, then one closing line with the totals.
-# A program that runs for longer than the limit fails. A program named in KNOWN-RED.txt (first word of a line) may fail; it is printed and not counted as failed.
+# Runs test programs (of the library check, or scripts that print the same last line), several at a time. Prints one line for
+# each program, the end of its output if it failed, and a last line with totals. A program that exceeds the time limit fails.
+# A program named in KNOWN-RED.txt (first word of a line) may fail: it is printed, but not counted as failed.
 set -u
 [ $# -gt 0 ] || { echo "run.sh: no test programs" >&2; exit 2; }
-limit_s=150 # a test that hangs fails
+limit_s=150 # time limit of a program
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
 printf '%s\n' "$@" | xargs -P 6 -I{} sh -c 'timeout -k 10 "$3" "$1" >"$2/$(basename "$1").out" 2>&1; echo $? >"$2/$(basename "$1").rc"' _ {} "$out" "$limit_s"
