--- a/fuzz/fuzz.mk
+++ b/fuzz/fuzz.mk
@@ -1,4 +1,4 @@
-# Fuzzing with clang's libFuzzer under the address and undefined-behaviour sanitizers: make fuzz [RUNS=n] [TARGET=peer].
+# Fuzzing with libFuzzer of clang and the address and undefined-behaviour sanitizers: make fuzz [RUNS=n] [TARGET=peer].
 FUZZ_CC      ?= clang
 RUNS         ?= 20000
 FUZZ_SEED    ?= 1
@@ -15,7 +15,7 @@
 	@mkdir -p $(@D)
 	$(FUZZ_CC) $(FUZZ_FLAGS) $(CPPFLAGS) $(STRICT) -fsanitize=fuzzer-no-link -MMD -MP -c $< -o $@
 
-# The peer target is a whole node (tests/node_fixture.c), whose parts are not all given back.
+# The peer target runs a whole node (tests/node_fixture.c), which does not free all its memory; so leaks are not checked.
 FUZZ_OBJECTS_peer := $(BUILD)/fuzz/tests/node_fixture.o
 FUZZ_ENVIRONMENT_peer := ASAN_OPTIONS=detect_leaks=0
 $(BUILD)/fuzz-peer: $(FUZZ_OBJECTS_peer)
--- a/fuzz/fuzz_http.c
+++ b/fuzz/fuzz_http.c
@@ -1,9 +1,10 @@
 /**
  * @file fuzz_http.c
- * @brief Bytes of a caller at the listener, and of a server at the client, over a socket pair's two ends in one loop.
+ * @brief Fuzzes the HTTP listener with requests, and the HTTP client with answers, by a connection between the two.
  *
- * Each input is sent whole and the connection closed; the loop runs until both ends are done. The listener takes
- * several requests of an input at once; each other one is answered after the one behind it, or when the caller leaves.
+ * Each input is sent as one request of the client to the listener; the loop runs until the client's call has ended. The
+ * listener dispatches several requests of an input at once. A GET is answered after the next request, unless another
+ * one is held already; if the caller disconnects before, it is cancelled.
  */
 #include <stdint.h>
 #include <stdlib.h>
@@ -14,16 +15,17 @@
 
 enum { TURNS = 12 };
 
+/** The listener and the client. */
 typedef struct fuzz_world {
     uv_loop_t             loop;
     cw_http_listener_t   *listener;
     cw_upstream_t        *upstream;
     cw_upstream_target_t *target;
-} fuzz_world_t;
+} fuzz_fixture_t;
 
-static fuzz_world_t *world;
+static fuzz_fixture_t *fixture;
 
-static cw_http_exchange_t *held; /* not answered yet */
+static cw_http_exchange_t *held; /* request that is not answered yet; NULL: none */
 
 static void answer_held(void)
 {
@@ -56,10 +58,10 @@
     answer_held();
 }
 
-static void on_gone(void *context, cw_http_exchange_t *exchange)
+static void on_cancelled(void *context, cw_http_exchange_t *exchange)
 {
     (void)context;
-    if (exchange != held) { /* only what is not answered can be gone */
+    if (exchange != held) { /* only a request that is not answered can be cancelled */
         abort();
     }
     held = NULL;
@@ -73,25 +75,25 @@
     }
 }
 
-static void start(void)
+static void start_fixture(void)
 {
     static const cw_http_limits_t limits = {
         .header_bytes = 4096, .body_bytes = 4096, .header_timeout = CW_MS(50), .idle_timeout = CW_MS(50)};
-    cw_http_listener_handler_t handler = {NULL, on_request, on_gone};
-    cw_http_listener_options_t bounds = {
+    cw_http_listener_handler_t handler = {NULL, on_request, on_cancelled};
+    cw_http_listener_options_t listener_options = {
         .pipeline = {.depth = 4, .bytes = 2000}, .body_bytes_most = 6000, .body_wait = CW_MS(2)};
     cw_upstream_options_t options = {.idle_max = CW_MS(10)};
     char                  address[32];
 
-    world = calloc(1, sizeof(*world));
-    uv_loop_init(&world->loop);
-    if (cw_http_listener_create(&world->listener, &world->loop, "127.0.0.1", 0, &limits, &handler) != 0) {
+    fixture = calloc(1, sizeof(*fixture));
+    uv_loop_init(&fixture->loop);
+    if (cw_http_listener_create(&fixture->listener, &fixture->loop, "127.0.0.1", 0, &limits, &handler) != 0) {
         abort();
     }
-    cw_http_listener_set_options(world->listener, &bounds);
-    world->upstream = cw_upstream_create(&world->loop, &options);
-    snprintf(address, sizeof(address), "127.0.0.1:%u", cw_http_listener_port(world->listener));
-    world->target = cw_upstream_target_create(world->upstream, address);
+    cw_http_listener_set_options(fixture->listener, &listener_options);
+    fixture->upstream = cw_upstream_create(&fixture->loop, &options);
+    snprintf(address, sizeof(address), "127.0.0.1:%u", cw_http_listener_port(fixture->listener));
+    fixture->target = cw_upstream_target_create(fixture->upstream, address);
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
@@ -102,18 +104,19 @@
                                      .connect_timeout = CW_MS(100),
                                      .timeout = CW_MS(3),
                                      .answer_max = 8192};
-    bool                  done = false;
+    bool                  is_done = false;
 
-    if (world == NULL) {
-        start();
+    if (fixture == NULL) {
+        start_fixture();
     }
     if (size == 0) {
         return 0;
     }
-    /* The listener answers what is a request by echoing its fields: so the client meets odd heads as well. */
-    (void)cw_upstream_call(world->target, &request, on_answer, &done);
-    while (!done) {
-        uv_run(&world->loop, UV_RUN_ONCE);
+    /* The listener answers a request with the request's own header fields, so that the client parses unusual heads,
+     * too. */
+    (void)cw_upstream_call(fixture->target, &request, on_answer, &is_done);
+    while (!is_done) {
+        uv_run(&fixture->loop, UV_RUN_ONCE);
     }
     return 0;
 }
--- a/fuzz/fuzz_peer.c
+++ b/fuzz/fuzz_peer.c
@@ -1,9 +1,10 @@
 /**
  * @file fuzz_peer.c
- * @brief What a node gets before and while it learns of its world: datagrams of other nodes, answers of the store and
- * of servers, lists and configurations, in any order, taken by the parts that take them in a process.
+ * @brief Fuzzes a whole node with the inputs that it gets from other processes, in any order: datagrams of other nodes,
+ *        answers of the store and of servers, lists of servers and configurations.
  *
- * An input is one datagram, or steps: a byte that says what, a byte for how much, and for a datagram its bytes.
+ * Each input is handled twice: as one datagram, and as a sequence of steps. A step has a byte for its kind, a byte for
+ * an amount, and for a datagram its bytes.
  */
 #include <stdint.h>
 #include <stdio.h>
@@ -14,15 +15,15 @@
 #include "router/router_status.h"
 
 enum {
-    INPUTS_A_NODE = 64, /* then another node is started: memory of the one before is not given back whole */
-    PEERS = 24,         /* more than the nodes from which on slots are handed out */
+    INPUTS_PER_NODE = 64, /* then a new node is created; the old one's memory is not freed completely */
+    PEERS = 24,           /* more nodes than needed for slots to be handed out */
     STEP_KINDS = 8,
     TICK_UNIT_MS = 40,
     LIST_UNIT = 3,
     VERSIONS = 7
 };
 
-static void take_datagram(node_fixture_t *node, uint8_t peer, const uint8_t *bytes, size_t length)
+static void handle_datagram(node_fixture_t *node, uint8_t peer, const uint8_t *bytes, size_t length)
 {
     char           address[24];
     Cwp__Datagram *datagram = cwp__datagram__unpack(NULL, length, bytes);
@@ -38,8 +39,8 @@
     cwp__datagram__free_unpacked(datagram, NULL);
 }
 
-/* What an input leaves unanswered for too long is answered: the fixture keeps a bounded number. */
-static void answer_what_waits(node_fixture_t *node)
+/* Answers orders and calls that the input leaves unanswered, since the fixture keeps a bounded number of them. */
+static void answer_pending(node_fixture_t *node)
 {
     if (node->order_count > NODE_FIXTURE_ORDERS_MAX / 2) {
         node_fixture_answer_orders(node, CW_ORDER_UNANSWERED);
@@ -49,7 +50,7 @@
     }
 }
 
-static void step(node_fixture_t *node, uint8_t kind, uint8_t amount)
+static void run_step(node_fixture_t *node, uint8_t kind, uint8_t amount)
 {
     switch (kind % STEP_KINDS) {
     case 0:
@@ -77,25 +78,25 @@
         free(cw_router_status(&node->router));
         break;
     }
-    answer_what_waits(node);
+    answer_pending(node);
 }
 
-static void take_steps(node_fixture_t *node, const uint8_t *data, size_t size)
+static void run_steps(node_fixture_t *node, const uint8_t *data, size_t size)
 {
-    size_t place = 0;
+    size_t offset = 0;
 
-    while (place + 2 <= size) {
-        uint8_t kind = data[place];
-        size_t  length = data[place + 1];
+    while (offset + 2 <= size) {
+        uint8_t kind = data[offset];
+        size_t  length = data[offset + 1];
 
-        place += 2;
+        offset += 2;
         if (kind < UINT8_MAX / 2) {
-            step(node, kind, (uint8_t)length);
+            run_step(node, kind, (uint8_t)length);
             continue;
         }
-        length = length < size - place ? length : size - place;
-        take_datagram(node, kind, data + place, length);
-        place += length;
+        length = length < size - offset ? length : size - offset;
+        handle_datagram(node, kind, data + offset, length);
+        offset += length;
     }
 }
 
@@ -107,9 +108,9 @@
     if (node == NULL) {
         node = node_fixture_create();
     }
-    take_datagram(node, 0, data, size);
-    take_steps(node, data, size);
-    if (++inputs % INPUTS_A_NODE == 0) {
+    handle_datagram(node, 0, data, size);
+    run_steps(node, data, size);
+    if (++inputs % INPUTS_PER_NODE == 0) {
         node_fixture_free(node);
         node = NULL;
     }
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -1,7 +1,7 @@
 /**
  * @file fuzz_platform.c
- * @brief Bodies of the store: configurations, servers, records, listings, changes, locks, and listings with entries
- * that are no JSON text. The first byte chooses.
+ * @brief Fuzzes the decoding of the store's bodies: configurations, servers, records, listings, changes, locks, and
+ *        listings with entries that are not JSON. The first byte of an input selects the kind.
  */
 #include <stdint.h>
 #include <stdlib.h>
@@ -11,31 +11,31 @@
 #include "platform_internal.h"
 #include "platform_salvage.h"
 
-enum { KINDS = 6, SALVAGED = 6 };
+enum { KINDS = 6, KIND_SALVAGED = 6 };
 
-static void take_configuration(const json_t *value)
+static void check_configuration(const json_t *value)
 {
     cw_platform_problem_t problem;
     cw_configuration_t   *configuration = cw_platform_parse_configuration(value, &problem);
 
     if ((configuration == NULL) == (problem.text[0] == '\0')) {
-        abort(); /* refused without a reason, or taken with one */
+        abort(); /* refused without a reason, or accepted with one */
     }
     if (configuration != NULL) {
         json_t             *written = cw_platform_write_configuration(configuration);
-        cw_configuration_t *again = cw_platform_parse_configuration(written, &problem);
+        cw_configuration_t *reread = cw_platform_parse_configuration(written, &problem);
 
         (void)cw_configuration_match(configuration, "a.example", "/docks/x");
-        if (again == NULL) {
-            abort(); /* what is written can be read */
+        if (reread == NULL) {
+            abort(); /* a written configuration must be readable */
         }
-        cw_configuration_release(again);
+        cw_configuration_release(reread);
         json_decref(written);
         cw_configuration_release(configuration);
     }
 }
 
-/* A body is refused with a reason, or read without one. */
+/* Checks that a body is either refused with a reason or read without one. */
 static void check_reason(bool is_read, const cw_platform_problem_t *problem)
 {
     if (is_read != (problem->text[0] == '\0')) {
@@ -43,7 +43,7 @@
     }
 }
 
-static void take_server(const json_t *value)
+static void decode_server(const json_t *value)
 {
     cw_server_list_t     *list = cw_server_list_create();
     cw_platform_problem_t problem;
@@ -59,7 +59,7 @@
     cw_server_list_release(list);
 }
 
-static void take_page(const json_t *value)
+static void decode_page(const json_t *value)
 {
     cw_platform_problem_t problem;
     cw_listing_page_t     page;
@@ -73,7 +73,7 @@
     }
 }
 
-static void take_changes(const json_t *value)
+static void decode_changes(const json_t *value)
 {
     cw_server_list_t     *list = cw_server_list_create();
     cw_platform_problem_t problem;
@@ -88,7 +88,7 @@
     cw_server_list_release(list);
 }
 
-static void take_record(const json_t *value)
+static void check_record(const json_t *value)
 {
     cw_assignment_record_t record;
 
@@ -100,24 +100,24 @@
     }
 }
 
-/* What is salvaged of any bytes can be written and read again, and is taken as any listing is. */
-static void take_salvaged(const char *text, size_t length)
+/* Checks that a body salvaged from any bytes can be written and read again, and handles it as a listing. */
+static void check_salvaged(const char *text, size_t length)
 {
     json_t *body = cw_platform_salvage(text, length);
     char   *written;
-    json_t *again;
+    json_t *reread;
 
     if (body == NULL) {
         return;
     }
     written = json_dumps(body, JSON_COMPACT);
-    again = written == NULL ? NULL : json_loads(written, 0, NULL);
-    if (again == NULL || !json_equal(body, again)) {
+    reread = written == NULL ? NULL : json_loads(written, 0, NULL);
+    if (reread == NULL || !json_equal(body, reread)) {
         abort();
     }
-    take_page(body);
-    take_changes(body);
-    json_decref(again);
+    decode_page(body);
+    decode_changes(body);
+    json_decref(reread);
     free(written);
     json_decref(body);
 }
@@ -127,27 +127,27 @@
     json_t   *value = size < 2 ? NULL : json_loadb((const char *)data + 1, size - 1, JSON_DECODE_ANY, NULL);
     cw_lock_t lock;
 
-    if (size > 0 && data[0] % (KINDS + 1) == SALVAGED) {
-        take_salvaged((const char *)data + 1, size - 1);
+    if (size > 0 && data[0] % (KINDS + 1) == KIND_SALVAGED) {
+        check_salvaged((const char *)data + 1, size - 1);
     }
     if (value == NULL) {
         return 0;
     }
     switch (data[0] % KINDS) {
     case 0:
-        take_configuration(value);
+        check_configuration(value);
         break;
     case 1:
-        take_server(value);
+        decode_server(value);
         break;
     case 2:
-        take_record(value);
+        check_record(value);
         break;
     case 3:
-        take_page(value);
+        decode_page(value);
         break;
     case 4:
-        take_changes(value);
+        decode_changes(value);
         break;
     default:
         (void)cw_lock_from_json(&lock, value);
--- a/fuzz/fuzz_yaml.c
+++ b/fuzz/fuzz_yaml.c
@@ -1,6 +1,6 @@
 /**
  * @file fuzz_yaml.c
- * @brief Settings and intents. The first byte chooses.
+ * @brief Fuzzes the parsers of settings and intents. The first byte of an input selects one of them.
  */
 #include <stdint.h>
 
