--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -35,7 +35,7 @@
 
 # Address of the store for a node. If STORE_ENDPOINTS (number of endpoints) is set, the first endpoint serves operators and
 # servers, and each node has a further endpoint of its own; else all use the first one.
-store_of() { # NODE
+store_address_for() { # NODE
     local port
     port=$(awk -v n="${STORE_ENDPOINTS:+$1}" '{print $(n == "" ? 2 : n + 2)}' "$WORK/store.out")
     echo "$NET.250:$port"
@@ -69,7 +69,7 @@
     LINKED_NODES[$1]=1
     link end "n$1" "$(group_of "$2")"
     link node "n$1" "$NET.$1:7000" "$NET.$(($1 + 110)):7000"
-    link link "n$1" store "$NET.251:$((LINK_STORE_PORT + $1))" "$(store_of "$1")"
+    link link "n$1" store "$NET.251:$((LINK_STORE_PORT + $1))" "$(store_address_for "$1")"
 }
 # Defines a server's links. Nodes know the server by a port of the proxy.
 link_server() { # NAME ARGS...
@@ -87,7 +87,7 @@
 
 start_node() {
     local n=$1 zone="z$((($1 - 1) % ${CLUSTER_ZONES:-3} + 1))" store
-    store=$(store_of "$n")
+    store=$(store_address_for "$n")
     if [ -n "${LINKED:-}" ]; then
         link_node "$n" "$zone"
         store="$NET.251:$((LINK_STORE_PORT + n))"
@@ -293,13 +293,13 @@
     cluster_callers "$@"
 }
 # Prints the different views of all nodes, one line each: leader, term, configuration, servers.
-views() {
+node_views() {
     local n
     for n in "${!NODE_PIDS[@]}"; do
         curl -sf "http://$NET.$n:8081/status" | jq -c '[.leadership.leader, .leadership.term, .configuration, (.servers|map(.id)|sort)]'
     done | sort -u
 }
-one_view() { [ "$(views | wc -l)" = 1 ]; }
+one_view() { [ "$(node_views | wc -l)" = 1 ]; }
 ANY_SERVER=(--kind "maps.example,/hire/,POST,2000,0") # requests that any server of their service may run
 # Checks several times that each node of a region serves a request that any server of its service may run.
 region_serves_any() {
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -17,7 +17,7 @@
 echo "server m3 leaves"
 kill -TERM "${SERVER_PIDS[m3]}"
 sleep 3
-echo "the store falls silent for 4 s"
+echo "the store does not answer for 4 s"
 curl -sf -X POST "http://$STORE/control?down=4000&how=silent" >/dev/null
 wait "$callers"
 cluster_wait_served
@@ -26,7 +26,7 @@
 verdict=$(cluster_check | tail -1)
 cat <<REPORT
 
-Done       5 nodes and 9 servers; the leader, node $first, was killed; server m3 left; the store was silent for 4 s.
+Done       5 nodes and 9 servers; the leader, node $first, was killed; server m3 left; the store did not answer for 4 s.
            $(sum_of demo s200) of 1500 requests answered with 200. Leader now: node $(leader).
 Promised   nothing runs twice, no key has two owners, no answer is another's: $verdict
 Measures   (counted by the leaders that are still running)
--- a/sim/lease_nodes.c
+++ b/sim/lease_nodes.c
@@ -1,7 +1,6 @@
 /**
  * @file lease_nodes.c
- * @brief Model of nodes: each follows or leads by the router's own state machines, and routes by the tables that
- * leaders send.
+ * @brief Model of nodes: they follow or lead by the router's own state machines, and route by the tables of leaders.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/sim/lease_servers.c
+++ b/sim/lease_servers.c
@@ -16,7 +16,7 @@
     LATE_SPREAD_MS = 10000,
     WORK_MS = 120,
     ENTRY_LIFETIME_MS = 4500,
-    SLOW_CLOCK_PERCENT = 102 /* of the time of a hold: a server whose clock is slow */
+    SLOW_CLOCK_PERCENT = 102 /* duration of a hold by the slow clock of a server */
 };
 
 /** An order on its way to a server, and its result on the way back. */
--- a/sim/main.c
+++ b/sim/main.c
@@ -1,6 +1,7 @@
 /**
  * @file main.c
- * @brief Command line of the lease simulator: runs a range of seeds and prints one line for each.
+ * @brief Command line of the lease simulator: runs a range of seeds and prints one line for each, or with
+ *        --quiet for each that shows a violation.
  *
  * Exit codes: 0 no violation, 1 violations, 2 wrong command line.
  */
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -62,7 +62,7 @@
 /* how often each event may still occur */
 byte late_writes_left = LATE_WRITES_LEFT;
 byte late_grants_left = LATE_GRANTS_LEFT;
-byte ends_left = ENDS_LEFT;   /* restarts of servers */
+byte ends_left = ENDS_LEFT;     /* restarts of servers */
 byte losses_left = LOSSES_LEFT; /* losses of a node's memory */
 byte moves_left = MOVES_LEFT;
 byte terms_left = TERMS_LEFT;
@@ -87,8 +87,8 @@
 byte authority_end[2];
 bool lock_seen[2]; /* the lock's revision has not changed since seen_at */
 byte seen_at[2];
-bool record_read[2];  /* the leader has read the record */
-bool record_unchanged[2]; /* the record's revision has not changed since */
+bool record_read[2];      /* the leader has read the record */
+bool record_unchanged[2]; /* the record's revision has not changed since the leader read or wrote it */
 byte owner[2];
 byte former[2];
 byte phase[2];
@@ -304,7 +304,7 @@
         late_write_owner[i] = 1 - owner[i];
         late_write_former[i] = owner[i]
     }
-    :: atomic { /* after a conflict, or a write whose outcome was read back: starts again from the record, which it writes again */
+    :: atomic { /* after a conflict, or a write whose outcome was read back: reads the record and writes it again */
         state[i] == READY && phase[i] == HELD && !record_unchanged[i] ->
         state[i] = LEADING;
         record_read[i] = false;
--- a/spec/tokens.pml
+++ b/spec/tokens.pml
@@ -39,11 +39,11 @@
 byte restarts_left = RESTARTS_LEFT;
 byte switches_left = SWITCHES_LEFT;
 byte tokens_created = 0; /* tokens put into buckets */
-byte requests_run = 0;    /* requests run */
+byte requests_run = 0;   /* requests run */
 
 /* a node */
 byte counter[2];      /* the counting node that it asks */
-byte last_ask[2];         /* sequence of its latest ask */
+byte last_ask[2];     /* sequence of its latest ask */
 byte open_ask[2];     /* sequence of the ask whose grant it waits for; 0: none */
 byte settled[2];      /* sequence of the latest ask whose grant was accepted or returned */
 byte tokens[2];
@@ -64,7 +64,7 @@
 bool in_use[2];
 byte record[2]; /* number of its records, which rises whenever it has lost them */
 byte level[2];
-byte known_ask[4];        /* sequence of the node's latest ask */
+byte known_ask[4];    /* sequence of the node's latest ask */
 byte granted[4];      /* tokens granted for it */
 byte may_return[4];   /* tokens granted recently, which the node may return */
 byte known_return[4]; /* number of the node's latest return */
--- a/standins/link/link_datagrams.h
+++ b/standins/link/link_datagrams.h
@@ -1,7 +1,6 @@
 /**
  * @file link_datagrams.h
- * @brief Forwards datagrams between nodes: other nodes know a node by an address of the proxy; the node binds another
- * one.
+ * @brief Forwards datagrams between nodes: a node binds another address than the one by which others know it.
  */
 #ifndef CW_LINK_DATAGRAMS_H
 #define CW_LINK_DATAGRAMS_H
--- a/standins/link/link_processes.h
+++ b/standins/link/link_processes.h
@@ -1,7 +1,6 @@
 /**
  * @file link_processes.h
- * @brief Finds the process that a connection comes from: addresses do not tell, since all programs connect from the
- * same one.
+ * @brief Finds the process that a connection comes from. All programs on loopback connect from the same address.
  */
 #ifndef CW_LINK_PROCESSES_H
 #define CW_LINK_PROCESSES_H
--- a/standins/link/main.c
+++ b/standins/link/main.c
@@ -9,8 +9,7 @@
  *   end NAME GROUP                  defines an end of links; faults name ends, groups or "all"
  *   process NAME PID                connections of this process come from this end
  *   node NAME KNOWN BOUND           datagrams to the address KNOWN are sent to BOUND, from the KNOWN of their sender
- *   link FROM TO LISTEN TARGET      connections to LISTEN are forwarded to TARGET; they come from the end that has
- * their process, else from FROM
+ *   link FROM TO LISTEN TARGET      connections to LISTEN go to TARGET; they come from their process's end, else FROM
  *
  * Commands for faults, which last until `heal` (except `reset`, which takes effect once):
  *
@@ -55,7 +54,7 @@
     puts("ok");
 }
 
-/* "IPv4:PORT" */
+/* Parses "IPv4:PORT". */
 static bool address_from_text(struct sockaddr_in *address, const char *text)
 {
     char  host[INET_ADDRSTRLEN];
@@ -72,6 +71,7 @@
            uv_ip4_addr(host, (int)port, address) == 0;
 }
 
+/* Parses a number from 1 to INT32_MAX. */
 static bool number_from_text(uint32_t *number, const char *text)
 {
     char *end;
--- a/standins/server/main.c
+++ b/standins/server/main.c
@@ -450,8 +450,7 @@
     server_t *server = context;
 
     if (answer->result == CW_UPSTREAM_ANSWERED && (answer->status < 300 || answer->status == STATUS_CONFLICT)) {
-        server->is_registered =
-            true; /* a conflict: the entry of the previous incarnation with this id exists, and is replaced next */
+        server->is_registered = true; /* 409: the entry may be that of its previous incarnation */
     }
 }
 
--- a/standins/verdict/main.c
+++ b/standins/verdict/main.c
@@ -41,7 +41,7 @@
 /** One incarnation of a server, with the times (ns) of its hold of each key. */
 typedef struct incarnation {
     char     server[64];
-    uint64_t since[KEYS];       /**< begin of the hold */
+    uint64_t since[KEYS];       /**< start of the hold */
     uint64_t until[KEYS];       /**< end of the hold; 0: not held */
     uint64_t run_started[KEYS]; /**< start of the latest run */
     uint64_t fence[KEYS];       /**< of the latest grant */
