--- a/fuzz/fuzz_peer.c
+++ b/fuzz/fuzz_peer.c
@@ -35,7 +35,7 @@
     snprintf(address, sizeof(address), "10.0.0.%u", peer % PEERS + 2);
     from = cw_peer_link_learn_text(node->router.link, address, cw_router_now(&node->router));
     from->sequence = 0;
-    cw_router_datagram(&node->router, from, datagram);
+    cw_router_on_datagram(&node->router, from, datagram);
     cwp__datagram__free_unpacked(datagram, NULL);
 }
 
@@ -66,7 +66,7 @@
         node_fixture_read_servers(node, "s", (size_t)amount * LIST_UNIT, amount == 1 ? "" : "10.0.1.1:80");
         break;
     case 4:
-        (void)cw_router_use_configuration(&node->router, node_fixture_configuration(amount % VERSIONS, "s"));
+        (void)cw_router_apply_configuration(&node->router, node_fixture_configuration(amount % VERSIONS, "s"));
         break;
     case 5:
         node_fixture_answer_orders(node, (cw_order_result_t)(amount % (CW_ORDER_UNANSWERED + 1)));
--- a/src/proxy/engine.c
+++ b/src/proxy/engine.c
@@ -67,7 +67,7 @@
     }
 }
 
-void cw_engine_gone(cw_engine_t *engine, cw_http_exchange_t *exchange)
+void cw_engine_caller_disconnected(cw_engine_t *engine, cw_http_exchange_t *exchange)
 {
     cw_request_t *request = cw_http_exchange_data(exchange);
     cw_event_t    event;
--- a/src/proxy/engine.h
+++ b/src/proxy/engine.h
@@ -71,8 +71,8 @@
 /** Keys of requests since the last report, for the leader. */
 typedef struct cw_key_samples {
     uint32_t keys[64];
-    uint32_t regions[64]; /**< where each of these requests may go (region_mask.h) */
-    bool     any_bound;   /**< some of them may not go anywhere */
+    uint32_t regions[64];           /**< where each of these requests may go (region_mask.h) */
+    bool     any_region_restricted; /**< some of them may not go anywhere */
     uint32_t count;
     uint32_t seen; /**< requests they stand for */
 } cw_key_samples_t;
@@ -103,9 +103,9 @@
 typedef struct cw_signal_port {
     void *context;
     /** The server named its rate limit to this node, or no longer does. */
-    void (*limit_stated)(void *context, const cw_server_t *server, cw_limit_change_t change);
+    void (*on_limit_stated)(void *context, const cw_server_t *server, cw_limit_change_t change);
     /** The server said to this node that it leaves; no node had told of it. */
-    void (*leave_stated)(void *context, const cw_server_t *server);
+    void (*on_leave_stated)(void *context, const cw_server_t *server);
 } cw_signal_port_t;
 
 typedef struct cw_engine cw_engine_t;
@@ -121,9 +121,9 @@
 void cw_engine_note_signals(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
                             const char *request);
 /** Another node states what a server named as its limit at that moment; per_s below 0: that it had ended. */
-void cw_engine_take_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at);
+void cw_engine_apply_reported_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at);
 /** Another node states that the incarnation of this hash has said that it leaves. */
-void cw_engine_take_leave(cw_engine_t *engine, uint32_t server);
+void cw_engine_apply_reported_leave(cw_engine_t *engine, uint32_t server);
 /** Requests that crash servers are refused from now on. */
 void cw_engine_set_crash_suspects(cw_engine_t *engine, const cw_crash_port_t *port);
 /** Tenants' limits bind from now on. The share is borrowed; it says by cw_engine_quota_decided, never within a call of
@@ -144,7 +144,7 @@
 /** Slots, servers or tables have changed: looks at what waits. */
 void cw_engine_wake(cw_engine_t *engine);
 /** The clock has gone on by more than the loop's timers know (loop_clock.h): all requests' timers are set anew. */
-void cw_engine_rearm(cw_engine_t *engine);
+void cw_engine_restart_timers(cw_engine_t *engine);
 /** A server has left the pool: its connections go. */
 void cw_engine_forget_server(cw_engine_t *engine, cw_server_t *server);
 
@@ -154,7 +154,7 @@
 void cw_engine_stop(cw_engine_t *engine, cw_time_us_t end_by);
 
 void cw_engine_request(cw_engine_t *engine, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound);
-void cw_engine_gone(cw_engine_t *engine, cw_http_exchange_t *exchange);
+void cw_engine_caller_disconnected(cw_engine_t *engine, cw_http_exchange_t *exchange);
 
 size_t cw_engine_requests(const cw_engine_t *engine); /**< not answered yet */
 size_t cw_engine_queued(const cw_engine_t *engine);
@@ -175,11 +175,11 @@
 /** Requests that wait at other nodes for a service. */
 void cw_engine_set_queued_elsewhere(cw_engine_t *engine, const char *service, uint32_t queued);
 /** Usual time of a request of a service, microseconds. */
-cw_time_us_t cw_engine_usual_time(cw_engine_t *engine, const char *service);
+cw_time_us_t cw_engine_mean_time(cw_engine_t *engine, const char *service);
 /** What a request of the service costs that crosses a region's border, in its usual times; 0: there is one region. */
 double cw_engine_crossing_share(cw_engine_t *engine, const char *service);
 /** The same by the hash of its name. */
-cw_time_us_t cw_engine_usual_time_of(const cw_engine_t *engine, uint32_t service);
+cw_time_us_t cw_engine_mean_time_by_hash(const cw_engine_t *engine, uint32_t service);
 /** Set while requests under way changed since it was last cleared: a reason to report soon. */
 bool cw_engine_take_changed(cw_engine_t *engine);
 
--- a/src/proxy/engine_admission.c
+++ b/src/proxy/engine_admission.c
@@ -96,7 +96,7 @@
         uint32_t mask = cw_server_pool_region_mask(request->engine->pool, &request->regions);
 
         samples->regions[samples->count] = mask;
-        samples->any_bound = samples->any_bound || mask != CW_REGIONS_ANY;
+        samples->any_region_restricted = samples->any_region_restricted || mask != CW_REGIONS_ANY;
         samples->keys[samples->count++] = request->key;
     }
 }
@@ -124,7 +124,7 @@
 static cw_request_t *create_request(cw_engine_t *engine, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound,
                                     const cw_route_t *route, const cw_caller_t *caller)
 {
-    const cw_tenant_t *tenant = cw_caller_accountable(caller, engine->configuration, route);
+    const cw_tenant_t *tenant = cw_caller_limiting_tenant(caller, engine->configuration, route);
     cw_request_t      *request = cw_memory_zeroed(sizeof(*request));
 
     request->engine = engine;
@@ -208,7 +208,7 @@
     if (route == NULL || !cw_engine_admit_caller(engine, exchange, inbound, route, &caller)) {
         return;
     }
-    accountable = cw_caller_accountable(&caller, engine->configuration, route);
+    accountable = cw_caller_limiting_tenant(&caller, engine->configuration, route);
     if (!pass_gate(engine, exchange, inbound, route, accountable, &tenant)) {
         return;
     }
--- a/src/proxy/engine_answer.c
+++ b/src/proxy/engine_answer.c
@@ -85,7 +85,7 @@
 
 static void note_inputs(cw_event_t *event, const cw_request_t *request)
 {
-    const cw_tenant_t *tenant = cw_caller_accountable(&request->caller, request->configuration, request->route);
+    const cw_tenant_t *tenant = cw_caller_limiting_tenant(&request->caller, request->configuration, request->route);
     cw_time_us_t       now = cw_engine_now(request->engine);
 
     cw_event_text(event, CW_FIELD_SERVICE, request->service->name);
@@ -193,10 +193,10 @@
 {
     static const char *const modes[] = {"free", "metered", "alone"};
     const cw_quota_share_t  *share = request->engine->quota;
-    const cw_tenant_t       *tenant = cw_caller_accountable(&request->caller, request->configuration, request->route);
-    cw_time_us_t             now = cw_engine_now(request->engine);
-    cw_http_outbound_t       outbound = {.status = STATUS_TOO_MANY, .retry_after_s = (double)retry_after / 1e6};
-    cw_event_t               event;
+    const cw_tenant_t *tenant = cw_caller_limiting_tenant(&request->caller, request->configuration, request->route);
+    cw_time_us_t       now = cw_engine_now(request->engine);
+    cw_http_outbound_t outbound = {.status = STATUS_TOO_MANY, .retry_after_s = (double)retry_after / 1e6};
+    cw_event_t         event;
 
     cw_metric_add(CW_METRIC_REFUSED_TENANT, 1);
     cw_metric_add(CW_METRIC_REFUSED_LIMIT, 1);
@@ -205,7 +205,7 @@
         cw_event_text(&event, CW_FIELD_REASON, "the tenant's rate");
         cw_event_ms(&event, CW_FIELD_RETRY_AFTER_MS, retry_after);
         cw_event_text(&event, CW_FIELD_LIMIT_MODE, modes[cw_quota_share_mode(share, request->tenant_hash)]);
-        cw_event_ms(&event, CW_FIELD_LIMIT_AGE_MS, cw_quota_share_age(share, request->tenant_hash, now));
+        cw_event_ms(&event, CW_FIELD_LIMIT_AGE_MS, cw_quota_share_message_age(share, request->tenant_hash, now));
         note_inputs(&event, request);
         cw_event_end(&event);
     }
--- a/src/proxy/engine_callers.c
+++ b/src/proxy/engine_callers.c
@@ -123,7 +123,7 @@
 
 bool cw_request_caller_stays(const cw_request_t *request)
 {
-    return cw_caller_standing(&request->caller, request->engine->configuration) == CW_CALLER_STAYS;
+    return cw_caller_recheck(&request->caller, request->engine->configuration) == CW_CALLER_UNCHANGED;
 }
 
 /* Let in when nobody was known by keys: what it carries may be a key now. */
@@ -131,11 +131,11 @@
 {
     cw_caller_t caller;
 
-    if (request->caller.hides_credentials || !later->needs_keys) {
+    if (request->caller.strips_credentials || !later->needs_keys) {
         return;
     }
     caller = cw_caller_identify(later, request->route, request->fields, request->engine->settings.credential_scheme);
-    request->caller.hides_credentials = caller.hides_credentials;
+    request->caller.strips_credentials = caller.strips_credentials;
 }
 
 bool cw_request_still_admitted(cw_request_t *request)
@@ -147,8 +147,8 @@
     }
     request->caller_checked_by = later->version;
     hide_new_credentials(request, later);
-    switch (cw_caller_standing(&request->caller, later)) {
-    case CW_CALLER_STAYS:
+    switch (cw_caller_recheck(&request->caller, later)) {
+    case CW_CALLER_UNCHANGED:
         return true;
     case CW_CALLER_REVOKED:
         cw_request_refuse_revoked(request);
@@ -193,5 +193,5 @@
     if (tenant != NULL && cw_http_name_is_alike(name, tenant)) {
         return true;
     }
-    return request->caller.hides_credentials && cw_http_name_is_alike(name, "authorization");
+    return request->caller.strips_credentials && cw_http_name_is_alike(name, "authorization");
 }
--- a/src/proxy/engine_internal.h
+++ b/src/proxy/engine_internal.h
@@ -271,7 +271,7 @@
 cw_server_t *cw_request_choose(const cw_request_t *request, const cw_zone_filter_t *zones, cw_time_us_t now,
                                bool *full);
 
-/* ---- engine_placing.c ---- */
+/* ---- engine_placement.c ---- */
 /** Sends what can be sent of a service's queue. */
 void cw_service_dispatch(cw_engine_t *engine, cw_service_state_t *service);
 /** Places a request that is queued, or decides what becomes of it. */
--- a/src/proxy/engine_placing.c
+++ b/src/proxy/engine_placement.c
@@ -1,5 +1,5 @@
 /**
- * @file engine_placing.c
+ * @file engine_placement.c
  * @brief Sends what waits in a service's queue, and decides what becomes of a request that no server has a slot for.
  */
 #include <utlist.h>
--- a/src/proxy/engine_quota.c
+++ b/src/proxy/engine_quota.c
@@ -19,7 +19,7 @@
 /* NULL: nothing binds it. */
 static const cw_tenant_t *bound_tenant(const cw_request_t *request)
 {
-    const cw_tenant_t *tenant = cw_caller_accountable(&request->caller, request->configuration, request->route);
+    const cw_tenant_t *tenant = cw_caller_limiting_tenant(&request->caller, request->configuration, request->route);
 
     return request->engine->quota == NULL || tenant == NULL || tenant->rate_per_s <= 0 ? NULL : tenant;
 }
--- a/src/proxy/engine_tell.c
+++ b/src/proxy/engine_report.c
@@ -1,5 +1,5 @@
 /**
- * @file engine_tell.c
+ * @file engine_report.c
  * @brief What the engine tells the node: requests here, queues, keys seen, usual times.
  */
 #include <string.h>
@@ -80,12 +80,12 @@
     }
 }
 
-cw_time_us_t cw_engine_usual_time(cw_engine_t *engine, const char *name)
+cw_time_us_t cw_engine_mean_time(cw_engine_t *engine, const char *name)
 {
     return cw_engine_service(engine, name)->usual;
 }
 
-cw_time_us_t cw_engine_usual_time_of(const cw_engine_t *engine, uint32_t hash)
+cw_time_us_t cw_engine_mean_time_by_hash(const cw_engine_t *engine, uint32_t hash)
 {
     const cw_service_state_t *service;
 
--- a/src/proxy/engine_signals.c
+++ b/src/proxy/engine_signals.c
@@ -54,12 +54,12 @@
         change = cw_server_limit_note_unnamed(&server->limit, now);
     }
     note_limit_change(server, change, request);
-    if (engine->signal_port.limit_stated != NULL && (signals->has_limit || change != CW_LIMIT_UNCHANGED)) {
-        engine->signal_port.limit_stated(engine->signal_port.context, server, change);
+    if (engine->signal_port.on_limit_stated != NULL && (signals->has_limit || change != CW_LIMIT_UNCHANGED)) {
+        engine->signal_port.on_limit_stated(engine->signal_port.context, server, change);
     }
 }
 
-void cw_engine_take_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at)
+void cw_engine_apply_reported_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at)
 {
     cw_time_us_t      now = cw_engine_now(engine);
     cw_limit_change_t change = per_s < 0 ? cw_server_limit_note_ended(&server->limit, made_at, now)
@@ -94,7 +94,7 @@
     return true;
 }
 
-void cw_engine_take_leave(cw_engine_t *engine, uint32_t server)
+void cw_engine_apply_reported_leave(cw_engine_t *engine, uint32_t server)
 {
     (void)note_leaving(engine, server, NULL);
 }
@@ -134,8 +134,8 @@
                             const char *request)
 {
     if (signals->is_leaving && note_leaving(engine, server->hash, request) &&
-        engine->signal_port.leave_stated != NULL) {
-        engine->signal_port.leave_stated(engine->signal_port.context, server);
+        engine->signal_port.on_leave_stated != NULL) {
+        engine->signal_port.on_leave_stated(engine->signal_port.context, server);
     }
     note_limit(engine, server, signals, request, cw_engine_now(engine));
 }
--- a/src/proxy/engine_state.c
+++ b/src/proxy/engine_state.c
@@ -120,7 +120,7 @@
     }
 }
 
-void cw_engine_rearm(cw_engine_t *engine)
+void cw_engine_restart_timers(cw_engine_t *engine)
 {
     cw_request_t *request;
 
--- a/src/retry/crash_suspects.c
+++ b/src/retry/crash_suspects.c
@@ -199,7 +199,7 @@
     return true;
 }
 
-bool cw_crash_suspects_waits_for(const cw_crash_suspects_t *suspects, uint32_t server)
+bool cw_crash_suspects_has_loss_at(const cw_crash_suspects_t *suspects, uint32_t server)
 {
     size_t index;
 
@@ -229,7 +229,7 @@
     suspects->loss_count = kept;
 }
 
-void cw_crash_suspects_take(cw_crash_suspects_t *suspects, const cw_crash_t *crash, cw_time_us_t now)
+void cw_crash_suspects_note_reported(cw_crash_suspects_t *suspects, const cw_crash_t *crash, cw_time_us_t now)
 {
     add_crash(suspects, crash, now);
 }
--- a/src/retry/crash_suspects.h
+++ b/src/retry/crash_suspects.h
@@ -55,11 +55,11 @@
 /** The connection ended while the request was under way. False: too many losses are not confirmed yet. */
 bool cw_crash_suspects_note_loss(cw_crash_suspects_t *suspects, const cw_crash_t *loss);
 /** Is there a loss at this server that is not confirmed yet? */
-bool cw_crash_suspects_waits_for(const cw_crash_suspects_t *suspects, uint32_t server);
+bool cw_crash_suspects_has_loss_at(const cw_crash_suspects_t *suspects, uint32_t server);
 /** This incarnation has ended without leaving: its losses were crashes. */
 void cw_crash_suspects_note_end(cw_crash_suspects_t *suspects, uint32_t server, cw_time_us_t now);
 /** Another node has seen a crash. */
-void cw_crash_suspects_take(cw_crash_suspects_t *suspects, const cw_crash_t *crash, cw_time_us_t now);
+void cw_crash_suspects_note_reported(cw_crash_suspects_t *suspects, const cw_crash_t *crash, cw_time_us_t now);
 /** A server has answered the request at this moment. True: it was remembered, and the other nodes are to know. */
 bool cw_crash_suspects_clear(cw_crash_suspects_t *suspects, uint64_t request, cw_time_us_t answered_at);
 
--- a/src/router/fleet_size.c
+++ b/src/router/fleet_size.c
@@ -51,7 +51,7 @@
 
 bool cw_fleet_size_is_reached(const cw_fleet_size_t *fleet, uint32_t in_reach, cw_time_us_t now)
 {
-    if (now - fleet->started_at >= CW_MS(CW_FLEET_UNKNOWN_MS)) {
+    if (now - fleet->started_at >= CW_MS(CW_FLEET_DISCOVERY_MS)) {
         return true;
     }
     return fleet->stated > 0 && (uint64_t)in_reach * 100 >= (uint64_t)fleet->stated * CW_FLEET_REACHED_PERCENT;
--- a/src/router/fleet_size.h
+++ b/src/router/fleet_size.h
@@ -26,9 +26,9 @@
 #include "base/time.h"
 
 enum {
-    CW_FLEET_MOST_NODES = 10000, /**< so many are designed for: what is divided among all is safe by this number */
+    CW_FLEET_NODES_MAX = 10000, /**< so many are designed for: what is divided among all is safe by this number */
     CW_FLEET_MANY_NODES = 16, /**< so many learn of one another's requests too late, and ask too much of one of them */
-    CW_FLEET_UNKNOWN_MS = 3000,    /**< by then a process has received from all others, at their slowest reports */
+    CW_FLEET_DISCOVERY_MS = 3000,  /**< by then a process has received from all others, at their slowest reports */
     CW_FLEET_REACHED_PERCENT = 90, /**< the rest's equal parts are within the usual overshoot of a limit, a tenth */
     /** A number stated halves in no less: a leader that is cut off has been replaced by then, and after a fleet was
      * made smaller new processes wait as if none were stated. */
--- a/src/router/key_tables.c
+++ b/src/router/key_tables.c
@@ -10,7 +10,7 @@
 
 #include "base/memory.h"
 
-uint32_t cw_short_name(const char *text)
+uint32_t cw_name_hash(const char *text)
 {
     return (uint32_t)XXH3_64bits(text, strlen(text));
 }
@@ -106,7 +106,7 @@
 {
     return (cw_table_entry_t){.low = range->low,
                               .last = range->last,
-                              .server = cw_short_name(range->owner.id),
+                              .server = cw_name_hash(range->owner.id),
                               .fence = range->owner.fence,
                               .routable = cw_range_is_routable(range)};
 }
--- a/src/router/key_tables.h
+++ b/src/router/key_tables.h
@@ -52,6 +52,6 @@
 /** Same for the same contents; changed_in is left out. */
 uint64_t cw_key_tables_hash(const cw_key_tables_t *tables);
 /** Short name of a server or service between nodes. */
-uint32_t cw_short_name(const char *text);
+uint32_t cw_name_hash(const char *text);
 
 #endif
--- a/src/router/leader_tenure.c
+++ b/src/router/leader_tenure.c
@@ -15,7 +15,7 @@
     tenure->released_at = now;
 }
 
-uint64_t cw_leader_tenure_announced(const cw_leader_tenure_t *tenure, cw_time_us_t now)
+uint64_t cw_leader_tenure_announced_term(const cw_leader_tenure_t *tenure, cw_time_us_t now)
 {
     return now - tenure->released_at < CW_SECONDS(CW_RELEASE_ANNOUNCED_S) ? tenure->released_term : 0;
 }
--- a/src/router/leader_tenure.h
+++ b/src/router/leader_tenure.h
@@ -38,7 +38,7 @@
 /** The lock of this term was released. */
 void cw_leader_tenure_release(cw_leader_tenure_t *tenure, uint64_t term, cw_time_us_t now);
 /** Term of a lock released so lately that others are to be informed; 0: none. */
-uint64_t cw_leader_tenure_announced(const cw_leader_tenure_t *tenure, cw_time_us_t now);
+uint64_t cw_leader_tenure_announced_term(const cw_leader_tenure_t *tenure, cw_time_us_t now);
 /** Is `capability` of another node that of a rival to a node with `own`? */
 bool cw_leader_is_rival(uint32_t own, uint32_t capability);
 /** A rival is in reach now, or none is. */
--- a/src/router/list_exchange.c
+++ b/src/router/list_exchange.c
@@ -40,40 +40,40 @@
 
 /** A node of the zone and the list that it has. */
 typedef struct holder {
-    uint32_t         address;
-    cw_list_number_t has;
+    uint32_t          address;
+    cw_list_version_t has;
 } holder_t;
 
 struct cw_list_exchange {
     cw_list_exchange_owner_t owner;
 
     /* asking */
-    cw_list_number_t wanted;     /**< number 0: nothing is asked for */
-    cw_time_us_t     wanted_at;  /**< last heartbeat that named one */
-    cw_list_number_t target;     /**< the list whose pages are asked for: as wanted, or an earlier one of its term */
-    cw_list_number_t refused;    /**< it came whole, and is not the one in force */
-    uint32_t         missing;    /**< first page of the target that has not come */
-    uint32_t         window_end; /**< pages below this one were asked for */
-    uint32_t         in_vain;    /**< requests since the last page */
-    cw_time_us_t     ask_at;
-    uint32_t         redirected_to; /**< 0: by turns */
-    uint32_t         turn;
-    uint32_t         asked; /**< last */
-    holder_t         holders[HOLDERS_MAX];
-    size_t           holder_count;
-    size_t           next_holder; /**< to be replaced when there are more */
+    cw_list_version_t wanted;     /**< number 0: nothing is asked for */
+    cw_time_us_t      wanted_at;  /**< last heartbeat that named one */
+    cw_list_version_t target;     /**< the list whose pages are asked for: as wanted, or an earlier one of its term */
+    cw_list_version_t refused;    /**< it came whole, and is not the one in force */
+    uint32_t          missing;    /**< first page of the target that has not come */
+    uint32_t          window_end; /**< pages below this one were asked for */
+    uint32_t          in_vain;    /**< requests since the last page */
+    cw_time_us_t      ask_at;
+    uint32_t          redirected_to; /**< 0: by turns */
+    uint32_t          turn;
+    uint32_t          asked; /**< last */
+    holder_t          holders[HOLDERS_MAX];
+    size_t            holder_count;
+    size_t            next_holder; /**< to be replaced when there are more */
 
     /* answering */
-    double           allowance; /**< bytes that may be sent now */
-    cw_time_us_t     filled_at;
-    cw_list_number_t sent; /**< the list that was sent last */
-    transfer_t       transfers[TRANSFERS_MAX];
-    size_t           transfer_count;       /* at a time */
-    waiting_t        waiting[WAITING_MAX]; /* the earliest first */
-    size_t           waiting_count;
-    uint32_t         served[SERVED_MAX];
-    size_t           served_count;
-    size_t           served_next; /**< the one to be named next */
+    double            allowance; /**< bytes that may be sent now */
+    cw_time_us_t      filled_at;
+    cw_list_version_t sent; /**< the list that was sent last */
+    transfer_t        transfers[TRANSFERS_MAX];
+    size_t            transfer_count;       /* at a time */
+    waiting_t         waiting[WAITING_MAX]; /* the earliest first */
+    size_t            waiting_count;
+    uint32_t          served[SERVED_MAX];
+    size_t            served_count;
+    size_t            served_next; /**< the one to be named next */
 };
 
 static size_t transfers_of(double bytes_per_s)
@@ -98,14 +98,14 @@
     free(exchange);
 }
 
-static bool is_same(cw_list_number_t one, cw_list_number_t other)
+static bool is_same(cw_list_version_t one, cw_list_version_t other)
 {
     return one.term == other.term && one.number == other.number;
 }
 
 /* ---- asking ---- */
 
-static void begin_target(cw_list_exchange_t *exchange, cw_list_number_t target)
+static void begin_target(cw_list_exchange_t *exchange, cw_list_version_t target)
 {
     exchange->target = target;
     exchange->missing = 0;
@@ -117,7 +117,7 @@
     return exchange->missing > 0 && exchange->in_vain <= ASKS_IN_VAIN;
 }
 
-void cw_list_exchange_want(cw_list_exchange_t *exchange, cw_list_number_t wanted, cw_list_number_t has,
+void cw_list_exchange_want(cw_list_exchange_t *exchange, cw_list_version_t wanted, cw_list_version_t has,
                            cw_time_us_t now)
 {
     if (wanted.term < exchange->wanted.term) {
@@ -133,7 +133,7 @@
     exchange->wanted = wanted;
     exchange->wanted_at = now;
     if (has.term == wanted.term && has.number != 0) {
-        begin_target(exchange, (cw_list_number_t){0});
+        begin_target(exchange, (cw_list_version_t){0});
     } else if (exchange->target.term != wanted.term || exchange->target.number == 0 || !is_receiving(exchange)) {
         if (!is_same(exchange->target, wanted)) {
             begin_target(exchange, wanted);
@@ -153,7 +153,7 @@
     return NULL;
 }
 
-static bool has_target(const cw_list_exchange_t *exchange, cw_list_number_t has)
+static bool has_target(const cw_list_exchange_t *exchange, cw_list_version_t has)
 {
     return exchange->target.number != 0 && has.term == exchange->target.term && has.number >= exchange->target.number;
 }
@@ -183,7 +183,7 @@
     return holder;
 }
 
-void cw_list_exchange_note(cw_list_exchange_t *exchange, uint32_t address, cw_list_number_t has, cw_time_us_t now)
+void cw_list_exchange_note(cw_list_exchange_t *exchange, uint32_t address, cw_list_version_t has, cw_time_us_t now)
 {
     holder_t *holder = find_holder(exchange, address);
 
@@ -244,7 +244,7 @@
     }
 }
 
-void cw_list_exchange_page_came(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t next_missing,
+void cw_list_exchange_page_came(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t next_missing,
                                 uint32_t pages, cw_time_us_t now)
 {
     if (exchange->target.number == 0 || of.term != exchange->target.term || of.number < exchange->target.number) {
@@ -263,7 +263,7 @@
     }
 }
 
-void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t instead, cw_time_us_t now)
+void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t instead, cw_time_us_t now)
 {
     if (!is_same(of, exchange->target) || exchange->target.number == 0 || instead == exchange->owner.own_address) {
         return;
@@ -333,7 +333,7 @@
     }
 }
 
-static void redirect(cw_list_exchange_t *exchange, uint32_t address, cw_list_number_t of)
+static void redirect(cw_list_exchange_t *exchange, uint32_t address, cw_list_version_t of)
 {
     uint32_t instead;
 
@@ -346,7 +346,7 @@
     }
 }
 
-static void begin_sending(cw_list_exchange_t *exchange, cw_list_number_t of)
+static void begin_sending(cw_list_exchange_t *exchange, cw_list_version_t of)
 {
     if (!is_same(of, exchange->sent)) {
         exchange->sent = of;
--- a/src/router/list_exchange.h
+++ b/src/router/list_exchange.h
@@ -31,16 +31,16 @@
 typedef struct cw_list_exchange cw_list_exchange_t;
 
 /** A list as the leader numbers it. */
-typedef struct cw_list_number {
+typedef struct cw_list_version {
     uint64_t term;
     uint64_t number; /**< within the term; 0: none */
-} cw_list_number_t;
+} cw_list_version_t;
 
 /** Pages of a list that a node asks for. */
 typedef struct cw_list_window {
-    cw_list_number_t of;
-    uint32_t         first; /**< first page that is missing */
-    uint32_t         count;
+    cw_list_version_t of;
+    uint32_t          first; /**< first page that is missing */
+    uint32_t          count;
 } cw_list_window_t;
 
 /** What an exchange asks of its owner. */
@@ -51,7 +51,7 @@
     /** Sends these pages. Returns the bytes sent, 0: this node has no such list; is_last: the last page was sent. */
     size_t (*send_pages)(void *context, uint32_t address, const cw_list_window_t *window, bool *is_last);
     /** Names to the node at `address` another one, that this node has served. */
-    void (*redirect)(void *context, uint32_t address, cw_list_number_t of, uint32_t instead);
+    void (*redirect)(void *context, uint32_t address, cw_list_version_t of, uint32_t instead);
     double   bytes_per_s; /**< of pages that may be sent; 0: any number */
     uint32_t own_address; /**< nodes that begin at once begin with different ones */
 } cw_list_exchange_owner_t;
@@ -61,15 +61,16 @@
 
 /** The leader's heartbeat names this list; `has` is the one in force here. A list of the same term: nothing is asked
  * for, what changed comes from the leader. */
-void cw_list_exchange_want(cw_list_exchange_t *exchange, cw_list_number_t wanted, cw_list_number_t has,
+void cw_list_exchange_want(cw_list_exchange_t *exchange, cw_list_version_t wanted, cw_list_version_t has,
                            cw_time_us_t now);
 /** The node at `address`, of this node's zone, reports that it has this list. */
-void cw_list_exchange_note(cw_list_exchange_t *exchange, uint32_t address, cw_list_number_t has, cw_time_us_t now);
+void cw_list_exchange_note(cw_list_exchange_t *exchange, uint32_t address, cw_list_version_t has, cw_time_us_t now);
 /** A page of a whole list has come; `next_missing`: first page not yet here, `pages` when none is. */
-void cw_list_exchange_page_came(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t next_missing,
+void cw_list_exchange_page_came(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t next_missing,
                                 uint32_t pages, cw_time_us_t now);
 /** The node that was asked is beyond its allowance, and names another one. */
-void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_number_t of, uint32_t instead, cw_time_us_t now);
+void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t instead,
+                                 cw_time_us_t now);
 /** Asks where it is time to, and sends what waited for the allowance. */
 void cw_list_exchange_tick(cw_list_exchange_t *exchange, cw_time_us_t now);
 /** The node at `address` asks this one. */
--- a/src/router/reading_turn.c
+++ b/src/router/list_read_delay.c
@@ -1,8 +1,8 @@
 /**
- * @file reading_turn.c
+ * @file list_read_delay.c
  * @brief A window by bytes, and a place in it by hash.
  */
-#include "router/reading_turn.h"
+#include "router/list_read_delay.h"
 
 cw_time_us_t cw_reading_window(size_t nodes, size_t servers)
 {
--- a/src/router/reading_turn.h
+++ b/src/router/list_read_delay.h
@@ -1,5 +1,5 @@
 /**
- * @file reading_turn.h
+ * @file list_read_delay.h
  * @brief When a node that does not read for others reads the whole list of servers by itself.
  *
  * Nodes whose list has not come, or is not renewed, get to that point in the same moment, and each of them reads all of
@@ -10,8 +10,8 @@
  *
  * No I/O, no clock.
  */
-#ifndef CEDARWINCH_ROUTER_READING_TURN_H
-#define CEDARWINCH_ROUTER_READING_TURN_H
+#ifndef CEDARWINCH_ROUTER_LIST_READ_DELAY_H
+#define CEDARWINCH_ROUTER_LIST_READ_DELAY_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -3,7 +3,7 @@
  * @brief A node's process: start, signals, ticks.
  *
  * A planned stop is in router_stop.c, the settings file in router_reload.c, what the node answers about itself in
- * router_own.c.
+ * router_admin.c.
  */
 #include "router/router.h"
 
@@ -85,11 +85,11 @@
 {
     uint32_t alive = cw_peer_link_alive(router->link, router->settings.retry_window, now) + 1;
 
-    if (alive >= router->nodes_most || now - router->nodes_most_at > router->settings.retry_window) {
-        router->nodes_most = alive;
-        router->nodes_most_at = now;
+    if (alive >= router->peak_nodes || now - router->peak_nodes_at > router->settings.retry_window) {
+        router->peak_nodes = alive;
+        router->peak_nodes_at = now;
     }
-    return now - router->started_at < router->settings.retry_window ? 0 : router->nodes_most;
+    return now - router->started_at < router->settings.retry_window ? 0 : router->peak_nodes;
 }
 
 /* Time limits that passed while the machine was suspended: the loop's timers do not know of them. */
@@ -106,7 +106,7 @@
         cw_event_ms(&event, CW_FIELD_SUSPENDED_MS, suspended);
         cw_event_end(&event);
     }
-    cw_engine_rearm(router->engine);
+    cw_engine_restart_timers(router->engine);
 }
 
 static void on_tick(uv_timer_t *timer)
@@ -195,11 +195,11 @@
 {
     cw_engine_settings_t  settings = engine_settings(router);
     cw_upstream_options_t upstream = {.idle_max = CW_MS(IDLE_MS), .unacknowledged = CW_MS(UNACKNOWLEDGED_MS)};
-    cw_peer_handler_t     peers = {router, cw_router_datagram};
+    cw_peer_handler_t     peers = {router, cw_router_on_datagram};
     cw_store_readers_t    readers = {.context = router,
                                      .configuration = cw_router_on_configuration,
                                      .configuration_within = router->settings.configuration_within,
-                                     .configuration_newest = cw_router_on_newest,
+                                     .configuration_newest = cw_router_on_configuration_evidence,
                                      .answered = cw_router_on_answered,
                                      .zones_may_be_out = router->settings.zone_out_within > 0,
                                      .servers = cw_router_on_servers};
@@ -214,7 +214,7 @@
     router->engine = cw_engine_create(&router->loop, &settings, router->pool, router->upstream);
     error = cw_router_callers_start(router);
     if (error == 0) {
-        error = cw_router_own_start(router);
+        error = cw_router_admin_start(router);
     }
     if (error == 0) {
         error = cw_peer_link_create(&router->link, &router->loop, router->settings.peer_bind,
@@ -239,7 +239,7 @@
     cw_router_slots_init(router);
     cw_router_push_init(router);
     cw_router_pass_on_init(router);
-    router->view_parts = cw_view_parts_create();
+    router->view_updates = cw_view_updates_create();
     cw_router_relay_init(router);
     cw_router_list_exchange_init(router);
     cw_router_quota_init(router);
@@ -297,7 +297,7 @@
     }
     note_start(router);
     uv_run(&router->loop, UV_RUN_DEFAULT);
-    cw_router_note_traffic(router);
+    cw_router_log_traffic(router);
     if (cw_event_begin(&event, CW_EVENT_END)) {
         cw_event_number(&event, CW_FIELD_COUNT, (int64_t)cw_engine_requests(router->engine));
         cw_event_end(&event);
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -2,9 +2,9 @@
  * @file router.h
  * @brief One node: takes callers' requests, knows servers and configuration, follows or leads.
  *
- * Parts: router.c (start, ticks), router_own.c (readiness, status, metrics), router_reload.c (settings), router_stop.c
- * (planned stop), router_configuration.c (the configuration in force), router_peers.c (reports between nodes),
- * router_view.c (the leader's list of servers and tables of keys, and their age), router_lead.c (leadership,
+ * Parts: router.c (start, ticks), router_admin.c (readiness, status, metrics), router_reload.c (settings),
+ * router_stop.c (planned stop), router_configuration.c (the configuration in force), router_peers.c (reports between
+ * nodes), router_view.c (the leader's list of servers and tables of keys, and their age), router_lead.c (leadership,
  * assignments, plans).
  */
 #ifndef CEDARWINCH_ROUTER_ROUTER_H
--- a/src/router/router_own.c
+++ b/src/router/router_admin.c
@@ -1,5 +1,5 @@
 /**
- * @file router_own.c
+ * @file router_admin.c
  * @brief What this node answers about itself: readiness, status, metrics.
  */
 #include <stdio.h>
@@ -95,7 +95,7 @@
     (void)exchange;
 }
 
-int cw_router_own_start(cw_router_t *router)
+int cw_router_admin_start(cw_router_t *router)
 {
     cw_http_limits_t           own_limits = {.header_bytes = OWN_HEADER_BYTES,
                                              .body_bytes = OWN_HEADER_BYTES,
--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -75,7 +75,7 @@
     }
     under_way->router = keyed->router;
     under_way->assigner = keyed->assigner;
-    under_way->server = cw_short_name(order->server);
+    under_way->server = cw_name_hash(order->server);
     under_way->term = keyed->router->leadership.lock.term;
     keyed->router->adapter->order(keyed->router->platform, order, order_done, under_way);
 }
@@ -85,7 +85,7 @@
 {
     size_t index;
 
-    if (router->lead_tables > 0 || now - router->tenure.led_since > CW_MS(FIRST_TABLES_WAIT_MS)) {
+    if (router->leader_tables_version > 0 || now - router->tenure.led_since > CW_MS(FIRST_TABLES_WAIT_MS)) {
         return true;
     }
     for (index = 0; index < router->keyed_count; index++) {
@@ -115,20 +115,20 @@
     const cw_peer_t *peer;
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        count += !peer->is_lost && !cw_router_is_fed_by_relay(router, peer, now) ? 1 : 0;
+        count += !peer->is_lost && !cw_router_is_updated_by_relay(router, peer, now) ? 1 : 0;
     }
     return count;
 }
 
 void cw_router_publish_tables(cw_router_t *router, cw_time_us_t now)
 {
-    uint64_t number = router->lead_tables + 1;
+    uint64_t number = router->leader_tables_version + 1;
     bool     any = false;
     size_t   index;
 
     if (!router->table_publication.is_due ||
         !cw_table_publication_is_due(&router->table_publication, table_targets(router, now),
-                                     CW_LEADERS_DATAGRAMS_A_SECOND, now) ||
+                                     CW_LEADER_DATAGRAMS_PER_SECOND, now) ||
         !are_tables_whole(router, now)) {
         return;
     }
@@ -144,12 +144,13 @@
     if (!any) {
         return;
     }
-    if (router->lead_tables != 0) {
-        cw_replaced_numbers_add(&router->replaced_tables, router->lead_tables, router->table_publication.changed_at);
+    if (router->leader_tables_version != 0) {
+        cw_replaced_versions_add(&router->replaced_tables, router->leader_tables_version,
+                                 router->table_publication.changed_at);
     }
-    router->lead_tables = number;
-    router->view_tables = number;
-    cw_router_use_tables(router);
+    router->leader_tables_version = number;
+    router->view_tables_version = number;
+    cw_router_apply_tables(router);
     cw_router_tables_changed(router);
 }
 
@@ -224,8 +225,8 @@
     }
 }
 
-void cw_router_take_samples(cw_router_t *router, uint32_t service_hash, const cw_router_samples_t *samples,
-                            cw_time_us_t now)
+void cw_router_add_samples(cw_router_t *router, uint32_t service_hash, const cw_router_samples_t *samples,
+                           cw_time_us_t now)
 {
     size_t index;
     size_t key;
@@ -233,7 +234,7 @@
     for (index = 0; index < router->keyed_count; index++) {
         cw_service_assignment_t *keyed = &router->keyed[index];
 
-        if (cw_short_name(cw_assigner_service(keyed->assigner)) != service_hash) {
+        if (cw_name_hash(cw_assigner_service(keyed->assigner)) != service_hash) {
             continue;
         }
         for (key = 0; key < samples->count; key++) {
--- a/src/router/router_broadcast.c
+++ b/src/router/router_broadcast.c
@@ -14,7 +14,7 @@
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         bool is_near = peer->distance == CW_DISTANCE_ZONE || !cw_router_is_covered(router, peer, now);
 
-        if (!peer->is_lost && (is_near || (cw_router_is_own_relay(router) && cw_router_is_relay(router, peer)))) {
+        if (!peer->is_lost && (is_near || (cw_router_acts_as_relay(router) && cw_router_is_relay(router, peer)))) {
             cw_peer_link_send_packed(router->link, peer, length);
         }
     }
@@ -37,7 +37,7 @@
     const cw_peer_t *peer;
     size_t           length;
 
-    if (!cw_router_is_own_relay(router) || *stage >= CW_BROADCAST_INSIDE_ZONE ||
+    if (!cw_router_acts_as_relay(router) || *stage >= CW_BROADCAST_INSIDE_ZONE ||
         (*stage == CW_BROADCAST_FROM_NODE) != is_from_zone) {
         return;
     }
--- a/src/router/router_callers.c
+++ b/src/router/router_callers.c
@@ -25,7 +25,7 @@
 {
     cw_router_t *router = context;
 
-    cw_engine_gone(router->engine, exchange);
+    cw_engine_caller_disconnected(router->engine, exchange);
 }
 
 static bool rejects(void *context, const cw_http_inbound_t *head)
--- a/src/router/router_configuration.c
+++ b/src/router/router_configuration.c
@@ -61,7 +61,7 @@
                             keyed > CW_KEYED_SERVICES_MAX ? keyed - CW_KEYED_SERVICES_MAX : 0);
 }
 
-bool cw_router_use_configuration(cw_router_t *router, cw_configuration_t *configuration)
+bool cw_router_apply_configuration(cw_router_t *router, cw_configuration_t *configuration)
 {
     if (router->configuration != NULL && configuration->version <= router->configuration->version) {
         cw_configuration_release(configuration); /* never back */
@@ -71,10 +71,10 @@
     note_keyed_services(configuration);
     cw_configuration_release(router->configuration);
     router->configuration = configuration;
-    router->all_due = true;
+    router->all_report_due = true;
     cw_configuration_freshness_set(&router->freshness, configuration->version);
     cw_engine_set_configuration(router->engine, configuration);
-    cw_router_use_warm_ups(router);
+    cw_router_apply_warm_ups(router);
     cw_http_listener_set_limits(router->callers, &configuration->limits);
     cw_metric_set(CW_METRIC_CONFIGURATION, configuration->version);
     return true;
@@ -92,12 +92,12 @@
         }
         return;
     }
-    if (cw_router_use_configuration(router, configuration)) {
+    if (cw_router_apply_configuration(router, configuration)) {
         cw_router_share_configuration(router, true, cw_router_now(router));
     }
 }
 
-void cw_router_on_newest(void *context, uint64_t version, cw_time_us_t at)
+void cw_router_on_configuration_evidence(void *context, uint64_t version, cw_time_us_t at)
 {
     cw_router_t *router = context;
 
@@ -123,7 +123,7 @@
     cw_event_t                event;
 
     cw_engine_trust_keys(router->engine, cw_credential_evidence_trusted_until(evidence, complete_at));
-    if (change != CW_EVIDENCE_AS_BEFORE &&
+    if (change != CW_EVIDENCE_UNCHANGED &&
         cw_event_begin(&event, change == CW_EVIDENCE_STALE ? CW_EVENT_KEYS_STALE : CW_EVENT_KEYS_CONFIRMED)) {
         cw_event_number(&event, CW_FIELD_CONFIGURATION, (int64_t)cw_router_version(router));
         cw_event_text(&event, CW_FIELD_DETAIL, evidence->fails_closed ? "fails closed" : "goes on");
--- a/src/router/router_crashes.c
+++ b/src/router/router_crashes.c
@@ -84,9 +84,9 @@
 
 void cw_router_crashes_note_gone(cw_router_t *router, const cw_server_entry_t *entry)
 {
-    uint32_t server = cw_short_name(entry->id);
+    uint32_t server = cw_name_hash(entry->id);
 
-    if (!entry->draining && cw_crash_suspects_waits_for(router->crashes->suspects, server)) {
+    if (!entry->draining && cw_crash_suspects_has_loss_at(router->crashes->suspects, server)) {
         cw_crash_suspects_note_end(router->crashes->suspects, server, cw_router_now(router));
     }
 }
@@ -204,12 +204,12 @@
     if (sighting->is_clearance) {
         (void)cw_crash_suspects_clear(crashes->suspects, crash.request, crash.lost_at); /* others know it already */
     } else {
-        cw_crash_suspects_take(crashes->suspects, &crash, now);
+        cw_crash_suspects_note_reported(crashes->suspects, &crash, now);
     }
 }
 
-void cw_router_take_crash_report(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
-                                 cw_time_us_t now)
+void cw_router_handle_crash_report(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
+                                   cw_time_us_t now)
 {
     const Cwp__CrashReport *report = datagram->crash_report;
     size_t                  index;
--- a/src/router/router_detours.c
+++ b/src/router/router_detours.c
@@ -13,8 +13,8 @@
 #include "router/router_internal.h"
 
 enum {
-    SUSPECT_MS = 500,                   /* the slowest pause between reports of few nodes is 300 ms (router_peers.c) */
-    WELL_KNOWN_MS = CW_FLEET_UNKNOWN_MS /* by then a process has received from all nodes that reach it */
+    SUSPECT_MS = 500, /* the slowest pause between reports of few nodes is 300 ms (router_peers.c) */
+    WELL_KNOWN_MS = CW_FLEET_DISCOVERY_MS /* by then a process has received from all nodes that reach it */
 };
 
 void cw_router_detours_init(cw_router_t *router)
@@ -65,7 +65,7 @@
 }
 
 /* Sooner than a silent node counts as lost: what is given out on its behalf it may be serving by itself meanwhile. */
-bool cw_router_is_in_touch(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+bool cw_router_is_reachable(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     bool is_direct = is_received(router, peer, now) && !is_missing_this(router, peer, now);
 
@@ -226,7 +226,7 @@
         return; /* of a later version, as any datagram that cannot be read */
     }
     if (may_go_by_detour(datagram)) {
-        cw_router_datagram(router, origin, datagram);
+        cw_router_on_datagram(router, origin, datagram);
     }
     cwp__datagram__free_unpacked(datagram, NULL);
 }
@@ -264,7 +264,7 @@
     }
 }
 
-void cw_router_take_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
+void cw_router_handle_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
 {
     if (detour->destination == own_address(router)) {
         take_own(router, sender, detour);
--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -51,7 +51,7 @@
     router->order_trust = cw_order_trust_create();
 }
 
-bool cw_router_is_able(const cw_router_t *router, cw_time_us_t now)
+bool cw_router_has_authority(const cw_router_t *router, cw_time_us_t now)
 {
     return cw_leadership_has_authority(&router->leadership, now);
 }
@@ -102,26 +102,26 @@
     if (router->leadership.leading && (!before || router->leadership.lock.term != term)) {
         cw_router_end_assigners(router);
         cw_leader_tenure_begin(&router->tenure, now);
-        router->lead_servers = 1;
-        router->lead_tables = 0;
-        cw_replaced_numbers_begin(&router->replaced_servers);
-        cw_replaced_numbers_begin(&router->replaced_tables);
+        router->leader_list_version = 1;
+        router->leader_tables_version = 0;
+        cw_replaced_versions_begin(&router->replaced_servers);
+        cw_replaced_versions_begin(&router->replaced_tables);
         cw_key_tables_clear(&router->tables);
-        cw_list_history_begin(&router->list_history, router->server_view.list, router->lead_servers);
-        cw_router_push_begin(router, now);
+        cw_list_history_begin(&router->list_history, router->server_view.list, router->leader_list_version);
+        cw_router_push_begin_term(router, now);
         router->view_term = router->leadership.lock.term;
-        router->view_servers = 1;
-        router->view_tables = 0;
+        router->view_list_version = 1;
+        router->view_tables_version = 0;
         router->leader_term = router->leadership.lock.term;
         memcpy(router->leader_node, router->settings.node, sizeof(router->leader_node));
         note_leadership(router, CW_EVENT_LEADER_TAKEN, NULL);
     } else if (before && !router->leadership.leading) {
         if (router->leadership.lock.vacant) {
             cw_leader_tenure_release(&router->tenure, term, now);
-            router->all_due = true; /* others need not wait until they miss the leader's heartbeat */
+            router->all_report_due = true; /* others need not wait until they miss the leader's heartbeat */
         }
         cw_router_end_assigners(router);
-        router->lead_tables = 0;
+        router->leader_tables_version = 0;
         router->view_term = 0;
         router->leader_node[0] = '\0';
         note_leadership(router, CW_EVENT_LEADER_LOST, router->leadership.lock.vacant ? "resigned" : "taken by another");
@@ -145,7 +145,7 @@
     cw_leadership_action_t action;
     json_t                *value;
 
-    cw_leadership_set_nodes(&router->leadership, cw_fleet_size_to_state(&router->fleet_size, router->nodes_most, now));
+    cw_leadership_set_nodes(&router->leadership, cw_fleet_size_to_state(&router->fleet_size, router->peak_nodes, now));
     action = cw_leadership_tick(&router->leadership, now);
     if (action == CW_LEADERSHIP_WAIT) {
         return;
@@ -166,12 +166,12 @@
 
 /* ---- the store's health ---- */
 
-static void log_store_lost(const cw_store_reach_t *reach, cw_time_us_t now)
+static void log_store_lost(const cw_store_availability_t *reach, cw_time_us_t now)
 {
     cw_event_t event;
 
     if (cw_event_begin(&event, CW_EVENT_STORE_LOST)) {
-        cw_event_ms(&event, CW_FIELD_SILENT_MS, cw_store_reach_failing_for(reach, now));
+        cw_event_ms(&event, CW_FIELD_SILENT_MS, cw_store_availability_failing_for(reach, now));
         cw_event_end(&event);
     }
 }
@@ -187,10 +187,10 @@
 
 void cw_router_store_result(cw_router_t *router, bool answered, cw_time_us_t now)
 {
-    cw_store_change_t change = cw_store_reach_note(&router->store_reach, answered, now);
+    cw_store_change_t change = cw_store_availability_note(&router->store_availability, answered, now);
 
     if (change == CW_STORE_LOST) {
-        log_store_lost(&router->store_reach, now);
+        log_store_lost(&router->store_availability, now);
     } else if (change == CW_STORE_BACK) {
         log_store_back();
     }
@@ -288,7 +288,7 @@
     }
     cw_leadership_set_followers(&router->leadership, followers);
     cw_leadership_defer(&router->leadership, cw_leader_tenure_deference(&router->tenure));
-    if (cw_router_is_able(router, now) && cw_leader_tenure_should_hand_over(&router->tenure, now) &&
+    if (cw_router_has_authority(router, now) && cw_leader_tenure_should_hand_over(&router->tenure, now) &&
         !is_store_in_trouble(router, now)) {
         note_leadership(router, CW_EVENT_LEADER_LOST, "a more capable node is in reach");
         cw_leadership_step_down(&router->leadership, now, CW_SECONDS(CUT_OFF_PAUSE_S));
@@ -322,9 +322,9 @@
 
     prefer_capable(router, now);
     step_lock(router, now);
-    able = cw_router_is_able(router, now);
+    able = cw_router_has_authority(router, now);
     if (cw_leader_tenure_authority_changed(&router->tenure, able)) {
-        router->all_due = true;
+        router->all_report_due = true;
         cw_metric_set(CW_METRIC_LEADING, able ? 1 : 0);
     }
     if (!router->leadership.leading || !able || router->configuration == NULL) {
--- a/src/router/router_list_exchange.c
+++ b/src/router/router_list_exchange.c
@@ -4,7 +4,7 @@
  *
  * A node answers from its own list while that is the leader's by number and hash, and goes on with a transfer under way
  * when a newer one has come into force here. Whether a list that came replaces the one in force is decided as for those
- * that the leader sends (router_take.c): a lower revision of the store never replaces a later one.
+ * that the leader sends (router_view_pages.c): a lower revision of the store never replaces a later one.
  */
 #include <stdlib.h>
 
@@ -20,32 +20,32 @@
 
 /** A list that is sent to others. */
 typedef struct snapshot {
-    cw_list_number_t  of;
+    cw_list_version_t of;
     cw_server_list_t *list; /**< NULL: none */
     uint64_t          revision;
 } snapshot_t;
 
 struct cw_router_list_exchange {
     cw_list_exchange_t *exchange;
-    cw_list_number_t    leaders; /**< the list that the leader's last heartbeat named */
+    cw_list_version_t   leaders; /**< the list that the leader's last heartbeat named */
     uint64_t            leaders_hash;
     snapshot_t          snapshot;
 };
 
-static bool is_same(cw_list_number_t one, cw_list_number_t other)
+static bool is_same(cw_list_version_t one, cw_list_version_t other)
 {
     return one.term == other.term && one.number == other.number;
 }
 
-static cw_list_number_t number_in_force(const cw_router_t *router)
+static cw_list_version_t number_in_force(const cw_router_t *router)
 {
-    return (cw_list_number_t){.term = router->view_term, .number = router->view_servers};
+    return (cw_list_version_t){.term = router->view_term, .number = router->view_list_version};
 }
 
 /* ---- what is sent ---- */
 
 /* Has this node this list, as the leader has it? */
-static bool has_list(const cw_router_t *router, cw_list_number_t of)
+static bool has_list(const cw_router_t *router, cw_list_version_t of)
 {
     const cw_router_list_exchange_t *lists = router->list_exchange;
 
@@ -56,7 +56,7 @@
            (is_same(of, lists->leaders) && lists->leaders_hash == router->server_view.hash);
 }
 
-static void take_snapshot(cw_router_t *router, cw_list_number_t of)
+static void take_snapshot(cw_router_t *router, cw_list_version_t of)
 {
     snapshot_t *snapshot = &router->list_exchange->snapshot;
 
@@ -87,7 +87,7 @@
     page->revision = snapshot->revision;
     page->zones_out = snapshot->list->zones_out.names;
     page->n_zones_out = snapshot->list->zones_out.count;
-    page->pages = cw_servers_pages_of(snapshot->list, 0);
+    page->pages = cw_servers_page_count(snapshot->list, 0);
 }
 
 static size_t send_page(cw_router_t *router, const cw_peer_t *peer, const snapshot_t *snapshot, uint32_t number)
@@ -121,7 +121,7 @@
     if (peer == NULL || snapshot == NULL) {
         return 0;
     }
-    pages = cw_servers_pages_of(snapshot->list, 0);
+    pages = cw_servers_page_count(snapshot->list, 0);
     for (number = window->first; number < pages && number - window->first < window->count; number++) {
         bytes += send_page(router, peer, snapshot, number);
     }
@@ -165,7 +165,7 @@
     note_request(peer, window);
 }
 
-static void send_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t instead)
+static void send_redirect(void *context, uint32_t address, cw_list_version_t of, uint32_t instead)
 {
     cw_router_t     *router = context;
     const cw_peer_t *peer = cw_peer_link_find(router->link, address);
@@ -221,7 +221,7 @@
 void cw_router_list_exchange_heartbeat(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
     cw_router_list_exchange_t *lists = router->list_exchange;
-    cw_list_number_t           named = {.term = heartbeat->term, .number = heartbeat->servers};
+    cw_list_version_t          named = {.term = heartbeat->term, .number = heartbeat->servers};
 
     lists->leaders = named;
     lists->leaders_hash = heartbeat->servers_hash;
@@ -230,9 +230,9 @@
     }
 }
 
-void cw_router_list_exchange_note(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+void cw_router_list_exchange_note_holder(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    cw_list_number_t has = {.term = peer->term, .number = peer->servers};
+    cw_list_version_t has = {.term = peer->term, .number = peer->servers};
 
     if (peer->distance == CW_DISTANCE_ZONE) {
         cw_list_exchange_note(router->list_exchange->exchange, peer->address, has, now);
@@ -253,10 +253,10 @@
     }
 }
 
-void cw_router_list_exchange_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
-                                  uint32_t next_missing)
+void cw_router_list_exchange_page_received(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
+                                           uint32_t next_missing)
 {
-    cw_list_number_t of = {.term = page->term, .number = page->number};
+    cw_list_version_t of = {.term = page->term, .number = page->number};
 
     if (next_missing >= page->pages && peer->distance == CW_DISTANCE_ZONE && is_same(of, number_in_force(router))) {
         note_list(peer, page);
@@ -266,12 +266,12 @@
 
 void cw_router_list_exchange_redirected(cw_router_t *router, const Cwp__ServersPage *page)
 {
-    cw_list_number_t of = {.term = page->term, .number = page->number};
+    cw_list_version_t of = {.term = page->term, .number = page->number};
 
     cw_list_exchange_redirected(router->list_exchange->exchange, of, page->ask_instead, cw_router_now(router));
 }
 
-void cw_router_take_list_request(cw_router_t *router, const cw_peer_t *peer, const Cwp__ListRequest *request)
+void cw_router_handle_list_request(cw_router_t *router, const cw_peer_t *peer, const Cwp__ListRequest *request)
 {
     cw_list_window_t window = {.of = {.term = request->term, .number = request->number},
                                .first = request->first_page,
--- a/src/router/router_pass_on.c
+++ b/src/router/router_pass_on.c
@@ -66,7 +66,7 @@
         }
     }
     qsort(*addresses, count, sizeof(**addresses), compare_addresses);
-    if (!cw_router_is_first_relay(router)) {
+    if (!cw_router_acts_as_first_relay(router)) {
         reverse(*addresses, count);
     }
     return count;
@@ -160,8 +160,8 @@
     const cw_peer_t     *peer;
     size_t               length;
 
-    if (leader->distance == CW_DISTANCE_ZONE || !cw_router_is_own_relay(router) ||
-        cw_router_is_of_backlog(router, cw_router_now(router))) {
+    if (leader->distance == CW_DISTANCE_ZONE || !cw_router_acts_as_relay(router) ||
+        cw_router_reads_backlog(router, cw_router_now(router))) {
         return;
     }
     passed.leader = leader->address;
@@ -195,20 +195,20 @@
     return true;
 }
 
-void cw_router_take_passed_heartbeat(cw_router_t *router, const cw_peer_t *sender, const Cwp__PassedHeartbeat *passed,
-                                     cw_time_us_t now)
+void cw_router_handle_passed_heartbeat(cw_router_t *router, const cw_peer_t *sender, const Cwp__PassedHeartbeat *passed,
+                                       cw_time_us_t now)
 {
     cw_peer_t *leader = cw_peer_link_learn(router->link, passed->leader, now);
 
     if (leader == NULL || passed->heartbeat == NULL || sender->distance != CW_DISTANCE_ZONE ||
-        cw_router_is_of_backlog(router, now) || !take_sequence(leader, passed, now)) {
+        cw_router_reads_backlog(router, now) || !take_sequence(leader, passed, now)) {
         return;
     }
     cw_text_copy(leader->node, sizeof(leader->node), passed->node);
     leader->stopping = passed->stopping;
     leader->last_received_at = now;
     leader->is_lost = false;
-    cw_router_take_leader_heartbeat(router, leader, passed->heartbeat, now);
+    cw_router_handle_leader_heartbeat(router, leader, passed->heartbeat, now);
     cw_router_note_configuration(router, leader, passed->configuration, now);
     cw_configuration_freshness_unpack(&router->freshness, passed->configuration,
                                       passed->heartbeat->configuration_age_ms, now);
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -52,7 +52,7 @@
  * zone's relays. */
 static bool has_news_for_all(const cw_router_t *router, cw_time_us_t now)
 {
-    return router->leadership.leading || cw_leader_tenure_announced(&router->tenure, now) != 0;
+    return router->leadership.leading || cw_leader_tenure_announced_term(&router->tenure, now) != 0;
 }
 
 /** Nodes that this one reports to, and why. */
@@ -90,7 +90,7 @@
     cw_router_t        *router = context;
     cw_router_samples_t taken = {samples->keys, samples->regions, samples->count, samples->seen, router->settings.zone};
 
-    cw_router_take_samples(router, cw_short_name(service), &taken, cw_router_now(router));
+    cw_router_add_samples(router, cw_name_hash(service), &taken, cw_router_now(router));
 }
 
 /* Names and paces are most of a report's bytes, and what they tell changes slowly: the more nodes, the rarer. */
@@ -148,7 +148,7 @@
 {
     cw_peer_t *peer;
 
-    router->sent_keys_at = now;
+    router->key_samples_sent_at = now;
     if (router->leadership.leading) {
         cw_engine_take_samples(router->engine, take_own_sample, router);
         return;
@@ -183,7 +183,7 @@
 static int64_t paced(const cw_router_t *router, int64_t pause_ms, uint32_t peers, int64_t datagrams_a_second)
 {
     bool    is_new = cw_router_is_new(router, cw_router_now(router));
-    int64_t budget = router->leadership.leading ? CW_LEADERS_DATAGRAMS_A_SECOND
+    int64_t budget = router->leadership.leading ? CW_LEADER_DATAGRAMS_PER_SECOND
                      : is_new                   ? DATAGRAMS_A_SECOND /* the others have to learn of it */
                                                 : datagrams_a_second;
     int64_t affordable_ms = (int64_t)peers * 1000 / budget;
@@ -193,7 +193,7 @@
 
 static int64_t budget_to_all(uint32_t peers)
 {
-    return peers > FEW_NODES ? CW_MANY_DATAGRAMS_A_SECOND : DATAGRAMS_A_SECOND;
+    return peers > FEW_NODES ? CW_LARGE_FLEET_DATAGRAMS_PER_SECOND : DATAGRAMS_A_SECOND;
 }
 
 static int64_t paced_to_all(const cw_router_t *router, int64_t pause_ms, uint32_t peers)
@@ -229,16 +229,16 @@
     cw_time_us_t idle = CW_MS(paced_to_all(router, IDLE_PAUSE_MS, all));
 
     set_silence(router, idle, 0);
-    if ((router->all_due && since_all >= CW_MS(paced_to_all(router, ALL_PAUSE_MS, all))) || since_all >= idle) {
+    if ((router->all_report_due && since_all >= CW_MS(paced_to_all(router, ALL_PAUSE_MS, all))) || since_all >= idle) {
         send_to_all(router, CW_REPORT_LOADS | parts_of_full(router, all, now), now);
         router->reported_all_at = now;
         router->reported_zone_at = now;
-        router->all_due = false;
-        router->zone_due = false;
-    } else if (router->zone_due && since_zone >= CW_MS(paced_in_zone(router, near, all))) {
+        router->all_report_due = false;
+        router->zone_report_due = false;
+    } else if (router->zone_report_due && since_zone >= CW_MS(paced_in_zone(router, near, all))) {
         send_to_zone(router, CW_REPORT_LOADS, now);
         router->reported_zone_at = now;
-        router->zone_due = false;
+        router->zone_report_due = false;
     }
 }
 
@@ -258,13 +258,13 @@
     bool         has_news = has_news_for_all(router, now);
     uint32_t     informed = router->leadership.leading ? targets->relays : targets->covered;
     uint32_t     count = targets->uncovered + (has_news ? informed : 0);
-    bool         is_due = router->all_due && since >= CW_MS(paced_to_all(router, ALL_PAUSE_MS, count));
+    bool         is_due = router->all_report_due && since >= CW_MS(paced_to_all(router, ALL_PAUSE_MS, count));
 
     if (!is_due && since < CW_MS(paced_to_all(router, IDLE_PAUSE_MS, count))) {
         return;
     }
     router->reported_all_at = now;
-    router->all_due = false;
+    router->all_report_due = false;
     send_beyond_zone(router, false, now);
     if (has_news) {
         send_beyond_zone(router, true, now);
@@ -279,11 +279,12 @@
     cw_time_us_t     idle = CW_MS(paced(router, IDLE_PAUSE_MS, targets.near, budget_to_all(all)));
 
     judge_silence(router, &targets);
-    router->all_due = router->all_due || (router->zone_due && targets.uncovered > 0);
-    if ((router->zone_due && since_zone >= CW_MS(paced_in_zone(router, targets.near, all))) || since_zone >= idle) {
+    router->all_report_due = router->all_report_due || (router->zone_report_due && targets.uncovered > 0);
+    if ((router->zone_report_due && since_zone >= CW_MS(paced_in_zone(router, targets.near, all))) ||
+        since_zone >= idle) {
         send_to_zone(router, CW_REPORT_LOADS | parts_of_full(router, targets.near, now), now);
         router->reported_zone_at = now;
-        router->zone_due = false;
+        router->zone_report_due = false;
     }
     report_beyond_zone(router, &targets, now);
     if (now - router->reported_leader_at >= CW_MS(LEADER_PAUSE_MS) && !router->leadership.leading) {
@@ -296,8 +297,8 @@
     bool is_among_many = cw_router_nodes_are_many(router);
 
     if (cw_engine_take_changed(router->engine)) {
-        router->zone_due = true;
-        router->all_due = router->all_due || !is_among_many;
+        router->zone_report_due = true;
+        router->all_report_due = router->all_report_due || !is_among_many;
     }
     if (is_among_many) {
         report_among_many(router, now);
@@ -308,14 +309,14 @@
 
 /* ---- ticks ---- */
 
-cw_time_us_t cw_router_report_life(const cw_router_t *router)
+cw_time_us_t cw_router_report_lifetime(const cw_router_t *router)
 {
     cw_time_us_t life = router->silence / SILENCE_IN_PAUSES + CW_MS(REPORT_SLACK_MS); /* the next one replaces it */
 
     return life > CW_MS(CW_POOL_REPORT_LIFE_MS) ? life : CW_MS(CW_POOL_REPORT_LIFE_MS);
 }
 
-void cw_router_note_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent)
+void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent)
 {
     cw_event_t event;
 
@@ -343,7 +344,7 @@
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         if (peer->last_received_at != 0 && !peer->is_lost && now - peer->last_received_at > router->silence) {
             peer->is_lost = true;
-            cw_router_note_peer(peer, CW_EVENT_PEER_LOST, now - peer->last_received_at);
+            cw_router_log_peer(peer, CW_EVENT_PEER_LOST, now - peer->last_received_at);
         }
     }
 }
@@ -351,10 +352,10 @@
 void cw_router_peers_tick(cw_router_t *router, cw_time_us_t now)
 {
     report(router, now);
-    if (now - router->sent_keys_at >= keys_pause(router, now) && cw_engine_has_samples(router->engine)) {
+    if (now - router->key_samples_sent_at >= keys_pause(router, now) && cw_engine_has_samples(router->engine)) {
         send_keys(router, now);
     }
     find_lost(router, now);
-    cw_server_pool_expire(router->pool, cw_router_report_life(router), now);
+    cw_server_pool_expire(router->pool, cw_router_report_lifetime(router), now);
     cw_peer_link_expire(router->link, router->silence + CW_SECONDS(FORGET_S), now);
 }
--- a/src/router/router_plan.c
+++ b/src/router/router_plan.c
@@ -74,7 +74,7 @@
 /* In order of their ids, as they are listed. */
 static void list_servers(cw_router_t *router, const char *service, planned_servers_t *servers, cw_time_us_t now)
 {
-    double           usual_s = (double)cw_engine_usual_time(router->engine, service) / 1e6;
+    double           usual_s = (double)cw_engine_mean_time(router->engine, service) / 1e6;
     region_answers_t answers = {.count = 0};
     size_t           index;
 
--- a/src/router/router_push.c
+++ b/src/router/router_push.c
@@ -71,7 +71,7 @@
                                  .is_relayed = scope->pass_on,
                                  .term = router->view_term,
                                  .base = scope->base,
-                                 .number = is_list ? router->view_servers : router->view_tables,
+                                 .number = is_list ? router->view_list_version : router->view_tables_version,
                                  .pages = (uint32_t)batch->count};
 }
 
@@ -115,7 +115,7 @@
     return now + CW_MS((int64_t)RESEND_MS << doublings);
 }
 
-bool cw_router_is_fed_by_relay(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+bool cw_router_is_updated_by_relay(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     return peer->distance != CW_DISTANCE_ZONE && !cw_router_is_relay(router, peer) &&
            cw_router_is_covered(router, peer, now);
@@ -148,7 +148,7 @@
     if (is_whole && is_list) {
         return cw_router_gets_list_in_zone(router, peer);
     }
-    return cw_router_is_fed_by_relay(router, peer, now);
+    return cw_router_is_updated_by_relay(router, peer, now);
 }
 
 /* Is it this node's turn to be sent what it lacks? */
@@ -187,7 +187,7 @@
     return peer->term == router->leadership.lock.term ? has : 0;
 }
 
-void cw_router_push_begin(cw_router_t *router, cw_time_us_t now)
+void cw_router_push_begin_term(cw_router_t *router, cw_time_us_t now)
 {
     cw_peer_t *peer;
 
@@ -204,7 +204,7 @@
 {
     cwp__servers_page__init(page);
     page->term = router->view_term;
-    page->number = router->view_servers;
+    page->number = router->view_list_version;
     page->since = base;
     page->revision = router->server_view.revision;
     page->servers = room->pointers;
@@ -218,7 +218,7 @@
     const cw_server_list_t       *list = router->server_view.list;
     Cwp__ServersPage              page;
     Cwp__Datagram                 datagram = CWP__DATAGRAM__INIT;
-    uint32_t                      pages = cw_servers_pages_of(list, scope->base);
+    uint32_t                      pages = cw_servers_page_count(list, scope->base);
     uint32_t                      number = 0;
     size_t                        index = 0;
 
@@ -263,14 +263,14 @@
 
     forget_packed(packed);
     cw_send_allowance_refill(&router->push_allowance, now);
-    if (!router->leadership.leading || router->server_view.list == NULL || router->lead_servers == 0) {
+    if (!router->leadership.leading || router->server_view.list == NULL || router->leader_list_version == 0) {
         return;
     }
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         uint64_t        base = base_of(router, peer, peer->servers);
         cw_push_scope_t scope;
 
-        if (is_due(router, peer, &peer->servers_push, peer->servers, router->lead_servers, true, now)) {
+        if (is_due(router, peer, &peer->servers_push, peer->servers, router->leader_list_version, true, now)) {
             peer->servers_push.due_at = cw_router_next_push(&peer->servers_push, now);
             base = cw_list_history_covers(&router->list_history, base) ? base : 0;
             scope = (cw_push_scope_t){.base = base, .pass_on = base != 0 && is_to_pass_on(router, peer)};
@@ -281,13 +281,13 @@
 
 void cw_router_servers_changed(cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t   pages = cw_servers_pages_of(router->server_view.list, router->lead_servers - 1);
+    uint32_t   pages = cw_servers_page_count(router->server_view.list, router->leader_list_version - 1);
     cw_peer_t *peer;
 
     router->relay_delays.servers = relay_delay(router, (size_t)pages * SERVERS_PAGE_BYTES);
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        if (peer->term == router->leadership.lock.term && peer->servers + 1 >= router->lead_servers) {
+        if (peer->term == router->leadership.lock.term && peer->servers + 1 >= router->leader_list_version) {
             peer->servers_push.due_at = 0; /* it had the newest: one change is on its way at once */
         }
     }
@@ -354,7 +354,7 @@
 
     datagram.content_case = CWP__DATAGRAM__CONTENT_TABLE;
     datagram.table = page;
-    for (part = 0; part < cw_table_pages_of(count); part++) {
+    for (part = 0; part < cw_table_page_count(count); part++) {
         cw_table_page_fill(page, &room, entries, count, part);
         cw_peer_link_pack_into(router->link, batch, &datagram);
         page->page++;
@@ -368,12 +368,12 @@
     size_t                  index;
 
     page.term = router->view_term;
-    page.number = router->view_tables;
+    page.number = router->view_tables_version;
     page.since = scope->base;
     page.pass_on = scope->pass_on;
     for (index = 0; index < router->tables.count; index++) {
         page.pages +=
-            cw_table_pages_of(cw_table_changes(&router->tables.items[index], scope->base, changes, CW_KEY_LAST + 1));
+            cw_table_page_count(cw_table_changes(&router->tables.items[index], scope->base, changes, CW_KEY_LAST + 1));
     }
     for (index = 0; index < router->tables.count; index++) {
         size_t count = cw_table_changes(&router->tables.items[index], scope->base, changes, CW_KEY_LAST + 1);
@@ -401,13 +401,13 @@
     cw_peer_t               *peer;
 
     forget_packed(packed);
-    if (!router->leadership.leading || router->lead_tables == 0) {
+    if (!router->leadership.leading || router->leader_tables_version == 0) {
         return;
     }
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         cw_push_scope_t scope;
 
-        if (is_due(router, peer, &peer->tables_push, peer->tables, router->lead_tables, false, now)) {
+        if (is_due(router, peer, &peer->tables_push, peer->tables, router->leader_tables_version, false, now)) {
             peer->tables_push.due_at = cw_router_next_push(&peer->tables_push, now);
             scope.base = base_of(router, peer, peer->tables);
             scope.pass_on = is_to_pass_on(router, peer);
@@ -425,7 +425,7 @@
 
     for (index = 0; index < router->tables.count; index++) {
         for (place = 0; place < router->tables.items[index].count; place++) {
-            changed += router->tables.items[index].entries[place].changed_in == router->lead_tables ? 1 : 0;
+            changed += router->tables.items[index].entries[place].changed_in == router->leader_tables_version ? 1 : 0;
         }
     }
     return changed * TABLE_RANGE_BYTES;
@@ -439,10 +439,11 @@
     router->relay_delays.tables = relay_delay(router, bytes_of_change(router));
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        bool had_newest = peer->tables + 1 >= router->lead_tables; /* others are waited for as long as before */
+        bool had_newest =
+            peer->tables + 1 >= router->leader_tables_version; /* others are waited for as long as before */
 
         if (peer->term == router->leadership.lock.term && peer->tables != 0 &&
-            (had_newest || !cw_router_is_fed_by_relay(router, peer, now))) {
+            (had_newest || !cw_router_is_updated_by_relay(router, peer, now))) {
             peer->tables_push.due_at = 0;
             peer->tables_push.tries = 0;
         }
--- a/src/router/router_quota.c
+++ b/src/router/router_quota.c
@@ -66,7 +66,7 @@
         cw_quota_counter_report(quota->counter, from, message->incarnation, &message->usages[index], 1, now_of(quota));
         if (cw_quota_counter_is_metered(quota->counter, tenant, now_of(quota))) {
             reply.metered[reply.count++] = tenant;
-        } else if (cw_quota_counter_is_behind(quota->counter, tenant, message->version)) {
+        } else if (cw_quota_counter_is_outdated(quota->counter, tenant, message->version)) {
             reply.unknown[reply.unknown_count++] = tenant;
         }
     }
@@ -146,7 +146,7 @@
 static bool still_declines(cw_router_quota_t *quota, cw_time_us_t now)
 {
     if (cw_router_quota_declines(quota) && now - quota->gathered_at >= CW_MS(CW_TICK_MS)) {
-        cw_router_quota_look_around(quota, now);
+        cw_router_quota_update_nodes(quota, now);
     }
     return cw_router_quota_declines(quota);
 }
@@ -308,7 +308,7 @@
 
     follow_configuration(quota);
     if (now - quota->gathered_at >= CW_MS(GATHER_EVERY_MS)) {
-        cw_router_quota_look_around(quota, now);
+        cw_router_quota_update_nodes(quota, now);
         cw_metric_set(CW_METRIC_LIMIT_TENANTS, cw_quota_share_tenants(quota->share));
         cw_metric_set(CW_METRIC_LIMIT_BUCKETS, cw_quota_counter_buckets(quota->counter));
     }
--- a/src/router/router_quota.h
+++ b/src/router/router_quota.h
@@ -71,7 +71,7 @@
 
 /* ---- router_quota_choice.c ---- */
 /** Looks again which nodes may count, and for how many. */
-void cw_router_quota_look_around(cw_router_quota_t *quota, cw_time_us_t now);
+void cw_router_quota_update_nodes(cw_router_quota_t *quota, cw_time_us_t now);
 /** Has this process just started, so that it does not know the other nodes yet? */
 bool cw_router_quota_is_new(const cw_router_quota_t *quota);
 /** Does this node not count for anybody now? */
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -87,7 +87,7 @@
 
 uint32_t cw_router_quota_counting_node(cw_router_quota_t *quota, uint32_t tenant)
 {
-    bool nobody_counts = cw_quota_share_declining(quota->share, now_of(quota)) >= DECLINING_MOST;
+    bool nobody_counts = cw_quota_share_declined_count(quota->share, now_of(quota)) >= DECLINING_MOST;
 
     return nobody_counts || is_isolated(quota) ? 0 : choose_replying(quota, tenant);
 }
@@ -110,7 +110,7 @@
     cw_quota_choice_t *choice;
 
     if (quota->gathered_at == 0) {
-        cw_router_quota_look_around(quota, now_of(quota));
+        cw_router_quota_update_nodes(quota, now_of(quota));
     }
     choice = use_choice(quota, tenant);
     if (choice->chosen_at == 0 || choice->chosen_at <= quota->changed_at) {
@@ -208,7 +208,7 @@
 {
     const cw_router_t *router = quota->router;
     const cw_peer_t   *peer;
-    uint32_t           counted = router->nodes_most > 0 ? router->nodes_most : 1;
+    uint32_t           counted = router->peak_nodes > 0 ? router->peak_nodes : 1;
     uint32_t           nodes = cw_fleet_size_nodes(&router->fleet_size, counted, now_of(quota));
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
@@ -216,7 +216,7 @@
             nodes = peer->peers + 1;
         }
     }
-    return cw_router_quota_is_new(quota) && router->fleet_size.stated == 0 ? CW_FLEET_MOST_NODES : nodes;
+    return cw_router_quota_is_new(quota) && router->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
 
 static uint32_t count_in_touch(const cw_router_t *router, cw_time_us_t now)
@@ -225,7 +225,7 @@
     uint32_t         count = 1; /* this node */
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        count += cw_router_is_in_touch(router, peer, now) ? 1 : 0;
+        count += cw_router_is_reachable(router, peer, now) ? 1 : 0;
     }
     return count;
 }
@@ -237,20 +237,20 @@
 
     cw_fleet_size_note(&router->fleet_size, nodes);
     if (router->fleet_size.stated != before) {
-        cw_router_quota_look_around(router->quota, cw_router_now(router));
+        cw_router_quota_update_nodes(router->quota, cw_router_now(router));
     }
 }
 
 double cw_router_quota_share(const cw_router_t *router)
 {
     const cw_router_quota_t *quota = router->quota;
-    uint32_t                 nodes = quota->nodes == 0 ? CW_FLEET_MOST_NODES : quota->nodes;
+    uint32_t                 nodes = quota->nodes == 0 ? CW_FLEET_NODES_MAX : quota->nodes;
     uint32_t                 in_reach = quota->in_reach == 0 ? 1 : quota->in_reach;
 
     return in_reach * 100 >= nodes * CW_FLEET_REACHED_PERCENT ? 1 : (double)in_reach / nodes;
 }
 
-void cw_router_quota_look_around(cw_router_quota_t *quota, cw_time_us_t now)
+void cw_router_quota_update_nodes(cw_router_quota_t *quota, cw_time_us_t now)
 {
     quota->gathered_at = now;
     quota->in_reach = count_in_touch(quota->router, now);
--- a/src/router/router_quota_wire.c
+++ b/src/router/router_quota_wire.c
@@ -207,7 +207,7 @@
 
 /* ---- datagrams come ---- */
 
-void cw_router_take_quota_report(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReport *report)
+void cw_router_handle_quota_report(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReport *report)
 {
     cw_quota_message_t message = {.kind = CW_QUOTA_REPORT,
                                   .incarnation = report->incarnation,
@@ -220,7 +220,7 @@
     cw_router_quota_deliver(router->quota, peer->address, &message);
 }
 
-void cw_router_take_quota_status(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaStatus *status)
+void cw_router_handle_quota_status(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaStatus *status)
 {
     cw_quota_message_t message = {.kind = CW_QUOTA_STATUS, .sequence = status->sequence, .declines = status->declines};
 
@@ -240,7 +240,7 @@
     cw_router_quota_deliver(router->quota, peer->address, &message);
 }
 
-void cw_router_take_quota_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaAsk *ask)
+void cw_router_handle_quota_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaAsk *ask)
 {
     cw_quota_message_t message = {.kind = CW_QUOTA_ASK,
                                   .ask = {.incarnation = ask->incarnation,
@@ -256,7 +256,7 @@
     cw_router_quota_deliver(router->quota, peer->address, &message);
 }
 
-void cw_router_take_quota_grant(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaGrant *grant)
+void cw_router_handle_quota_grant(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaGrant *grant)
 {
     cw_quota_message_t message = {.kind = CW_QUOTA_GRANT,
                                   .grant = {.tenant = grant->tenant,
@@ -270,7 +270,7 @@
     cw_router_quota_deliver(router->quota, peer->address, &message);
 }
 
-void cw_router_take_quota_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReturn *returned)
+void cw_router_handle_quota_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReturn *returned)
 {
     cw_quota_message_t message = {.kind = CW_QUOTA_RETURN,
                                   .returned = {.tenant = returned->tenant,
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -67,11 +67,11 @@
         return false; /* late: the node has started anew since */
     }
     if (peer->last_received_at == 0 || peer->is_lost || peer->incarnation != received->incarnation) {
-        router->named_until = now + CW_MS(NAMED_MS);
+        router->send_names_until = now + CW_MS(NAMED_MS);
         if (received->node[0] != '\0') {
             cw_text_copy(peer->node, sizeof(peer->node), received->node);
         }
-        cw_router_note_peer(peer, CW_EVENT_PEER_BACK, peer->last_received_at == 0 ? 0 : now - peer->last_received_at);
+        cw_router_log_peer(peer, CW_EVENT_PEER_BACK, peer->last_received_at == 0 ? 0 : now - peer->last_received_at);
     }
     if (peer->is_lost || peer->incarnation != received->incarnation || peer->stopping != received->stopping ||
         peer->store_lost != received->store_lost || received->stopping) {
@@ -101,16 +101,16 @@
 static void sum_queue(void *context, const char *service, uint32_t queued)
 {
     cw_router_t *router = context;
-    uint32_t     sum = cw_queue_lengths_sum(&router->queue_lengths, cw_short_name(service));
+    uint32_t     sum = cw_queue_lengths_sum(&router->queue_lengths, cw_name_hash(service));
 
     (void)queued;
     cw_engine_set_queued_elsewhere(router->engine, service, sum);
 }
 
-void cw_router_take_queues(cw_router_t *router, uint64_t sender, bool is_near, Cwp__QueueLength *const *queues,
-                           size_t count, cw_time_us_t now)
+void cw_router_handle_queues(cw_router_t *router, uint64_t sender, bool is_near, Cwp__QueueLength *const *queues,
+                             size_t count, cw_time_us_t now)
 {
-    bool   any = cw_queue_lengths_begin(&router->queue_lengths, sender, cw_router_report_life(router), now);
+    bool   any = cw_queue_lengths_begin(&router->queue_lengths, sender, cw_router_report_lifetime(router), now);
     bool   fits = true;
     size_t index;
 
@@ -136,16 +136,16 @@
     if (!take_identity(router, peer, received, now)) {
         return;
     }
-    if (cw_router_is_summed(router, peer, now)) { /* counted in its zone's sums already */
+    if (cw_router_is_summarized(router, peer, now)) { /* counted in its zone's sums already */
         cw_server_pool_report(router->pool, peer->address, NULL, 0, now);
-        cw_router_take_queues(router, peer->address, false, NULL, 0, now);
+        cw_router_handle_queues(router, peer->address, false, NULL, 0, now);
     } else {
         take_loads(router, peer, received, now);
-        cw_router_take_queues(router, peer->address, peer->distance == CW_DISTANCE_ZONE, received->queues,
-                              received->n_queues, now);
+        cw_router_handle_queues(router, peer->address, peer->distance == CW_DISTANCE_ZONE, received->queues,
+                                received->n_queues, now);
     }
     take_paces(router, peer, received, now);
-    cw_router_list_exchange_note(router, peer, now);
+    cw_router_list_exchange_note_holder(router, peer, now);
     for (index = 0; router->leadership.leading && index < received->n_samples; index++) {
         const Cwp__KeySamples *samples = received->samples[index];
         cw_router_samples_t    taken = {.keys = samples->keys,
@@ -154,14 +154,14 @@
                                         .seen = samples->seen,
                                         .zone = peer->zone};
 
-        cw_router_take_samples(router, samples->service, &taken, now);
+        cw_router_add_samples(router, samples->service, &taken, now);
     }
     if (received->vacated != 0 && received->vacated == router->leader_term) {
         cw_leadership_receive_step_down(&router->leadership, now);
     }
     if (received->leader != NULL) {
         cw_router_pass_on_heartbeat(router, peer, received);
-        cw_router_take_leader_heartbeat(router, peer, received->leader, now);
+        cw_router_handle_leader_heartbeat(router, peer, received->leader, now);
     }
     cw_router_note_configuration(router, peer, received->configuration, now);
     if (received->leader != NULL) {
@@ -180,7 +180,7 @@
     }
 }
 
-void cw_router_datagram(void *context, cw_peer_t *peer, const Cwp__Datagram *datagram)
+void cw_router_on_datagram(void *context, cw_peer_t *peer, const Cwp__Datagram *datagram)
 {
     cw_router_t *router = context;
     cw_time_us_t now = cw_router_now(router);
@@ -193,19 +193,19 @@
         if (datagram->servers->pass_on) {
             cw_router_pass_on_page(router, datagram);
         }
-        cw_router_take_servers_page(router, peer, datagram->servers);
+        cw_router_handle_servers_page(router, peer, datagram->servers);
         break;
     case CWP__DATAGRAM__CONTENT_TABLE:
         if (datagram->table->pass_on) {
             cw_router_pass_on_page(router, datagram);
         }
-        cw_router_take_table_page(router, peer, datagram->table);
+        cw_router_handle_table_page(router, peer, datagram->table);
         break;
     case CWP__DATAGRAM__CONTENT_NODES:
         take_nodes(router, datagram->nodes, now);
         break;
     case CWP__DATAGRAM__CONTENT_ACK:
-        cw_router_take_ack(router, peer, datagram->ack);
+        cw_router_handle_ack(router, peer, datagram->ack);
         break;
     case CWP__DATAGRAM__CONTENT_CONFIGURATION:
         cw_configuration_exchange_take_page(router->exchange, peer->address, datagram->configuration, now);
@@ -214,49 +214,49 @@
         cw_configuration_exchange_take_request(router->exchange, peer->address, datagram->configuration_request, now);
         break;
     case CWP__DATAGRAM__CONTENT_STORE_NOTICE:
-        cw_router_take_notice(router, peer, datagram->store_notice, now);
+        cw_router_handle_notice(router, peer, datagram->store_notice, now);
         break;
     case CWP__DATAGRAM__CONTENT_SLOT_ASK:
-        cw_router_take_slot_ask(router, peer, datagram->slot_ask);
+        cw_router_handle_slot_ask(router, peer, datagram->slot_ask);
         break;
     case CWP__DATAGRAM__CONTENT_SLOT_REPLY:
-        cw_router_take_slot_reply(router, peer, datagram->slot_reply);
+        cw_router_handle_slot_reply(router, peer, datagram->slot_reply);
         break;
     case CWP__DATAGRAM__CONTENT_SLOT_RETURN:
-        cw_router_take_slot_return(router, peer, datagram->slot_return);
+        cw_router_handle_slot_return(router, peer, datagram->slot_return);
         break;
     case CWP__DATAGRAM__CONTENT_LIST_REQUEST:
-        cw_router_take_list_request(router, peer, datagram->list_request);
+        cw_router_handle_list_request(router, peer, datagram->list_request);
         break;
     case CWP__DATAGRAM__CONTENT_PASSED_HEARTBEAT:
-        cw_router_take_passed_heartbeat(router, peer, datagram->passed_heartbeat, now);
+        cw_router_handle_passed_heartbeat(router, peer, datagram->passed_heartbeat, now);
         break;
     case CWP__DATAGRAM__CONTENT_CRASH_REPORT:
-        cw_router_take_crash_report(router, peer, datagram, now);
+        cw_router_handle_crash_report(router, peer, datagram, now);
         break;
     case CWP__DATAGRAM__CONTENT_SIGNAL_NOTICE:
-        cw_router_take_signal_notice(router, peer, datagram, now);
+        cw_router_handle_signal_notice(router, peer, datagram, now);
         break;
     case CWP__DATAGRAM__CONTENT_ZONE_SUMMARY:
-        cw_router_take_zone_summary(router, datagram, now);
+        cw_router_handle_zone_summary(router, datagram, now);
         break;
     case CWP__DATAGRAM__CONTENT_QUOTA_REPORT:
-        cw_router_take_quota_report(router, peer, datagram->quota_report);
+        cw_router_handle_quota_report(router, peer, datagram->quota_report);
         break;
     case CWP__DATAGRAM__CONTENT_QUOTA_STATUS:
-        cw_router_take_quota_status(router, peer, datagram->quota_status);
+        cw_router_handle_quota_status(router, peer, datagram->quota_status);
         break;
     case CWP__DATAGRAM__CONTENT_QUOTA_ASK:
-        cw_router_take_quota_ask(router, peer, datagram->quota_ask);
+        cw_router_handle_quota_ask(router, peer, datagram->quota_ask);
         break;
     case CWP__DATAGRAM__CONTENT_QUOTA_GRANT:
-        cw_router_take_quota_grant(router, peer, datagram->quota_grant);
+        cw_router_handle_quota_grant(router, peer, datagram->quota_grant);
         break;
     case CWP__DATAGRAM__CONTENT_QUOTA_RETURN:
-        cw_router_take_quota_return(router, peer, datagram->quota_return);
+        cw_router_handle_quota_return(router, peer, datagram->quota_return);
         break;
     case CWP__DATAGRAM__CONTENT_DETOUR:
-        cw_router_take_detour(router, peer, datagram->detour);
+        cw_router_handle_detour(router, peer, datagram->detour);
         break;
     default:
         break;
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -66,7 +66,7 @@
     return cw_router_nodes_are_many(router) && cw_zone_links_is_covered(&router->relay->links, peer->zone, now);
 }
 
-bool cw_router_is_summed(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+bool cw_router_is_summarized(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     return peer->distance != CW_DISTANCE_ZONE && cw_zone_links_is_summed(&router->relay->links, peer->zone, now);
 }
@@ -108,7 +108,7 @@
 {
     cw_router_relay_t           *relay = router->relay;
     size_t                       count;
-    const cw_broker_candidate_t *candidates = cw_router_candidates(router, &count);
+    const cw_broker_candidate_t *candidates = cw_router_broker_candidates(router, &count);
     size_t                       index;
 
     relay->zone_count = 0;
@@ -146,13 +146,13 @@
     return zone != NULL && place_of(zone, peer->address) != CW_RELAYS;
 }
 
-bool cw_router_is_own_relay(const cw_router_t *router)
+bool cw_router_acts_as_relay(const cw_router_t *router)
 {
     return router->relay->zone_count > 0 && cw_router_nodes_are_many(router) &&
            place_of(&router->relay->zones[0], cw_peer_link_own_address(router->link)) != CW_RELAYS;
 }
 
-bool cw_router_is_first_relay(const cw_router_t *router)
+bool cw_router_acts_as_first_relay(const cw_router_t *router)
 {
     return router->relay->zone_count > 0 &&
            place_of(&router->relay->zones[0], cw_peer_link_own_address(router->link)) == 0;
@@ -191,26 +191,27 @@
 /* A node without a number is sent the whole. */
 static void check_servers(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    static const cw_view_patience_t patience = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_AGAIN_S)};
-    bool                            is_equal = heartbeat->servers_hash == router->server_view.hash;
+    static const cw_view_check_delays_t patience = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_AGAIN_S)};
+    bool                                is_equal = heartbeat->servers_hash == router->server_view.hash;
 
-    if (heartbeat->term == router->view_term && router->view_servers != 0 &&
-        heartbeat->servers == router->view_servers &&
+    if (heartbeat->term == router->view_term && router->view_list_version != 0 &&
+        heartbeat->servers == router->view_list_version &&
         cw_view_check_note(&router->relay->servers_check, is_equal, &patience, now)) {
         note_unequal("servers", heartbeat->term, heartbeat->servers);
-        router->view_servers = 0;
+        router->view_list_version = 0;
     }
 }
 
 static void check_tables(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    static const cw_view_patience_t patience = {CW_MS(TABLES_UNEQUAL_MS), CW_MS(TABLES_AGAIN_MS)};
-    bool                            is_equal = heartbeat->tables_hash == router->tables_hash;
+    static const cw_view_check_delays_t patience = {CW_MS(TABLES_UNEQUAL_MS), CW_MS(TABLES_AGAIN_MS)};
+    bool                                is_equal = heartbeat->tables_hash == router->tables_hash;
 
-    if (heartbeat->term == router->view_term && router->view_tables != 0 && heartbeat->tables == router->view_tables &&
+    if (heartbeat->term == router->view_term && router->view_tables_version != 0 &&
+        heartbeat->tables == router->view_tables_version &&
         cw_view_check_note(&router->relay->tables_check, is_equal, &patience, now)) {
         note_unequal("tables", heartbeat->term, heartbeat->tables);
-        router->view_tables = 0;
+        router->view_tables_version = 0;
     }
 }
 
@@ -270,7 +271,7 @@
 
 static bool answers(const cw_router_t *router, const Cwp__ZoneSummary *summary)
 {
-    uint32_t own = cw_short_name(router->settings.zone);
+    uint32_t own = cw_name_hash(router->settings.zone);
     size_t   index;
 
     for (index = 0; index < summary->n_received; index++) {
@@ -295,7 +296,7 @@
         peer->capability = summary->capabilities[index];
     }
     if (peer->last_received_at == 0 || peer->is_lost) {
-        cw_router_note_peer(peer, CW_EVENT_PEER_BACK, peer->last_received_at == 0 ? 0 : now - peer->last_received_at);
+        cw_router_log_peer(peer, CW_EVENT_PEER_BACK, peer->last_received_at == 0 ? 0 : now - peer->last_received_at);
     }
     peer->is_lost = false;
     peer->last_received_at = at;
@@ -331,7 +332,7 @@
 static void take_sums(cw_router_t *router, const Cwp__ZoneSummary *summary, cw_time_us_t now)
 {
     static cw_server_report_t sums[CW_SUMMARY_SERVERS_MAX];
-    uint64_t                  number = cw_zone_numbers | cw_short_name(summary->zone);
+    uint64_t                  number = cw_zone_numbers | cw_name_hash(summary->zone);
     size_t                    index;
 
     for (index = 0; index < summary->n_servers && index < CW_SUMMARY_SERVERS_MAX; index++) {
@@ -341,11 +342,11 @@
                                            .unreachable = is_unreachable(summary, summary->servers[index])};
     }
     cw_server_pool_report(router->pool, number, sums, index, now);
-    cw_router_take_queues(router, number, false, summary->queues, summary->n_queues, now);
+    cw_router_handle_queues(router, number, false, summary->queues, summary->n_queues, now);
 }
 
 /* How old a summary is nobody knows then: its ages of nodes count from when it was sent. */
-bool cw_router_is_of_backlog(const cw_router_t *router, cw_time_us_t now)
+bool cw_router_reads_backlog(const cw_router_t *router, cw_time_us_t now)
 {
     return has_stood_still(router->relay, now) || now < router->relay->backlog_until;
 }
@@ -368,7 +369,7 @@
            summary->n_servers == summary->n_waiting;
 }
 
-void cw_router_take_zone_summary(cw_router_t *router, const Cwp__Datagram *datagram, cw_time_us_t now)
+void cw_router_handle_zone_summary(cw_router_t *router, const Cwp__Datagram *datagram, cw_time_us_t now)
 {
     const Cwp__ZoneSummary *summary = datagram->zone_summary;
     cw_summary_head_t       head = {.zone = summary->zone,
@@ -382,7 +383,7 @@
     if (!is_well_formed(summary) || strcmp(summary->zone, router->settings.zone) == 0) {
         return;
     }
-    if (cw_router_is_of_backlog(router, now)) {
+    if (cw_router_reads_backlog(router, now)) {
         note_late(router->relay, summary, now);
         return;
     }
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -27,8 +27,8 @@
     Cwp__KeySamples      samples[SAMPLES_MAX];
     Cwp__KeySamples     *sample_pointers[SAMPLES_MAX];
     cw_key_samples_t     keys[SAMPLES_MAX];
-    uint32_t             servers_replaced_ms[CW_REPLACED_KEPT];
-    uint32_t             tables_replaced_ms[CW_REPLACED_KEPT];
+    uint32_t             servers_replaced_ms[CW_REPLACED_VERSIONS_MAX];
+    uint32_t             tables_replaced_ms[CW_REPLACED_VERSIONS_MAX];
     uint32_t             missed[MISSED_MAX];
     size_t               queue_count;
     size_t               sample_count;
@@ -96,7 +96,7 @@
         return;
     }
     cwp__queue_length__init(length);
-    length->service = cw_short_name(service);
+    length->service = cw_name_hash(service);
     length->queued = queued;
     builder.queue_pointers[builder.queue_count++] = length;
 }
@@ -112,11 +112,11 @@
     }
     *keys = *seen;
     cwp__key_samples__init(samples);
-    samples->service = cw_short_name(service);
+    samples->service = cw_name_hash(service);
     samples->n_keys = keys->count;
     samples->keys = keys->keys;
     samples->seen = keys->seen;
-    samples->n_regions = keys->any_bound ? keys->count : 0;
+    samples->n_regions = keys->any_region_restricted ? keys->count : 0;
     samples->regions = keys->regions;
     builder.sample_pointers[builder.sample_count++] = samples;
 }
@@ -126,16 +126,16 @@
 static void add_tables(const cw_router_t *router, cw_time_us_t now)
 {
     const cw_table_publication_t *publication = &router->table_publication;
-    cw_replaced_numbers_t         replaced = router->replaced_tables;
-    bool                          is_behind = publication->is_due && router->lead_tables != 0;
+    cw_replaced_versions_t        replaced = router->replaced_tables;
+    bool                          is_behind = publication->is_due && router->leader_tables_version != 0;
 
     if (is_behind) {
-        cw_replaced_numbers_add(&replaced, router->lead_tables, publication->changed_at);
+        cw_replaced_versions_add(&replaced, router->leader_tables_version, publication->changed_at);
     }
-    builder.leader.tables = router->lead_tables + (is_behind ? 1 : 0);
-    builder.leader.tables_hash = router->lead_tables == 0 || is_behind ? 0 : router->tables_hash;
+    builder.leader.tables = router->leader_tables_version + (is_behind ? 1 : 0);
+    builder.leader.tables_hash = router->leader_tables_version == 0 || is_behind ? 0 : router->tables_hash;
     builder.leader.tables_replaced_ms = builder.tables_replaced_ms;
-    builder.leader.n_tables_replaced_ms = cw_replaced_numbers_ages(&replaced, now, builder.tables_replaced_ms);
+    builder.leader.n_tables_replaced_ms = cw_replaced_versions_ages(&replaced, now, builder.tables_replaced_ms);
 }
 
 static void add_leader_heartbeat(cw_router_t *router, cw_time_us_t now)
@@ -143,16 +143,16 @@
     cwp__leader_heartbeat__init(&builder.leader);
     builder.leader.term = router->leadership.lock.term;
     builder.leader.revision = router->leadership.revision;
-    builder.leader.able = cw_router_is_able(router, now);
+    builder.leader.able = cw_router_has_authority(router, now);
     builder.leader.list_age_ms = (uint32_t)((now - router->server_view.true_at) / 1000);
-    builder.leader.servers = router->lead_servers;
+    builder.leader.servers = router->leader_list_version;
     builder.leader.servers_hash = router->server_view.list == NULL ? 0 : router->server_view.hash;
     builder.leader.list_revision = router->server_view.revision;
     builder.leader.configuration_age_ms = cw_configuration_freshness_pack(&router->freshness, now);
-    builder.leader.nodes = cw_fleet_size_to_state(&router->fleet_size, router->nodes_most, now);
+    builder.leader.nodes = cw_fleet_size_to_state(&router->fleet_size, router->peak_nodes, now);
     builder.leader.servers_replaced_ms = builder.servers_replaced_ms;
     builder.leader.n_servers_replaced_ms =
-        cw_replaced_numbers_ages(&router->replaced_servers, now, builder.servers_replaced_ms);
+        cw_replaced_versions_ages(&router->replaced_servers, now, builder.servers_replaced_ms);
     add_tables(router, now);
     builder.report.leader = &builder.leader;
 }
@@ -182,13 +182,13 @@
     builder.report.incarnation = router->incarnation;
     builder.report.sequence = ++router->sequence;
     builder.report.stopping = router->stopping_at != 0;
-    builder.report.store_lost = router->store_reach.is_lost;
-    builder.report.vacated = cw_leader_tenure_announced(&router->tenure, now);
+    builder.report.store_lost = router->store_availability.is_lost;
+    builder.report.vacated = cw_leader_tenure_announced_term(&router->tenure, now);
     builder.report.configuration = cw_router_version(router);
     builder.report.peers = cw_peer_link_alive(router->link, router->silence, now);
     builder.report.term = router->view_term;
-    builder.report.servers = router->view_servers;
-    builder.report.tables = router->view_tables;
+    builder.report.servers = router->view_list_version;
+    builder.report.tables = router->view_tables_version;
     add_missed(router);
 }
 
@@ -219,7 +219,7 @@
     Cwp__Datagram datagram = CWP__DATAGRAM__INIT;
 
     begin_report(router, now);
-    if ((parts & CW_REPORT_NAMES) != 0 || now < router->named_until) {
+    if ((parts & CW_REPORT_NAMES) != 0 || now < router->send_names_until) {
         add_names(router);
     }
     if ((parts & (CW_REPORT_PACES | CW_REPORT_PACES_TO_LEADER)) != 0) {
--- a/src/router/router_share.c
+++ b/src/router/router_share.c
@@ -40,7 +40,7 @@
 {
     cw_router_t *router = context;
 
-    if (cw_router_use_configuration(router, configuration)) {
+    if (cw_router_apply_configuration(router, configuration)) {
         cw_router_share_configuration(router, false, cw_router_now(router));
     }
 }
@@ -96,9 +96,9 @@
         notice.servers_revision = router->server_view.revision;
         notice.servers_age_ms = age_ms(router->server_view.true_at, now);
     }
-    if (router->tables_at != 0) {
+    if (router->tables_valid_at != 0) {
         notice.tables_hash = router->tables_hash;
-        notice.tables_age_ms = age_ms(router->tables_at, now);
+        notice.tables_age_ms = age_ms(router->tables_valid_at, now);
     }
     datagram.content_case = CWP__DATAGRAM__CONTENT_STORE_NOTICE;
     datagram.store_notice = &notice;
@@ -111,15 +111,15 @@
     router->notice_sent_at = now;
 }
 
-void cw_router_share_configuration(cw_router_t *router, bool is_first_hand, cw_time_us_t now)
+void cw_router_share_configuration(cw_router_t *router, bool is_from_store, cw_time_us_t now)
 {
     cw_configuration_exchange_set(router->exchange, router->configuration);
-    if (is_first_hand && (router->is_reader || router->leadership.leading)) {
+    if (is_from_store && (router->is_reader || router->leadership.leading)) {
         send_notice(router, true, now);
     }
 }
 
-void cw_router_take_notice(cw_router_t *router, cw_peer_t *peer, const Cwp__StoreNotice *notice, cw_time_us_t now)
+void cw_router_handle_notice(cw_router_t *router, cw_peer_t *peer, const Cwp__StoreNotice *notice, cw_time_us_t now)
 {
     if (peer->last_received_at != 0) {
         peer->last_received_at = now;
@@ -134,7 +134,7 @@
         notice->servers_hash == router->server_view.hash) {
         cw_server_view_confirm(&router->server_view, notice->servers_revision, now - CW_MS(notice->servers_age_ms));
     }
-    if (notice->tables_hash != 0 && router->tables_at != 0 && notice->tables_hash == router->tables_hash) {
+    if (notice->tables_hash != 0 && router->tables_valid_at != 0 && notice->tables_hash == router->tables_hash) {
         cw_router_confirm_tables(router, now - CW_MS(notice->tables_age_ms));
     }
 }
@@ -210,13 +210,13 @@
     bool is_new = cw_router_is_new(router, now);
 
     cw_configuration_exchange_tick(router->exchange, now);
-    if (now - router->ranked_at >= CW_MS(RANK_EVERY_MS)) {
-        router->ranked_at = now;
+    if (now - router->readers_ranked_at >= CW_MS(RANK_EVERY_MS)) {
+        router->readers_ranked_at = now;
         set_reader(router, router->stopping_at == 0 && !is_new &&
                                (router->leadership.leading || ranks_among_readers(router, now)));
     }
     watch_configuration(router, is_new, now);
-    if (router->is_reader && !router->store_reach.is_lost &&
+    if (router->is_reader && !router->store_availability.is_lost &&
         now - router->notice_sent_at >= CW_MS(CW_READER_NOTICE_MS)) {
         send_notice(router, false, now);
     }
--- a/src/router/router_signals.c
+++ b/src/router/router_signals.c
@@ -23,14 +23,14 @@
     return now <= since ? 0 : (uint32_t)((now - since) / 1000);
 }
 
-static void limit_stated(void *context, const cw_server_t *server, cw_limit_change_t change)
+static void on_limit_stated(void *context, const cw_server_t *server, cw_limit_change_t change)
 {
     cw_router_t *router = context;
 
     cw_signal_notices_note(router->signal_notices, server->hash, change, cw_router_now(router));
 }
 
-static void leave_stated(void *context, const cw_server_t *server)
+static void on_leave_stated(void *context, const cw_server_t *server)
 {
     cw_router_t *router = context;
 
@@ -39,7 +39,7 @@
 
 /* ---- out ---- */
 
-bool cw_router_limits_pack(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message)
+bool cw_router_pack_limit(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message)
 {
     const cw_server_t *server = hash == 0 ? NULL : cw_server_pool_find_hash(router->pool, hash);
     cw_time_us_t       now = cw_router_now(router);
@@ -58,7 +58,7 @@
 {
     const cw_server_t *server = cw_server_pool_find_hash(router->pool, hash);
 
-    if (cw_router_limits_pack(router, hash, message)) {
+    if (cw_router_pack_limit(router, hash, message)) {
         return true;
     }
     if (server == NULL || server->limit.ended_at == 0) {
@@ -127,35 +127,35 @@
 
 /* ---- in ---- */
 
-void cw_router_limits_take(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now)
+void cw_router_take_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now)
 {
     cw_server_t *server = (cw_server_t *)cw_server_pool_find_hash(router->pool, message->server);
 
     if (server != NULL) {
-        cw_engine_take_limit(router->engine, server, bounded(message->per_s), now - CW_MS(message->age_ms));
+        cw_engine_apply_reported_limit(router->engine, server, bounded(message->per_s), now - CW_MS(message->age_ms));
     }
 }
 
-void cw_router_take_signal_notice(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
-                                  cw_time_us_t now)
+void cw_router_handle_signal_notice(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
+                                    cw_time_us_t now)
 {
     const Cwp__SignalNotice *notice = datagram->signal_notice;
     size_t                   index;
 
     for (index = 0; index < notice->n_limits; index++) {
         cw_signal_notices_note_received(router->signal_notices, notice->limits[index]->server, now);
-        cw_router_limits_take(router, notice->limits[index], now);
+        cw_router_take_limit(router, notice->limits[index], now);
     }
     for (index = 0; index < notice->n_leaving; index++) {
         cw_signal_notices_note_received(router->signal_notices, notice->leaving[index], now);
-        cw_engine_take_leave(router->engine, notice->leaving[index]);
+        cw_engine_apply_reported_leave(router->engine, notice->leaving[index]);
     }
     cw_router_pass_on_broadcast(router, sender, datagram, &datagram->signal_notice->stage);
 }
 
 void cw_router_signals_init(cw_router_t *router)
 {
-    cw_signal_port_t port = {.context = router, .limit_stated = limit_stated, .leave_stated = leave_stated};
+    cw_signal_port_t port = {.context = router, .on_limit_stated = on_limit_stated, .on_leave_stated = on_leave_stated};
 
     router->signal_notices = cw_signal_notices_create();
     cw_engine_set_signal_port(router->engine, &port);
--- a/src/router/router_slots.c
+++ b/src/router/router_slots.c
@@ -61,7 +61,7 @@
 
 static cw_time_us_t usual_of(cw_router_t *router, uint32_t service)
 {
-    return cw_engine_usual_time_of(router->engine, service);
+    return cw_engine_mean_time_by_hash(router->engine, service);
 }
 
 /* What a server said of itself counts before its slot is given to the next one. */
@@ -170,7 +170,7 @@
     message.objective_ms = to_ms(asked->objective);
     message.lease_ms = to_ms(asked->lease);
     message.wait_ms = to_ms(asked->wait_most);
-    if (cw_router_limits_pack(slots->router, asked->server, &limit)) {
+    if (cw_router_pack_limit(slots->router, asked->server, &limit)) {
         message.limit = &limit;
     }
     datagram.content_case = CWP__DATAGRAM__CONTENT_SLOT_ASK;
@@ -243,7 +243,7 @@
     send_to(slots, reply->node, &datagram);
 }
 
-void cw_router_take_slot_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotAsk *message)
+void cw_router_handle_slot_ask(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotAsk *message)
 {
     cw_slot_ask_t asked = {.node = peer->address,
                            .ticket = message->ticket,
@@ -257,12 +257,12 @@
                            .wait_most = CW_MS(message->wait_ms)};
 
     if (message->limit != NULL) {
-        cw_router_limits_take(router, message->limit, cw_router_now(router));
+        cw_router_take_limit(router, message->limit, cw_router_now(router));
     }
     cw_slot_broker_ask(router->slots->broker, &asked, usual_of(router, asked.service), cw_router_now(router));
 }
 
-void cw_router_take_slot_reply(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReply *message)
+void cw_router_handle_slot_reply(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReply *message)
 {
     cw_slot_reply_t reply = {.node = peer->address,
                              .ticket = message->ticket,
@@ -276,7 +276,7 @@
     cw_engine_slot_reply(router->engine, &reply);
 }
 
-void cw_router_take_slot_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReturn *message)
+void cw_router_handle_slot_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__SlotReturn *message)
 {
     cw_server_signals_t signals = {.has_run = message->end == CW_SLOT_ANSWERED,
                                    .has_load = message->slots != 0,
@@ -338,7 +338,7 @@
     add_peers(slots, true, now);
 }
 
-const cw_broker_candidate_t *cw_router_candidates(const cw_router_t *router, size_t *count)
+const cw_broker_candidate_t *cw_router_broker_candidates(const cw_router_t *router, size_t *count)
 {
     *count = router->slots->received_count;
     return router->slots->candidates;
--- a/src/router/router_status.c
+++ b/src/router/router_status.c
@@ -13,8 +13,9 @@
 
     return json_pack("{s:s, s:I, s:I, s:b, s:I}", "leader", router->leader_node, "term",
                      (json_int_t)(leadership->leading ? leadership->lock.term : router->leader_term), "revision",
-                     (json_int_t)leadership->revision, "leading", cw_router_is_able(router, now), "authority_left_ms",
-                     (json_int_t)(cw_router_is_able(router, now) ? (leadership->authority_end - now) / 1000 : 0));
+                     (json_int_t)leadership->revision, "leading", cw_router_has_authority(router, now),
+                     "authority_left_ms",
+                     (json_int_t)(cw_router_has_authority(router, now) ? (leadership->authority_end - now) / 1000 : 0));
 }
 
 static const char *phase_text(const cw_range_t *range)
@@ -126,10 +127,10 @@
              router->settings.zone, "stopping", router->stopping_at != 0, "configuration",
              (json_int_t)(router->configuration == NULL ? 0 : router->configuration->version), "leadership",
              leadership_json(router, now), "servers_age_ms", (json_int_t)((now - router->server_view.true_at) / 1000),
-             "tables_age_ms", (json_int_t)((now - router->tables_at) / 1000), "store_lost", router->store_reach.is_lost,
-             "queued", (json_int_t)cw_engine_queued(router->engine), "assignments", assignments_json(router, now), "peers",
-             peers_json(router, now), "measures", measures_json(router), "servers", servers_json(router, now), "zones_out",
-             zones_out_json(router));
+             "tables_age_ms", (json_int_t)((now - router->tables_valid_at) / 1000), "store_lost",
+             router->store_availability.is_lost, "queued", (json_int_t)cw_engine_queued(router->engine), "assignments",
+             assignments_json(router, now), "peers", peers_json(router, now), "measures", measures_json(router), "servers",
+             servers_json(router, now), "zones_out", zones_out_json(router));
     char *text;
 
     if (status != NULL) {
--- a/src/router/router_summary.c
+++ b/src/router/router_summary.c
@@ -100,7 +100,7 @@
     detail->incarnation = router->incarnation;
     detail->node = (char *)router->settings.node;
     detail->stopping = router->stopping_at != 0;
-    detail->store_lost = router->store_reach.is_lost;
+    detail->store_lost = router->store_availability.is_lost;
     builder.detail_pointers[builder.summary.n_details++] = detail;
 }
 
@@ -161,7 +161,7 @@
 
     for (index = 0; index < links->count; index++) {
         if (cw_zone_links_is_summed(links, links->items[index].zone, now)) {
-            builder.received[builder.summary.n_received++] = cw_short_name(links->items[index].zone);
+            builder.received[builder.summary.n_received++] = cw_name_hash(links->items[index].zone);
         }
     }
 }
@@ -240,7 +240,7 @@
 static void add_own_queue(void *context, const char *service, uint32_t queued)
 {
     (void)context;
-    add_queued(cw_short_name(service), queued);
+    add_queued(cw_name_hash(service), queued);
 }
 
 static void add_other_queue(void *context, const cw_queue_length_t *length)
@@ -252,7 +252,7 @@
 static void add_queues(cw_router_t *router, cw_time_us_t now)
 {
     cw_engine_each_queue(router->engine, add_own_queue, NULL);
-    cw_queue_lengths_each_near(&router->queue_lengths, cw_router_report_life(router), now, add_other_queue, NULL);
+    cw_queue_lengths_each_near(&router->queue_lengths, cw_router_report_lifetime(router), now, add_other_queue, NULL);
 }
 
 static void begin_summary(const cw_router_t *router, cw_summary_times_t *times)
@@ -280,7 +280,7 @@
 /* Nodes of a zone report to one another no more often than this: to tell of them more often tells nothing new. */
 static cw_time_us_t nodes_pause(const cw_router_t *router)
 {
-    cw_time_us_t pause = CW_MS((int64_t)cw_router_largest_zone(router) * 1000 / CW_MANY_DATAGRAMS_A_SECOND);
+    cw_time_us_t pause = CW_MS((int64_t)cw_router_largest_zone(router) * 1000 / CW_LARGE_FLEET_DATAGRAMS_PER_SECOND);
 
     return pause > CW_MS(CW_SUMMARY_PAUSE_MS) ? pause : CW_MS(CW_SUMMARY_PAUSE_MS);
 }
--- a/src/router/router_traffic.c
+++ b/src/router/router_traffic.c
@@ -11,7 +11,7 @@
     cw_traffic_account_metrics(cw_peer_link_traffic(router->link), text);
 }
 
-void cw_router_note_traffic(const cw_router_t *router)
+void cw_router_log_traffic(const cw_router_t *router)
 {
     static const cw_event_field_t fields[CW_DISTANCES] = {CW_FIELD_SENT_ZONE, CW_FIELD_SENT_REGION,
                                                           CW_FIELD_SENT_REMOTE};
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -12,7 +12,7 @@
 
 #include "base/memory.h"
 #include "base/text.h"
-#include "router/reading_turn.h"
+#include "router/list_read_delay.h"
 #include "router/router_internal.h"
 #include "router/view_order.h"
 
@@ -65,7 +65,7 @@
         cw_event_number(&event, CW_FIELD_COUNT, (int64_t)list->count);
         cw_event_number(&event, CW_FIELD_ADDED, difference.added);
         cw_event_number(&event, CW_FIELD_REMOVED, difference.removed);
-        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)router->view_servers);
+        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)router->view_list_version);
         cw_event_number(&event, CW_FIELD_REVISION, (int64_t)router->server_view.revision);
         cw_event_end(&event);
     }
@@ -78,23 +78,23 @@
 
     note_servers(router, before);
     cw_server_pool_update(router->pool, list, now);
-    cw_router_use_zones(router, before_true_at, now);
+    cw_router_apply_zones(router, before_true_at, now);
     if (router->leadership.leading) {
-        cw_replaced_numbers_add(&router->replaced_servers, router->lead_servers, before_true_at);
-        router->lead_servers++;
-        router->view_servers = router->lead_servers;
-        cw_list_history_add(&router->list_history, before, list, router->lead_servers);
+        cw_replaced_versions_add(&router->replaced_servers, router->leader_list_version, before_true_at);
+        router->leader_list_version++;
+        router->view_list_version = router->leader_list_version;
+        cw_list_history_add(&router->list_history, before, list, router->leader_list_version);
     }
     cw_server_list_release(before);
     cw_metric_set(CW_METRIC_SERVERS, list->count);
-    cw_router_use_tables(router); /* owners may have come or gone */
+    cw_router_apply_tables(router); /* owners may have come or gone */
     if (router->leadership.leading) {
         cw_router_servers_changed(router, now);
     }
     cw_engine_wake(router->engine);
 }
 
-void cw_router_note_older_servers(const cw_router_t *router, uint64_t revision, const char *source)
+void cw_router_log_older_servers(const cw_router_t *router, uint64_t revision, const char *source)
 {
     cw_event_t event;
 
@@ -117,7 +117,7 @@
     }
 }
 
-bool cw_router_take_servers(cw_router_t *router, const cw_server_reading_t *reading)
+bool cw_router_apply_servers(cw_router_t *router, const cw_server_reading_t *reading)
 {
     cw_time_us_t      now = cw_router_now(router);
     size_t            kept = router->server_view.kept;
@@ -129,7 +129,7 @@
         note_kept(router, kept);
         use_servers(router, before, before_true_at, now);
     } else if (result == CW_VIEW_OLDER) {
-        cw_router_note_older_servers(router, reading->revision, "read");
+        cw_router_log_older_servers(router, reading->revision, "read");
     }
     return result != CW_VIEW_OLDER;
 }
@@ -141,13 +141,13 @@
                                    .revision = read->revision,
                                    .latest = read->latest,
                                    .true_at = router->reading_copy ? 0 : router->servers_read_at - read->lag,
-                                   .store_failed = router->store_reach.failed_at > router->server_view.true_at};
+                                   .store_failed = router->store_availability.failed_at > router->server_view.true_at};
 
     router->reading_servers = false;
     router->servers_lag = read->lag;
     cw_router_store_result(router, read->list != NULL, cw_router_now(router));
-    if (read->list != NULL && cw_router_take_servers(router, &reading) && !router->leadership.leading) {
-        router->view_servers = 0; /* changes that the leader tells cannot be laid over it */
+    if (read->list != NULL && cw_router_apply_servers(router, &reading) && !router->leadership.leading) {
+        router->view_list_version = 0; /* changes that the leader tells cannot be laid over it */
     }
 }
 
@@ -173,7 +173,7 @@
 static cw_time_us_t pause_of_reading(const cw_router_t *router, cw_time_us_t usual, cw_time_us_t now)
 {
     cw_time_us_t longer = router->settings.drain * LOST_PERCENT / 100;
-    bool         is_spared = router->store_reach.is_lost && !router->is_reader && is_one_of_many(router, now);
+    bool         is_spared = router->store_availability.is_lost && !router->is_reader && is_one_of_many(router, now);
 
     return is_spared && longer > usual ? longer : usual;
 }
@@ -181,7 +181,7 @@
 /* Between readings while the store answers. */
 static cw_time_us_t usual_pause_of_reading(const cw_router_t *router, cw_time_us_t now)
 {
-    if (cw_router_is_able(router, now)) {
+    if (cw_router_has_authority(router, now)) {
         return router->settings.drain / (router->servers_lag > 0 ? LIST_PARTS_LAGGING : LIST_PARTS);
     }
     return router->settings.drain / (is_one_of_many(router, now) ? LIST_PARTS_MANY : LIST_PARTS);
@@ -190,7 +190,7 @@
 static void read_servers(cw_router_t *router, cw_time_us_t now)
 {
     cw_time_us_t pause = usual_pause_of_reading(router, now);
-    bool         from_copy = router->server_view.list == NULL && !cw_router_is_able(router, now);
+    bool         from_copy = router->server_view.list == NULL && !cw_router_has_authority(router, now);
 
     pause = from_copy ? CW_MS(FIRST_READ_EVERY_MS) : pause_of_reading(router, pause, now);
     if (router->reading_servers || now - router->servers_read_at < pause) {
@@ -232,11 +232,11 @@
         cw_text_copy(route->server, sizeof(route->server), id_of_hash(router, entry->server));
         route->routable = entry->routable && route->server[0] != '\0';
     }
-    cw_engine_set_table(router->engine, table->service, routes, table->count, router->view_tables);
+    cw_engine_set_table(router->engine, table->service, routes, table->count, router->view_tables_version);
     free(routes);
 }
 
-void cw_router_use_tables(cw_router_t *router)
+void cw_router_apply_tables(cw_router_t *router)
 {
     size_t index;
 
@@ -263,8 +263,8 @@
 
 static void validate_tables(cw_router_t *router, cw_time_us_t true_at)
 {
-    router->tables_at = true_at > router->tables_at ? true_at : router->tables_at;
-    cw_engine_set_tables_valid(router->engine, router->tables_at, router->tables_at + tables_valid(router));
+    router->tables_valid_at = true_at > router->tables_valid_at ? true_at : router->tables_valid_at;
+    cw_engine_set_tables_valid(router->engine, router->tables_valid_at, router->tables_valid_at + tables_valid(router));
 }
 
 void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t true_at)
@@ -279,12 +279,12 @@
 {
     cw_time_us_t true_at;
 
-    if (router->view_servers >= heartbeat->servers) {
+    if (router->view_list_version >= heartbeat->servers) {
         cw_server_view_confirm(&router->server_view, heartbeat->list_revision, now - CW_MS(heartbeat->list_age_ms));
         return;
     }
-    true_at = cw_replaced_numbers_true_at(router->view_servers, heartbeat->servers, heartbeat->servers_replaced_ms,
-                                          heartbeat->n_servers_replaced_ms, now);
+    true_at = cw_replaced_versions_true_at(router->view_list_version, heartbeat->servers,
+                                           heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
     cw_server_view_confirm(&router->server_view, router->server_view.revision, true_at);
 }
 
@@ -294,17 +294,17 @@
     if (heartbeat->tables == 0) {
         return;
     }
-    if (router->view_tables >= heartbeat->tables) {
+    if (router->view_tables_version >= heartbeat->tables) {
         validate_tables(router, now);
     } else {
-        validate_tables(router, cw_replaced_numbers_true_at(router->view_tables, heartbeat->tables,
-                                                            heartbeat->tables_replaced_ms,
-                                                            heartbeat->n_tables_replaced_ms, now));
+        validate_tables(router, cw_replaced_versions_true_at(router->view_tables_version, heartbeat->tables,
+                                                             heartbeat->tables_replaced_ms,
+                                                             heartbeat->n_tables_replaced_ms, now));
     }
 }
 
-void cw_router_take_leader_heartbeat(cw_router_t *router, const cw_peer_t *peer, const Cwp__LeaderHeartbeat *heartbeat,
-                                     cw_time_us_t now)
+void cw_router_handle_leader_heartbeat(cw_router_t *router, const cw_peer_t *peer,
+                                       const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
     cw_event_t event;
 
@@ -330,7 +330,7 @@
     }
     router->leader_heartbeat_at = now;
     cw_router_note_nodes(router, heartbeat->nodes);
-    cw_router_adopt(router, peer, heartbeat);
+    cw_router_adopt_versions(router, peer, heartbeat);
     cw_router_check_view(router, heartbeat, now);
     cw_router_list_exchange_heartbeat(router, heartbeat, now);
     if (router->view_term == heartbeat->term) {
@@ -364,14 +364,14 @@
         const cw_range_t *range = &record->ranges.items[index];
         cw_table_entry_t  entry = {.low = range->low,
                                    .last = range->last,
-                                   .server = cw_short_name(range->owner.id),
+                                   .server = cw_name_hash(range->owner.id),
                                    .fence = range->owner.fence,
                                    .routable = range->former.id[0] == '\0'};
 
         cw_key_table_add(table, &entry, 1);
     }
-    router->view_tables = 0; /* the leader's next heartbeat has to bring its own again */
-    cw_router_use_tables(router);
+    router->view_tables_version = 0; /* the leader's next heartbeat has to bring its own again */
+    cw_router_apply_tables(router);
 }
 
 static void on_record(void *data, const cw_store_reply_t *reply)
@@ -384,12 +384,12 @@
     if (read->from_copy) { /* used for a while; owners that hold the keys no longer say so */
         true_at -= tables_valid(router) * TABLES_OLD_PERCENT / 100;
     }
-    router->table_reads--;
+    router->table_reads_pending--;
     cw_router_store_result(router, reply->result == CW_STORE_DONE || reply->result == CW_STORE_NOT_FOUND,
                            cw_router_now(router));
     if (reply->result == CW_STORE_DONE && !router->leadership.leading &&
         cw_assignment_record_from_json(&record, reply->value)) {
-        if (true_at > router->tables_at && cw_record_is_usable(record.term, router->view_term)) {
+        if (true_at > router->tables_valid_at && cw_record_is_usable(record.term, router->view_term)) {
             cw_router_begin_term(router, record.term);
             use_record(router, read->service, &record);
             validate_tables(router, true_at);
@@ -403,7 +403,7 @@
 {
     size_t index;
 
-    if (router->configuration == NULL || router->table_reads > 0 ||
+    if (router->configuration == NULL || router->table_reads_pending > 0 ||
         now - router->tables_read_at < pause_of_reading(router, CW_MS(TABLES_READ_EVERY_MS), now)) {
         return;
     }
@@ -419,8 +419,8 @@
         read->router = router;
         read->sent_at = now;
         cw_text_copy(read->service, sizeof(read->service), service->name);
-        router->table_reads++;
-        read->from_copy = router->tables_at == 0 && cw_router_is_new(router, now);
+        router->table_reads_pending++;
+        read->from_copy = router->tables_valid_at == 0 && cw_router_is_new(router, now);
         if (read->from_copy) {
             router->store->read_copy(router->store->context, CW_ASSIGNMENTS_KIND, service->name, on_record, read);
         } else {
@@ -435,7 +435,7 @@
 
     for (index = 0; router->configuration != NULL && index < router->configuration->service_count; index++) {
         if (router->configuration->services[index].keyed) {
-            return router->tables_at > 0;
+            return router->tables_valid_at > 0;
         }
     }
     return true;
@@ -444,8 +444,8 @@
 /* One line when the leader falls silent, one when the tables get too old to route by. */
 static void note_age(cw_router_t *router, bool heartbeat_is_fresh, cw_time_us_t now)
 {
-    bool expired =
-        router->tables_at > 0 && now >= router->tables_at + router->settings.hold * CW_TABLES_VALID_PERCENT / 100;
+    bool expired = router->tables_valid_at > 0 &&
+                   now >= router->tables_valid_at + router->settings.hold * CW_TABLES_VALID_PERCENT / 100;
     cw_event_t event;
 
     if (!heartbeat_is_fresh && !router->leader_silent && router->leader_heartbeat_at > 0 &&
@@ -455,8 +455,8 @@
         cw_event_end(&event);
     }
     if (expired && !router->tables_expired && cw_event_begin(&event, CW_EVENT_VIEW_EXPIRED)) {
-        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)router->view_tables);
-        cw_event_ms(&event, CW_FIELD_VIEW_AGE_MS, now - router->tables_at);
+        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)router->view_tables_version);
+        cw_event_ms(&event, CW_FIELD_VIEW_AGE_MS, now - router->tables_valid_at);
         cw_event_end(&event);
     }
     router->leader_silent = !heartbeat_is_fresh;
@@ -467,7 +467,7 @@
  * shorter than the one that would be read. */
 static cw_time_us_t reading_window(const cw_router_t *router, cw_time_us_t now)
 {
-    size_t nodes = cw_fleet_size_nodes(&router->fleet_size, router->nodes_most, now);
+    size_t nodes = cw_fleet_size_nodes(&router->fleet_size, router->peak_nodes, now);
     size_t servers = router->server_view.list == NULL ? 0 : router->server_view.list->count;
     size_t expected = nodes * SERVERS_A_NODE;
 
@@ -481,11 +481,11 @@
 {
     cw_time_us_t wait = CW_MS(heartbeat_is_fresh ? FIRST_LIST_MS : LEADER_SEEN_MS);
 
-    wait += cw_reading_turn(cw_short_name(router->settings.node), reading_window(router, now));
+    wait += cw_reading_turn(cw_name_hash(router->settings.node), reading_window(router, now));
     return now - router->started_at >= wait;
 }
 
-/* A list that the leader cannot renew for a moment gets old at all nodes at once (reading_turn.h). Few nodes without
+/* A list that the leader cannot renew for a moment gets old at all nodes at once (list_read_delay.h). Few nodes without
  * the leader's heartbeat do not take turns: what they read is little. */
 static cw_time_us_t list_old_after(const cw_router_t *router, bool heartbeat_is_fresh, cw_time_us_t now)
 {
@@ -496,7 +496,7 @@
         window = heartbeat_is_fresh ? spread : 0;
     }
     return router->settings.drain * LIST_OLD_PERCENT / 100 +
-           cw_reading_turn(cw_short_name(router->settings.node), window);
+           cw_reading_turn(cw_name_hash(router->settings.node), window);
 }
 
 /* A reader reads as soon as the leader's heartbeat fails to come; the others when no reader has confirmed their list.
@@ -523,10 +523,10 @@
     bool         heartbeat_is_fresh = now - router->leader_heartbeat_at < old;
 
     expire_servers(router, now);
-    note_age(router, heartbeat_is_fresh || cw_router_is_able(router, now), now);
-    if (cw_router_is_able(router, now)) {
+    note_age(router, heartbeat_is_fresh || cw_router_has_authority(router, now), now);
+    if (cw_router_has_authority(router, now)) {
         read_servers(router, now);
-        if (router->lead_tables > 0) {
+        if (router->leader_tables_version > 0) {
             validate_tables(router, now);
         }
         return;
@@ -534,7 +534,7 @@
     if (is_list_due(router, heartbeat_is_fresh, now)) {
         read_servers(router, now);
     }
-    if (!heartbeat_is_fresh && now - router->tables_at > tables_rest(router, now)) {
+    if (!heartbeat_is_fresh && now - router->tables_valid_at > tables_rest(router, now)) {
         read_tables(router, now);
     }
 }
--- a/src/router/router_take.c
+++ b/src/router/router_view_pages.c
@@ -1,5 +1,5 @@
 /**
- * @file router_take.c
+ * @file router_view_pages.c
  * @brief What the leader tells: pages of the list and of the tables, and hashes of what a node may have already.
  *
  * A page belongs to a term, a number and a base. All pages of one of them together are the whole list (base 0), or what
@@ -22,8 +22,8 @@
 {
     if (term > router->view_term) {
         router->view_term = term;
-        router->view_servers = 0;
-        router->view_tables = 0;
+        router->view_list_version = 0;
+        router->view_tables_version = 0;
     }
 }
 
@@ -34,8 +34,8 @@
 
     ack.incarnation = router->incarnation;
     ack.term = router->view_term;
-    ack.servers = router->view_servers;
-    ack.tables = router->view_tables;
+    ack.servers = router->view_list_version;
+    ack.tables = router->view_tables_version;
     datagram.content_case = CWP__DATAGRAM__CONTENT_ACK;
     datagram.ack = &ack;
     return cw_peer_link_pack(router->link, &datagram);
@@ -57,7 +57,7 @@
 static void announce_whole_list(cw_router_t *router)
 {
     size_t           count = count_of_zone(router);
-    size_t           told = cw_router_is_own_relay(router) || count < ANNOUNCED_TO ? count : ANNOUNCED_TO;
+    size_t           told = cw_router_acts_as_relay(router) || count < ANNOUNCED_TO ? count : ANNOUNCED_TO;
     size_t           place = 0;
     size_t           length;
     size_t           first;
@@ -67,7 +67,7 @@
         return;
     }
     length = pack_ack(router);
-    first = cw_short_name(router->settings.node) % count;
+    first = cw_name_hash(router->settings.node) % count;
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         if (peer->distance != CW_DISTANCE_ZONE || peer->is_lost) {
             continue;
@@ -96,7 +96,7 @@
     }
 }
 
-void cw_router_take_ack(cw_router_t *router, cw_peer_t *peer, const Cwp__ViewAck *ack)
+void cw_router_handle_ack(cw_router_t *router, cw_peer_t *peer, const Cwp__ViewAck *ack)
 {
     if (peer->incarnation != ack->incarnation || ack->term < router->view_term) {
         return;
@@ -108,7 +108,7 @@
     }
     peer->servers = ack->servers > peer->servers ? ack->servers : peer->servers;
     peer->tables = ack->tables > peer->tables ? ack->tables : peer->tables;
-    cw_router_list_exchange_note(router, peer, cw_router_now(router));
+    cw_router_list_exchange_note_holder(router, peer, cw_router_now(router));
 }
 
 /* ---- the list ---- */
@@ -118,11 +118,11 @@
                             uint32_t next_missing)
 {
     if (page->since == 0) {
-        cw_router_list_exchange_page(router, peer, page, next_missing);
+        cw_router_list_exchange_page_received(router, peer, page, next_missing);
     }
 }
 
-void cw_router_take_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page)
+void cw_router_handle_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page)
 {
     cw_page_place_t     place = {page->term, page->number, page->since, page->page, page->pages};
     cw_server_reading_t reading = {.revision = page->revision, .is_told = true};
@@ -132,15 +132,15 @@
         cw_router_list_exchange_redirected(router, page);
         return;
     }
-    if (!is_usable(router, &place, router->view_servers)) {
+    if (!is_usable(router, &place, router->view_list_version)) {
         return;
     }
     if (page->revision < router->server_view.revision) { /* this node has read a later one itself */
-        cw_router_note_older_servers(router, page->revision, "told");
+        cw_router_log_older_servers(router, page->revision, "told");
         note_whole_page(router, peer, page, page->pages);
         return;
     }
-    parts = cw_view_parts_take_list(router->view_parts, page, cw_router_now(router));
+    parts = cw_view_updates_take_list(router->view_updates, page, cw_router_now(router));
     if (parts == NULL) {
         return;
     }
@@ -150,8 +150,8 @@
     }
     reading.list = cw_list_parts_finish(parts, router->server_view.list);
     cw_router_begin_term(router, page->term);
-    router->view_servers = page->number;
-    (void)cw_router_take_servers(router, &reading);
+    router->view_list_version = page->number;
+    (void)cw_router_apply_servers(router, &reading);
     note_whole_page(router, peer, page, page->pages);
     acknowledge(router, peer);
     if (page->since == 0) {
@@ -188,18 +188,18 @@
 /* Whole tables that a relay passes on may be older than a record that this node has read (router_pass_on.c). */
 static bool is_from_leader_or_first(const cw_router_t *router, const cw_peer_t *sender, const Cwp__TablePage *page)
 {
-    return page->since != 0 || router->tables_at == 0 || strcmp(sender->node, router->leader_node) == 0;
+    return page->since != 0 || router->tables_valid_at == 0 || strcmp(sender->node, router->leader_node) == 0;
 }
 
-void cw_router_take_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page)
+void cw_router_handle_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page)
 {
     cw_page_place_t   place = {page->term, page->number, page->since, page->page, page->pages};
     cw_table_parts_t *parts;
 
-    if (!is_usable(router, &place, router->view_tables) || !is_from_leader_or_first(router, peer, page)) {
+    if (!is_usable(router, &place, router->view_tables_version) || !is_from_leader_or_first(router, peer, page)) {
         return;
     }
-    parts = cw_view_parts_take_tables(router->view_parts, page, cw_router_now(router));
+    parts = cw_view_updates_take_tables(router->view_updates, page, cw_router_now(router));
     if (parts == NULL || !cw_view_assembly_is_whole(&parts->assembly)) {
         return;
     }
@@ -211,19 +211,19 @@
     cw_key_tables_overlay(&router->tables, &parts->tables);
     cw_table_parts_clear(parts);
     cw_router_begin_term(router, page->term);
-    router->view_tables = page->number;
-    cw_router_use_tables(router);
+    router->view_tables_version = page->number;
+    cw_router_apply_tables(router);
     acknowledge(router, peer);
 }
 
 /* ---- what this node has already ---- */
 
-void cw_router_adopt(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat)
+void cw_router_adopt_versions(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat)
 {
     bool newer = heartbeat->term > router->view_term;
-    bool servers = heartbeat->servers_hash != 0 && (newer || heartbeat->servers > router->view_servers) &&
+    bool servers = heartbeat->servers_hash != 0 && (newer || heartbeat->servers > router->view_list_version) &&
                    heartbeat->servers_hash == router->server_view.hash;
-    bool tables = heartbeat->tables_hash != 0 && (newer || heartbeat->tables > router->view_tables) &&
+    bool tables = heartbeat->tables_hash != 0 && (newer || heartbeat->tables > router->view_tables_version) &&
                   heartbeat->tables_hash == router->tables_hash;
 
     if (heartbeat->term < router->view_term || (!servers && !tables)) {
@@ -231,10 +231,10 @@
     }
     cw_router_begin_term(router, heartbeat->term);
     if (servers) {
-        router->view_servers = heartbeat->servers;
+        router->view_list_version = heartbeat->servers;
     }
     if (tables) {
-        router->view_tables = heartbeat->tables;
+        router->view_tables_version = heartbeat->tables;
     }
     acknowledge(router, leader);
 }
--- a/src/router/router_zones.c
+++ b/src/router/router_zones.c
@@ -34,7 +34,7 @@
     }
 }
 
-void cw_router_use_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now)
+void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now)
 {
     const cw_name_set_t *out = &router->server_view.list->zones_out;
 
@@ -43,7 +43,7 @@
     cw_metric_set(CW_METRIC_ZONES_OUT, out->count);
 }
 
-void cw_router_use_warm_ups(cw_router_t *router)
+void cw_router_apply_warm_ups(cw_router_t *router)
 {
     size_t index;
 
@@ -82,10 +82,10 @@
     uint32_t *addresses = NULL;
     size_t    count;
 
-    if (now - router->sharers_gathered_at < CW_MS(SHARERS_EVERY_MS)) {
+    if (now - router->cold_rate_nodes_updated_at < CW_MS(SHARERS_EVERY_MS)) {
         return;
     }
-    router->sharers_gathered_at = now;
+    router->cold_rate_nodes_updated_at = now;
     count = list_heard(router, &addresses);
     cw_cold_rate_set_nodes(router->cold_rate, addresses, count, now);
     free(addresses);
--- a/src/router/servers_pages.c
+++ b/src/router/servers_pages.c
@@ -27,7 +27,7 @@
     return base == 0 || entry->changed_in > base;
 }
 
-uint32_t cw_servers_pages_of(const cw_server_list_t *list, uint64_t base)
+uint32_t cw_servers_page_count(const cw_server_list_t *list, uint64_t base)
 {
     uint32_t count = 0;
     size_t   index;
--- a/src/router/servers_pages.h
+++ b/src/router/servers_pages.h
@@ -21,7 +21,7 @@
 } cw_servers_page_room_t;
 
 /** Pages of what changed after the list of number `base`, or of the whole (0); at least one. */
-uint32_t cw_servers_pages_of(const cw_server_list_t *list, uint64_t base);
+uint32_t cw_servers_page_count(const cw_server_list_t *list, uint64_t base);
 /** Sets the page's servers to the next ones from entry `from` on; returns where the next page goes on. */
 size_t cw_servers_page_fill(Cwp__ServersPage *page, cw_servers_page_room_t *room, const cw_server_list_t *list,
                             uint64_t base, size_t from, cw_time_us_t now);
--- a/src/router/store_reach.c
+++ b/src/router/store_availability.c
@@ -1,10 +1,10 @@
 /**
- * @file store_reach.c
- * @brief Whether the store answers this node's calls; rules in store_reach.h.
+ * @file store_availability.c
+ * @brief Whether the store answers this node's calls; rules in store_availability.h.
  */
-#include "router/store_reach.h"
+#include "router/store_availability.h"
 
-static cw_store_change_t note_answer(cw_store_reach_t *reach)
+static cw_store_change_t note_answer(cw_store_availability_t *reach)
 {
     bool was_lost = reach->is_lost;
 
@@ -13,7 +13,7 @@
     return was_lost ? CW_STORE_BACK : CW_STORE_AS_BEFORE;
 }
 
-cw_store_change_t cw_store_reach_note(cw_store_reach_t *reach, bool is_answered, cw_time_us_t now)
+cw_store_change_t cw_store_availability_note(cw_store_availability_t *reach, bool is_answered, cw_time_us_t now)
 {
     if (is_answered) {
         return note_answer(reach);
@@ -29,7 +29,7 @@
     return CW_STORE_LOST;
 }
 
-cw_time_us_t cw_store_reach_failing_for(const cw_store_reach_t *reach, cw_time_us_t now)
+cw_time_us_t cw_store_availability_failing_for(const cw_store_availability_t *reach, cw_time_us_t now)
 {
     return reach->failing_since == 0 ? 0 : now - reach->failing_since;
 }
--- a/src/router/table_pages.c
+++ b/src/router/table_pages.c
@@ -4,7 +4,7 @@
  */
 #include "router/table_pages.h"
 
-uint32_t cw_table_pages_of(size_t entries)
+uint32_t cw_table_page_count(size_t entries)
 {
     return entries == 0 ? 1 : (uint32_t)((entries + CW_TABLE_PAGE_RANGES - 1) / CW_TABLE_PAGE_RANGES);
 }
--- a/src/router/table_pages.h
+++ b/src/router/table_pages.h
@@ -20,7 +20,7 @@
 } cw_table_page_room_t;
 
 /** Pages that so many entries take; at least one. */
-uint32_t cw_table_pages_of(size_t entries);
+uint32_t cw_table_page_count(size_t entries);
 /** Entries of a table that changed after the tables of number `base` (0: all); returns how many, at most `room`. */
 size_t cw_table_changes(const cw_key_table_t *table, uint64_t base, cw_table_entry_t *changes, size_t room);
 /** Sets the page's ranges to part `part` of the entries. */
--- a/src/router/view_check.c
+++ b/src/router/view_check.c
@@ -4,7 +4,7 @@
  */
 #include "router/view_check.h"
 
-bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_patience_t *patience, cw_time_us_t now)
+bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *patience, cw_time_us_t now)
 {
     if (is_equal) {
         check->unequal_since = 0;
--- a/src/router/view_check.h
+++ b/src/router/view_check.h
@@ -22,12 +22,13 @@
     cw_time_us_t asked_at;      /**< 0: never */
 } cw_view_check_t;
 
-typedef struct cw_view_patience {
+typedef struct cw_view_check_delays {
     cw_time_us_t first; /**< unequal for so long: it asks */
     cw_time_us_t again; /**< between two times */
-} cw_view_patience_t;
+} cw_view_check_delays_t;
 
 /** A heartbeat with the number that this node has. True: the whole is to be asked for. */
-bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_patience_t *patience, cw_time_us_t now);
+bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *patience,
+                        cw_time_us_t now);
 
 #endif
--- a/src/router/view_parts.c
+++ b/src/router/view_updates.c
@@ -1,8 +1,8 @@
 /**
- * @file view_parts.c
+ * @file view_updates.c
  * @brief Collects the contents of pages, one set for each update under way.
  */
-#include "router/view_parts.h"
+#include "router/view_updates.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -10,14 +10,14 @@
 #include "base/memory.h"
 #include "router/table_pages.h"
 
-struct cw_view_parts {
+struct cw_view_updates {
     cw_list_parts_t  lists[CW_ASSEMBLIES];
     cw_table_parts_t tables[CW_ASSEMBLIES];
 };
 
-cw_view_parts_t *cw_view_parts_create(void)
+cw_view_updates_t *cw_view_updates_create(void)
 {
-    cw_view_parts_t *parts = cw_memory_zeroed(sizeof(*parts));
+    cw_view_updates_t *parts = cw_memory_zeroed(sizeof(*parts));
 
     return parts;
 }
@@ -36,7 +36,7 @@
     memset(tables, 0, sizeof(*tables));
 }
 
-void cw_view_parts_free(cw_view_parts_t *parts)
+void cw_view_updates_free(cw_view_updates_t *parts)
 {
     size_t index;
 
@@ -78,7 +78,7 @@
     }
 }
 
-static cw_list_parts_t *place_of_list(cw_view_parts_t *parts, const cw_page_place_t *place)
+static cw_list_parts_t *place_of_list(cw_view_updates_t *parts, const cw_page_place_t *place)
 {
     const cw_view_assembly_t *assemblies[CW_ASSEMBLIES];
     size_t                    index;
@@ -99,7 +99,7 @@
     return &parts->lists[index];
 }
 
-cw_list_parts_t *cw_view_parts_take_list(cw_view_parts_t *parts, const Cwp__ServersPage *page, cw_time_us_t now)
+cw_list_parts_t *cw_view_updates_take_list(cw_view_updates_t *parts, const Cwp__ServersPage *page, cw_time_us_t now)
 {
     cw_page_place_t  place = {page->term, page->number, page->since, page->page, page->pages};
     cw_list_parts_t *list = place_of_list(parts, &place);
@@ -142,7 +142,7 @@
 
 /* ---- tables ---- */
 
-static cw_table_parts_t *place_of_tables(cw_view_parts_t *parts, const cw_page_place_t *place)
+static cw_table_parts_t *place_of_tables(cw_view_updates_t *parts, const cw_page_place_t *place)
 {
     const cw_view_assembly_t *assemblies[CW_ASSEMBLIES];
     size_t                    index;
@@ -162,7 +162,7 @@
     return &parts->tables[index];
 }
 
-cw_table_parts_t *cw_view_parts_take_tables(cw_view_parts_t *parts, const Cwp__TablePage *page, cw_time_us_t now)
+cw_table_parts_t *cw_view_updates_take_tables(cw_view_updates_t *parts, const Cwp__TablePage *page, cw_time_us_t now)
 {
     cw_page_place_t   place = {page->term, page->number, page->since, page->page, page->pages};
     cw_table_parts_t *tables = place_of_tables(parts, &place);
--- a/src/tenancy/caller_identity.c
+++ b/src/tenancy/caller_identity.c
@@ -73,7 +73,7 @@
                                    const cw_tenant_t *owner, const cw_key_digest_t *key)
 {
     const cw_tenant_t *tenant = cw_credential_index_find(configuration->credentials, key);
-    cw_caller_t        caller = {.tenant = tenant, .hides_credentials = true};
+    cw_caller_t        caller = {.tenant = tenant, .strips_credentials = true};
 
     if (tenant == NULL) {
         caller.verdict = CW_CALLER_UNKNOWN_KEY;
@@ -181,14 +181,14 @@
         return caller;
     }
     if (owner != NULL && !owner->needs_key) {
-        caller.hides_credentials = holds_key(configuration, fields, scheme);
+        caller.strips_credentials = holds_key(configuration, fields, scheme);
         return caller;
     }
     state = read_credentials(fields, scheme, &key);
     if (state == CREDENTIALS_KEY) {
         return identify_by_key(configuration, route, owner, &key);
     }
-    caller.hides_credentials = true;
+    caller.strips_credentials = true;
     if (state == CREDENTIALS_MALFORMED) {
         caller.verdict = CW_CALLER_MALFORMED;
     } else if (!route->allows_anonymous) {
@@ -202,18 +202,18 @@
     return caller->verdict != CW_CALLER_ANONYMOUS && caller->verdict != CW_CALLER_KNOWN;
 }
 
-cw_caller_standing_t cw_caller_standing(const cw_caller_t *caller, const cw_configuration_t *later)
+cw_caller_recheck_t cw_caller_recheck(const cw_caller_t *caller, const cw_configuration_t *later)
 {
     const cw_tenant_t *tenant;
 
     if (caller->tenant == NULL || !later->needs_keys) {
-        return CW_CALLER_STAYS;
+        return CW_CALLER_UNCHANGED;
     }
     tenant = cw_credential_index_find(later->credentials, &caller->key);
     if (tenant == NULL) {
         return CW_CALLER_REVOKED;
     }
-    return strcmp(tenant->name, caller->tenant->name) == 0 ? CW_CALLER_STAYS : CW_CALLER_MOVED;
+    return strcmp(tenant->name, caller->tenant->name) == 0 ? CW_CALLER_UNCHANGED : CW_CALLER_MOVED;
 }
 
 const char *cw_caller_reason(cw_caller_verdict_t verdict)
@@ -230,8 +230,8 @@
     return reasons[verdict];
 }
 
-const cw_tenant_t *cw_caller_accountable(const cw_caller_t *caller, const cw_configuration_t *configuration,
-                                         const cw_route_t *route)
+const cw_tenant_t *cw_caller_limiting_tenant(const cw_caller_t *caller, const cw_configuration_t *configuration,
+                                             const cw_route_t *route)
 {
     return caller->tenant != NULL ? caller->tenant : cw_configuration_tenant_of(configuration, route->name);
 }
--- a/src/tenancy/caller_identity.h
+++ b/src/tenancy/caller_identity.h
@@ -32,28 +32,28 @@
 
 typedef struct cw_caller {
     cw_caller_verdict_t verdict;
-    const cw_tenant_t  *tenant;            /**< of the key; NULL: none. Lives as long as the configuration. */
-    cw_key_digest_t     key;               /**< only with a tenant */
-    bool                hides_credentials; /**< `Authorization` is for this system, not for servers */
+    const cw_tenant_t  *tenant;             /**< of the key; NULL: none. Lives as long as the configuration. */
+    cw_key_digest_t     key;                /**< only with a tenant */
+    bool                strips_credentials; /**< `Authorization` is for this system, not for servers */
 } cw_caller_t;
 
 /** What a later configuration makes of a caller that was let in. */
-typedef enum cw_caller_standing {
-    CW_CALLER_STAYS,
+typedef enum cw_caller_recheck {
+    CW_CALLER_UNCHANGED,
     CW_CALLER_REVOKED, /**< its key was taken away */
     CW_CALLER_MOVED    /**< its key is another tenant's now: to be let in anew, as that one's */
-} cw_caller_standing_t;
+} cw_caller_recheck_t;
 
 /** scheme: of the credentials, without the blank behind it. */
 cw_caller_t cw_caller_identify(const cw_configuration_t *configuration, const cw_route_t *route,
                                const cw_http_fields_t *fields, const char *scheme);
 bool        cw_caller_is_rejected(const cw_caller_t *caller);
 /** Of a caller that was let in. later: the configuration in force now. */
-cw_caller_standing_t cw_caller_standing(const cw_caller_t *caller, const cw_configuration_t *later);
+cw_caller_recheck_t cw_caller_recheck(const cw_caller_t *caller, const cw_configuration_t *later);
 /** For the log: why, in words. */
 const char *cw_caller_reason(cw_caller_verdict_t verdict);
 /** Whose limits, priority and regions bind the request: its key's tenant, else the route's owner; NULL: nobody's. */
-const cw_tenant_t *cw_caller_accountable(const cw_caller_t *caller, const cw_configuration_t *configuration,
-                                         const cw_route_t *route);
+const cw_tenant_t *cw_caller_limiting_tenant(const cw_caller_t *caller, const cw_configuration_t *configuration,
+                                             const cw_route_t *route);
 
 #endif
--- a/src/tenancy/credential_evidence.c
+++ b/src/tenancy/credential_evidence.c
@@ -11,7 +11,7 @@
 
     evidence->is_stale = evidence->stale_after > 0 && complete_at > 0 && now - complete_at >= evidence->stale_after;
     if (evidence->is_stale == was_stale) {
-        return CW_EVIDENCE_AS_BEFORE;
+        return CW_EVIDENCE_UNCHANGED;
     }
     return evidence->is_stale ? CW_EVIDENCE_STALE : CW_EVIDENCE_FRESH;
 }
--- a/src/tenancy/credential_evidence.h
+++ b/src/tenancy/credential_evidence.h
@@ -21,7 +21,7 @@
     bool         is_stale; /**< as it was found last */
 } cw_credential_evidence_t;
 
-typedef enum cw_evidence_change { CW_EVIDENCE_AS_BEFORE, CW_EVIDENCE_STALE, CW_EVIDENCE_FRESH } cw_evidence_change_t;
+typedef enum cw_evidence_change { CW_EVIDENCE_UNCHANGED, CW_EVIDENCE_STALE, CW_EVIDENCE_FRESH } cw_evidence_change_t;
 
 /** complete_at: of the evidence; 0: there has been none yet. */
 cw_evidence_change_t cw_credential_evidence_check(cw_credential_evidence_t *evidence, cw_time_us_t complete_at,
--- a/src/tenancy/quota_counter.c
+++ b/src/tenancy/quota_counter.c
@@ -135,7 +135,7 @@
     counter->version = version;
 }
 
-bool cw_quota_counter_is_behind(const cw_quota_counter_t *counter, uint32_t tenant, uint64_t version)
+bool cw_quota_counter_is_outdated(const cw_quota_counter_t *counter, uint32_t tenant, uint64_t version)
 {
     return version > counter->version && find_bucket(counter, tenant) == NULL;
 }
@@ -164,7 +164,7 @@
     cw_quota_record_t *record;
 
     if (bucket == NULL) { /* no limit here: the node goes by another version of the configuration */
-        reply.is_unknown = cw_quota_counter_is_behind(counter, ask->usage.tenant, ask->version);
+        reply.is_unknown = cw_quota_counter_is_outdated(counter, ask->usage.tenant, ask->version);
         reply.tokens = reply.is_unknown ? 0 : ask->wanted;
         return reply;
     }
--- a/src/tenancy/quota_counter.h
+++ b/src/tenancy/quota_counter.h
@@ -38,7 +38,7 @@
 void cw_quota_counter_set_version(cw_quota_counter_t *counter, uint64_t version);
 /** A node goes by that version of the configuration, which is later than this one's, and has a limit for a tenant that
  * has none here: it serves its own part of it. */
-bool cw_quota_counter_is_behind(const cw_quota_counter_t *counter, uint32_t tenant, uint64_t version);
+bool cw_quota_counter_is_outdated(const cw_quota_counter_t *counter, uint32_t tenant, uint64_t version);
 /** Nodes that share limits, over all, and how many of them this one reaches, itself included. */
 void cw_quota_counter_set_nodes(cw_quota_counter_t *counter, uint32_t nodes, uint32_t in_reach);
 /** A node counts on this one, and has let this much through. Another incarnation is another process there,
--- a/src/tenancy/quota_part.c
+++ b/src/tenancy/quota_local.c
@@ -1,5 +1,5 @@
 /**
- * @file quota_part.c
+ * @file quota_local.c
  * @brief A node's own part of a limit, and what it let through in the last window.
  */
 #include <math.h>
--- a/src/tenancy/quota_reports.c
+++ b/src/tenancy/quota_reports.c
@@ -55,7 +55,7 @@
     return link != NULL && link->has_declined && now < link->silent_until;
 }
 
-size_t cw_quota_share_declining(const cw_quota_share_t *share, cw_time_us_t now)
+size_t cw_quota_share_declined_count(const cw_quota_share_t *share, cw_time_us_t now)
 {
     const cw_quota_link_t *link;
     size_t                 count = 0;
--- a/src/tenancy/quota_share.c
+++ b/src/tenancy/quota_share.c
@@ -307,7 +307,7 @@
     return tenant == NULL ? CW_QUOTA_FREE : tenant->mode;
 }
 
-cw_time_us_t cw_quota_share_age(const cw_quota_share_t *share, uint32_t hash, cw_time_us_t now)
+cw_time_us_t cw_quota_share_message_age(const cw_quota_share_t *share, uint32_t hash, cw_time_us_t now)
 {
     const cw_quota_tenant_t *tenant = cw_quota_find_tenant(share, hash);
 
--- a/src/tenancy/quota_share.h
+++ b/src/tenancy/quota_share.h
@@ -75,13 +75,13 @@
 
 /** Nodes that have declined a moment ago. Where several do, all have just started: the next ones would all begin to
  * count too, each with a bucket of its own. */
-size_t cw_quota_share_declining(const cw_quota_share_t *share, cw_time_us_t now);
+size_t cw_quota_share_declined_count(const cw_quota_share_t *share, cw_time_us_t now);
 bool   cw_quota_share_is_silent(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now);
 /** Is it silent since it said itself that it does not count? Of others nobody knows whether they do. */
 bool            cw_quota_share_has_declined(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now);
 cw_quota_mode_t cw_quota_share_mode(const cw_quota_share_t *share, uint32_t tenant);
 /** Since the counting node was last heard about this tenant. */
-cw_time_us_t cw_quota_share_age(const cw_quota_share_t *share, uint32_t tenant, cw_time_us_t now);
+cw_time_us_t cw_quota_share_message_age(const cw_quota_share_t *share, uint32_t tenant, cw_time_us_t now);
 /** Tenants of which something is kept. */
 size_t cw_quota_share_tenants(const cw_quota_share_t *share);
 /** Counting nodes of which something is kept. */
--- a/src/tenancy/quota_share_internal.h
+++ b/src/tenancy/quota_share_internal.h
@@ -143,7 +143,7 @@
 /** Gives back what has not been used in time. */
 void cw_quota_expire(cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now);
 
-/* ---- quota_part.c ---- */
+/* ---- quota_local.c ---- */
 void cw_quota_recent_add(const cw_quota_share_t *share, cw_quota_recent_t *recent, cw_time_us_t now);
 /** Let through in the last window. */
 uint32_t cw_quota_recent_sum(const cw_quota_share_t *share, cw_quota_recent_t *recent, cw_time_us_t now);
--- a/tests/engine_world.c
+++ b/tests/engine_fixture.c
@@ -1,8 +1,8 @@
 /**
- * @file engine_world.c
+ * @file engine_fixture.c
  * @brief The engine, its servers, its callers.
  */
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -133,7 +133,7 @@
 {
     engine_world_t *world = context;
 
-    cw_engine_gone(world->engine, exchange);
+    cw_engine_caller_disconnected(world->engine, exchange);
 }
 
 static void on_dropped(void *context, cw_server_t *server)
--- a/tests/engine_world.h
+++ b/tests/engine_fixture.h
@@ -1,9 +1,9 @@
 /**
- * @file engine_world.h
+ * @file engine_fixture.h
  * @brief An engine between real connections: callers on one side, servers whose answers the test gives on the other.
  */
-#ifndef CEDARWINCH_TESTS_ENGINE_WORLD_H
-#define CEDARWINCH_TESTS_ENGINE_WORLD_H
+#ifndef CEDARWINCH_TESTS_ENGINE_FIXTURE_H
+#define CEDARWINCH_TESTS_ENGINE_FIXTURE_H
 
 #include "base/byte_buffer.h"
 #include "loop_fixture.h"
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -145,7 +145,7 @@
 
     cw_router_samples_t samples = {keys, NULL, count, seen, "z2"};
 
-    cw_router_take_samples(&node->router, cw_short_name(service), &samples, cw_router_now(&node->router));
+    cw_router_add_samples(&node->router, cw_name_hash(service), &samples, cw_router_now(&node->router));
 }
 
 void node_fixture_read_servers(node_fixture_t *node, const char *service, size_t count, const char *address)
@@ -188,7 +188,7 @@
 {
     node_fixture_t *node = context;
 
-    cw_engine_gone(node->router.engine, exchange);
+    cw_engine_caller_disconnected(node->router.engine, exchange);
 }
 
 static void make_settings(cw_router_settings_t *settings)
@@ -221,7 +221,7 @@
     cw_upstream_options_t      options = {.idle_max = CW_SECONDS(1)};
     cw_http_limits_t           limits = {HEADER_BYTES, HEADER_BYTES, CW_SECONDS(1), CW_SECONDS(1)};
     cw_http_listener_handler_t callers = {node, on_request, on_gone};
-    cw_peer_handler_t          peers = {router, cw_router_datagram};
+    cw_peer_handler_t          peers = {router, cw_router_on_datagram};
     cw_absence_settings_t      absence;
 
     router->upstream = cw_upstream_create(&router->loop, &options);
@@ -243,7 +243,7 @@
     cw_router_slots_init(router);
     cw_router_push_init(router);
     cw_router_pass_on_init(router);
-    router->view_parts = cw_view_parts_create();
+    router->view_updates = cw_view_updates_create();
     cw_router_relay_init(router);
     cw_router_list_exchange_init(router);
     cw_router_quota_init(router);
@@ -291,7 +291,7 @@
     cw_server_pool_free(node->router.pool);
     cw_router_list_exchange_free(&node->router);
     cw_server_view_clear(&node->router.server_view);
-    cw_view_parts_free(node->router.view_parts);
+    cw_view_updates_free(node->router.view_updates);
     cw_key_tables_clear(&node->router.tables);
     cw_order_trust_free(node->router.order_trust);
     cw_detours_free(node->router.detours);
@@ -365,7 +365,7 @@
     }
     peer = cw_peer_link_learn_text(node->router.link, from, cw_router_now(&node->router));
     if (peer != NULL) {
-        cw_router_datagram(&node->router, peer, received);
+        cw_router_on_datagram(&node->router, peer, received);
     }
     cwp__datagram__free_unpacked(received, NULL);
 }
--- a/tests/quota_world.c
+++ b/tests/quota_sim.c
@@ -1,8 +1,8 @@
 /**
- * @file quota_world.c
+ * @file quota_sim.c
  * @brief The nodes, their messages, and the load.
  */
-#include "quota_world.h"
+#include "quota_sim.h"
 
 #include <math.h>
 #include <stdlib.h>
@@ -327,7 +327,7 @@
 {
     uint32_t nodes = cw_fleet_size_nodes(&node->fleet_size, node->in_touch_most, node->world->now);
 
-    return declines(node) && node->fleet_size.stated == 0 ? CW_FLEET_MOST_NODES : nodes;
+    return declines(node) && node->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
 
 static void probe(world_node_t *node, size_t suspect, uint32_t turn)
@@ -400,7 +400,7 @@
 static uint32_t counter_of(void *context, uint32_t tenant)
 {
     const world_node_t *node = context;
-    bool                nobody_counts = cw_quota_share_declining(node->share, node->world->now) >= DECLINING_MOST;
+    bool                nobody_counts = cw_quota_share_declined_count(node->share, node->world->now) >= DECLINING_MOST;
 
     return nobody_counts ? 0 : known_choice(node, tenant);
 }
@@ -626,7 +626,7 @@
     size_t other;
 
     for (one = 0; one < world->node_count; one++) {
-        world->nodes[one].fleet_size.started_at -= CW_MS(CW_FLEET_UNKNOWN_MS);
+        world->nodes[one].fleet_size.started_at -= CW_MS(CW_FLEET_DISCOVERY_MS);
         for (other = 0; other < world->node_count; other++) {
             world->nodes[one].reaches[other] = true;
             world->nodes[one].reach_changed[other] = world->now - CW_SECONDS(1);
--- a/tests/quota_world.h
+++ b/tests/quota_sim.h
@@ -1,10 +1,10 @@
 /**
- * @file quota_world.h
+ * @file quota_sim.h
  * @brief Many nodes' shares and counters in logical time, with messages that are late and lost, links that are cut in
  * one direction or both, and detours round them, for tests.
  */
-#ifndef CEDARWINCH_TESTS_QUOTA_WORLD_H
-#define CEDARWINCH_TESTS_QUOTA_WORLD_H
+#ifndef CEDARWINCH_TESTS_QUOTA_SIM_H
+#define CEDARWINCH_TESTS_QUOTA_SIM_H
 
 #include "peer/detours.h"
 #include "router/fleet_size.h"
--- a/tests/test_caller_identity.c
+++ b/tests/test_caller_identity.c
@@ -90,7 +90,7 @@
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_KNOWN);
     ck_assert_str_eq(caller.tenant->name, "a");
-    ck_assert(caller.hides_credentials);
+    ck_assert(caller.strips_credentials);
     ck_assert_int_eq(verdict(configuration, "/all/x", "token  sesame"), CW_CALLER_KNOWN);
     caller = identify(configuration, "/open/x", "Token sesame");
     ck_assert_int_eq(caller.verdict, CW_CALLER_KNOWN);
@@ -156,7 +156,7 @@
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
     ck_assert_ptr_null(caller.tenant);
-    ck_assert(caller.hides_credentials);
+    ck_assert(caller.strips_credentials);
     ck_assert_int_eq(verdict(configuration, "/open/x", "Token other"), CW_CALLER_UNKNOWN_KEY);
     ck_assert_int_eq(verdict(configuration, "/b-open/x", "Token sesame"), CW_CALLER_KNOWN);
     cw_configuration_release(configuration);
@@ -169,13 +169,14 @@
     cw_caller_t         caller = identify(configuration, "/c/x", "Basic xyz");
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
-    ck_assert(!caller.hides_credentials);
+    ck_assert(!caller.strips_credentials);
     caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not handed to its servers */
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
-    ck_assert(caller.hides_credentials);
+    ck_assert(caller.strips_credentials);
     ck_assert_ptr_null(caller.tenant);
     ck_assert_str_eq(
-        cw_caller_accountable(&caller, configuration, cw_configuration_match(configuration, "h", "/c/x"))->name, "c");
+        cw_caller_limiting_tenant(&caller, configuration, cw_configuration_match(configuration, "h", "/c/x"))->name,
+        "c");
     cw_configuration_release(configuration);
 }
 END_TEST
@@ -205,19 +206,19 @@
         cw_caller_t caller = identify(configuration, "/c/x", forms[index]);
 
         ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
-        ck_assert_msg(caller.hides_credentials, "%s", forms[index]);
+        ck_assert_msg(caller.strips_credentials, "%s", forms[index]);
     }
     add_field(&fields, "Authorization", "Basic xyz");
     add_field(&fields, "authorization", "Token sesame");
     ck_assert(cw_caller_identify(configuration, cw_configuration_match(configuration, "h", "/c/x"), &fields, "Token")
-                  .hides_credentials);
+                  .strips_credentials);
     cw_http_fields_clear(&fields);
     memset(parts, 'x', sizeof(parts) - 1);
     for (index = 1; index < sizeof(parts) - 1; index += 2) { /* more parts than are looked at */
         parts[index] = ' ';
     }
-    ck_assert(identify(configuration, "/c/x", parts).hides_credentials);
-    ck_assert(!identify(configuration, "/c/x", "Digest username=\"a\", uri=\"/c\"").hides_credentials);
+    ck_assert(identify(configuration, "/c/x", parts).strips_credentials);
+    ck_assert(!identify(configuration, "/c/x", "Digest username=\"a\", uri=\"/c\"").strips_credentials);
     cw_configuration_release(configuration);
 }
 END_TEST
@@ -238,9 +239,9 @@
     }
     parts[2 * PARTS - 1] = '\0';
     add_field(&fields, "Authorization", parts);
-    ck_assert(!cw_caller_identify(configuration, route, &fields, "Token").hides_credentials);
+    ck_assert(!cw_caller_identify(configuration, route, &fields, "Token").strips_credentials);
     add_field(&fields, "Authorization", parts);
-    ck_assert(cw_caller_identify(configuration, route, &fields, "Token").hides_credentials);
+    ck_assert(cw_caller_identify(configuration, route, &fields, "Token").strips_credentials);
     cw_http_fields_clear(&fields);
     cw_configuration_release(configuration);
 }
@@ -256,7 +257,7 @@
     cw_configuration_seal(configuration);
     caller = identify(configuration, "/all/x", "Bearer anything");
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
-    ck_assert(!caller.hides_credentials);
+    ck_assert(!caller.strips_credentials);
     cw_configuration_release(configuration);
 }
 END_TEST
@@ -268,22 +269,22 @@
     cw_caller_t         nobody = identify(configuration, "/open/x", NULL);
     cw_configuration_t *later = cw_configuration_create(2);
 
-    ck_assert_int_eq(cw_caller_standing(&caller, configuration), CW_CALLER_STAYS);
+    ck_assert_int_eq(cw_caller_recheck(&caller, configuration), CW_CALLER_UNCHANGED);
     cw_configuration_seal(later);
-    ck_assert_int_eq(cw_caller_standing(&caller, later), CW_CALLER_STAYS); /* nobody needs a key any more */
+    ck_assert_int_eq(cw_caller_recheck(&caller, later), CW_CALLER_UNCHANGED); /* nobody needs a key any more */
     cw_configuration_release(later);
 
     later = cw_configuration_create(3);
     add_tenant(later, "a", NULL)->needs_key = true;
     cw_configuration_seal(later);
-    ck_assert_int_eq(cw_caller_standing(&caller, later), CW_CALLER_REVOKED);
-    ck_assert_int_eq(cw_caller_standing(&nobody, later), CW_CALLER_STAYS);
+    ck_assert_int_eq(cw_caller_recheck(&caller, later), CW_CALLER_REVOKED);
+    ck_assert_int_eq(cw_caller_recheck(&nobody, later), CW_CALLER_UNCHANGED);
     cw_configuration_release(later);
 
     later = cw_configuration_create(4);
     (void)add_tenant(later, "b", sesame);
     cw_configuration_seal(later);
-    ck_assert_int_eq(cw_caller_standing(&caller, later), CW_CALLER_MOVED);
+    ck_assert_int_eq(cw_caller_recheck(&caller, later), CW_CALLER_MOVED);
     cw_configuration_release(later);
     cw_configuration_release(configuration);
 }
@@ -321,16 +322,16 @@
     cw_credential_evidence_t closed = {.stale_after = CW_SECONDS(5), .fails_closed = true};
     cw_credential_evidence_t unbound = {.fails_closed = true};
 
-    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, 0, CW_SECONDS(9)), CW_EVIDENCE_AS_BEFORE);
-    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(10), CW_SECONDS(14)), CW_EVIDENCE_AS_BEFORE);
+    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, 0, CW_SECONDS(9)), CW_EVIDENCE_UNCHANGED);
+    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(10), CW_SECONDS(14)), CW_EVIDENCE_UNCHANGED);
     ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(10), CW_SECONDS(15)), CW_EVIDENCE_STALE);
-    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(10), CW_SECONDS(16)), CW_EVIDENCE_AS_BEFORE);
+    ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(10), CW_SECONDS(16)), CW_EVIDENCE_UNCHANGED);
     ck_assert_int_eq(cw_credential_evidence_check(&goes_on, CW_SECONDS(16), CW_SECONDS(16)), CW_EVIDENCE_FRESH);
     ck_assert_int_eq(cw_credential_evidence_trusted_until(&goes_on, CW_SECONDS(10)), CW_NEVER);
     ck_assert_int_eq(cw_credential_evidence_trusted_until(&closed, CW_SECONDS(10)), CW_SECONDS(15));
     ck_assert_int_eq(cw_credential_evidence_trusted_until(&closed, 0), 0);
     ck_assert_int_eq(cw_credential_evidence_trusted_until(&unbound, 0), CW_NEVER);
-    ck_assert_int_eq(cw_credential_evidence_check(&unbound, CW_SECONDS(1), CW_SECONDS(900)), CW_EVIDENCE_AS_BEFORE);
+    ck_assert_int_eq(cw_credential_evidence_check(&unbound, CW_SECONDS(1), CW_SECONDS(900)), CW_EVIDENCE_UNCHANGED);
 }
 END_TEST
 
--- a/tests/test_crash_suspects.c
+++ b/tests/test_crash_suspects.c
@@ -151,7 +151,7 @@
 
     crash(INNOCENT);
     ck_assert(cw_crash_suspects_clear(suspects, INNOCENT, now));
-    cw_crash_suspects_take(suspects, &late, now + CW_MS(300));
+    cw_crash_suspects_note_reported(suspects, &late, now + CW_MS(300));
     ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, INNOCENT), 0);
 }
 END_TEST
@@ -163,8 +163,8 @@
     crash(KILLER);
     other.sent_at = now + CW_MS(10);
     other.lost_at = now + CW_MS(30);
-    cw_crash_suspects_take(suspects, &other, now + CW_MS(200));
-    cw_crash_suspects_take(suspects, &other, now + CW_MS(600)); /* repeated, since datagrams are lost */
+    cw_crash_suspects_note_reported(suspects, &other, now + CW_MS(200));
+    cw_crash_suspects_note_reported(suspects, &other, now + CW_MS(600)); /* repeated, since datagrams are lost */
     ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, KILLER), 2);
     now += CW_MS(700);
     crash(KILLER);
@@ -185,7 +185,7 @@
     }
     now += CW_SECONDS(1);
     for (index = CW_CRASHES_MOST; index > 0; index--) {
-        cw_crash_suspects_take(suspects, &crashes[index - 1], now);
+        cw_crash_suspects_note_reported(suspects, &crashes[index - 1], now);
     }
     ck_assert(is_refused(KILLER));
 }
--- a/tests/test_detours.c
+++ b/tests/test_detours.c
@@ -149,7 +149,7 @@
     ck_assert(!is_alive(node, suspect_text));
     receive_detour(node, suspect_text, own, false);
     ck_assert(is_alive(node, suspect_text));
-    cw_router_quota_look_around(node->router.quota, cw_router_now(&node->router));
+    cw_router_quota_update_nodes(node->router.quota, cw_router_now(&node->router));
     ck_assert_uint_eq(node->router.quota->candidate_count, 3);
     ck_assert_uint_eq(node->router.quota->in_reach, 3);
     node_fixture_free(node);
@@ -209,12 +209,12 @@
     node_fixture_t *node = node_that_misses_one();
     cw_peer_t      *peer = cw_peer_link_find(node->router.link, inet_addr(between_text));
 
-    ck_assert(cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
+    ck_assert(cw_router_is_reachable(&node->router, peer, cw_router_now(&node->router)));
     report_missing(node, 900, cw_peer_link_own_address(node->router.link));
-    ck_assert(!cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
+    ck_assert(!cw_router_is_reachable(&node->router, peer, cw_router_now(&node->router)));
     ck_assert(cw_router_is_alive(&node->router, peer, cw_router_now(&node->router)));
     report_missing(node, 901, inet_addr(suspect_text));
-    ck_assert(cw_router_is_in_touch(&node->router, peer, cw_router_now(&node->router)));
+    ck_assert(cw_router_is_reachable(&node->router, peer, cw_router_now(&node->router)));
     node_fixture_free(node);
 }
 END_TEST
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 START_TEST(an_answer_comes_back_whole_with_the_deadline_and_target_passed_on)
 {
--- a/tests/test_engine_callers.c
+++ b/tests/test_engine_callers.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 #include "base/metrics.h"
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 enum { TEXT_BYTES = ENGINE_WORLD_TEXT_BYTES };
 
--- a/tests/test_engine_leaving.c
+++ b/tests/test_engine_leaving.c
@@ -4,7 +4,7 @@
  */
 #include <unistd.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 START_TEST(a_caller_that_leaves_takes_its_request_from_the_server)
 {
--- a/tests/test_engine_limits.c
+++ b/tests/test_engine_limits.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "base/metrics.h"
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 enum { BROKER = 77 };
 
@@ -74,7 +74,8 @@
 
 static void limit(engine_world_t *world, const char *server, double per_s)
 {
-    cw_engine_take_limit(world->engine, cw_server_pool_find(world->pool, server), per_s, cw_engine_now(world->engine));
+    cw_engine_apply_reported_limit(world->engine, cw_server_pool_find(world->pool, server), per_s,
+                                   cw_engine_now(world->engine));
 }
 
 static void reply(engine_world_t *world, const counting_node_t *node, cw_slot_outcome_t outcome)
@@ -198,7 +199,7 @@
 
     begin(&world, &node);
     server = cw_server_pool_find(world.pool, "s0");
-    cw_engine_take_limit(world.engine, server, 6, cw_engine_now(world.engine) - CW_SECONDS(2));
+    cw_engine_apply_reported_limit(world.engine, server, 6, cw_engine_now(world.engine) - CW_SECONDS(2));
     for (answer = 0; answer < 10; answer++) {
         cw_engine_note_signals(world.engine, server, &signals, "r");
     }
--- a/tests/test_engine_outcomes.c
+++ b/tests/test_engine_outcomes.c
@@ -4,7 +4,7 @@
  */
 #include <unistd.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 /* s0 is busy, s1 has the request and is silent; then the request's turn seems to lie beyond its deadline. */
 START_TEST(what_was_taken_from_a_silent_server_is_not_given_up_by_an_estimate)
--- a/tests/test_engine_quota.c
+++ b/tests/test_engine_quota.c
@@ -12,7 +12,7 @@
 #include "base/event_log.h"
 #include "base/metrics.h"
 #include "base/tenant_metrics.h"
-#include "engine_world.h"
+#include "engine_fixture.h"
 #include "quota_port.h"
 
 enum { COUNTER = 7 };
--- a/tests/test_engine_regions.c
+++ b/tests/test_engine_regions.c
@@ -3,7 +3,7 @@
  * @brief Requests that are bound to regions, and requests that leave theirs.
  */
 #include "base/metrics.h"
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 START_TEST(a_request_goes_only_to_servers_in_the_regions_of_its_route)
 {
--- a/tests/test_engine_rest.c
+++ b/tests/test_engine_rest.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "base/metrics.h"
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 enum { STATUS_UNAVAILABLE = 503, BROKER = 77 };
 
--- a/tests/test_engine_slots.c
+++ b/tests/test_engine_slots.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 /** A node that hands out slots, as the engine sees it: it keeps what it was sent. */
 typedef struct fake_broker {
--- a/tests/test_engine_stop.c
+++ b/tests/test_engine_stop.c
@@ -4,7 +4,7 @@
  */
 #include <stdlib.h>
 
-#include "engine_world.h"
+#include "engine_fixture.h"
 
 START_TEST(what_is_under_way_when_a_stop_ends_is_answered)
 {
--- a/tests/test_fleet_scale.c
+++ b/tests/test_fleet_scale.c
@@ -36,7 +36,7 @@
     node_fixture_t *node = node_fixture_create();
 
     node_fixture_read_servers(node, "s", servers, "10.0.1.1:80");
-    ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s")));
+    ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead_unanswered(node);
     return node;
 }
@@ -71,12 +71,12 @@
 START_TEST(first_grants_to_thousands_of_owners_are_bounded_and_few_tables_tell_of_them)
 {
     node_fixture_t *node = new_leader(OWNERS);
-    uint64_t        tables = node->router.lead_tables;
+    uint64_t        tables = node->router.leader_tables_version;
     int             ticks;
 
     ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, OWNERS);
     ticks = settle(node, OWNERS);
-    ck_assert_uint_le(node->router.lead_tables - tables, (uint64_t)ticks * UNDER_WAY_MOST / 100);
+    ck_assert_uint_le(node->router.leader_tables_version - tables, (uint64_t)ticks * UNDER_WAY_MOST / 100);
     node_fixture_tick(node, 1000); /* the last changes are published as well */
     ck_assert(!node->router.table_publication.is_due);
     node_fixture_free(node);
--- a/tests/test_leader_tenure.c
+++ b/tests/test_leader_tenure.c
@@ -63,11 +63,12 @@
     cw_leader_tenure_t tenure = {0};
     cw_time_us_t       released_at = CW_SECONDS(START_S);
 
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, 1), 0); /* the clock may be young */
+    ck_assert_uint_eq(cw_leader_tenure_announced_term(&tenure, 1), 0); /* the clock may be young */
     cw_leader_tenure_release(&tenure, TERM, released_at);
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, released_at), TERM);
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S) - 1), TERM);
-    ck_assert_uint_eq(cw_leader_tenure_announced(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S)), 0);
+    ck_assert_uint_eq(cw_leader_tenure_announced_term(&tenure, released_at), TERM);
+    ck_assert_uint_eq(cw_leader_tenure_announced_term(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S) - 1),
+                      TERM);
+    ck_assert_uint_eq(cw_leader_tenure_announced_term(&tenure, released_at + CW_SECONDS(CW_RELEASE_ANNOUNCED_S)), 0);
 }
 END_TEST
 
--- a/tests/test_list_exchange.c
+++ b/tests/test_list_exchange.c
@@ -16,18 +16,18 @@
     PAGES = 48,        /* of a list of 3,000 servers, 64 to a page */
     PAGE_BYTES = 5120, /* 80 bytes a server */
     STEP_MS = 10,
-    REPORT_MS = 800, /* a node of a zone of fifty reports so often (CW_MANY_DATAGRAMS_A_SECOND) */
+    REPORT_MS = 800, /* a node of a zone of fifty reports so often (CW_LARGE_FLEET_DATAGRAMS_PER_SECOND) */
     HEARTBEAT_MS = 300,
     WAY_STEPS = 1,
     EVENTS_MAX = 4096
 };
 
-static const cw_list_number_t newest = {.term = 5, .number = 40};
-static const double           third_of_10_mbps = 10e6 / 8 / 3;
+static const cw_list_version_t newest = {.term = 5, .number = 40};
+static const double            third_of_10_mbps = 10e6 / 8 / 3;
 
 typedef struct zone_node {
     cw_list_exchange_t *exchange;
-    cw_list_number_t    has;
+    cw_list_version_t   has;
     bool                came[PAGES];
     bool                is_dead;
     bool                is_frozen;
@@ -110,7 +110,7 @@
     return bytes;
 }
 
-static void on_redirect(void *context, uint32_t address, cw_list_number_t of, uint32_t instead)
+static void on_redirect(void *context, uint32_t address, cw_list_version_t of, uint32_t instead)
 {
     put_event((wire_event_t){.at = now + CW_MS(STEP_MS * WAY_STEPS),
                              .kind = EVENT_REDIRECT,
@@ -296,7 +296,7 @@
 {
     begin_zone(2, 0);
     give_list(&nodes[0]);
-    nodes[1].has = (cw_list_number_t){.term = newest.term, .number = newest.number - 3};
+    nodes[1].has = (cw_list_version_t){.term = newest.term, .number = newest.number - 3};
     run(2000);
     ck_assert_uint_eq(nodes[0].requests, 0);
 }
@@ -404,7 +404,7 @@
 
 START_TEST(a_late_page_of_an_earlier_term_changes_nothing)
 {
-    cw_list_number_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
+    cw_list_version_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
 
     begin_third_of_three();
     (void)run_into_transfer();
@@ -417,11 +417,11 @@
 
 START_TEST(a_heartbeat_of_an_earlier_term_is_not_gone_by)
 {
-    cw_list_number_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
+    cw_list_version_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
 
     begin_third_of_three();
     (void)run_into_transfer();
-    cw_list_exchange_want(nodes[2].exchange, earlier, (cw_list_number_t){0}, now);
+    cw_list_exchange_want(nodes[2].exchange, earlier, (cw_list_version_t){0}, now);
     run(2000);
     ck_assert(has_newest(&nodes[2]));
     ck_assert_uint_eq(nodes[2].pages_received, PAGES);
@@ -430,7 +430,7 @@
 
 START_TEST(a_transfer_goes_on_while_a_newer_list_is_named)
 {
-    cw_list_number_t newer = {.term = newest.term, .number = newest.number + 1};
+    cw_list_version_t newer = {.term = newest.term, .number = newest.number + 1};
 
     begin_third_of_three();
     (void)run_into_transfer();
@@ -450,7 +450,7 @@
     give_list(&nodes[0]);
     run(2000);
     requests = nodes[0].requests;
-    nodes[1].has = (cw_list_number_t){0}; /* it has read a later one */
+    nodes[1].has = (cw_list_version_t){0}; /* it has read a later one */
     run(5000);
     ck_assert_uint_eq(nodes[0].requests, requests);
 }
--- a/tests/test_reading_turn.c
+++ b/tests/test_list_read_delay.c
@@ -1,5 +1,5 @@
 /**
- * @file test_reading_turn.c
+ * @file test_list_read_delay.c
  * @brief Nodes that all lack a list: what they read of the store together is bounded, however many they are.
  *
  * Pattern of load: all nodes' lists get old in the same moment.
@@ -8,7 +8,7 @@
 
 #include "loop_fixture.h"
 #include "router/key_tables.h"
-#include "router/reading_turn.h"
+#include "router/list_read_delay.h"
 
 enum { SECONDS_MOST = 200, LINK_BYTES_A_SECOND = 125000000 /* of a store: 1 Gbit/s */ };
 
@@ -28,7 +28,7 @@
         size_t second;
 
         (void)snprintf(name, sizeof(name), "front-%zu", index);
-        second = (size_t)(cw_reading_turn(cw_short_name(name), window) / CW_SECONDS(1));
+        second = (size_t)(cw_reading_turn(cw_name_hash(name), window) / CW_SECONDS(1));
         ck_assert_uint_lt(second, SECONDS_MOST);
         bytes[second] += (double)servers * CW_LIST_ENTRY_BYTES;
         most = bytes[second] > most ? bytes[second] : most;
--- a/tests/test_list_requests.c
+++ b/tests/test_list_requests.c
@@ -101,7 +101,7 @@
 
     node_fixture_read_servers(node, "docks", SERVERS, "10.0.1.1:80");
     node->router.view_term = TERM;
-    node->router.view_servers = NUMBER;
+    node->router.view_list_version = NUMBER;
     receive_heartbeat(node, NUMBER, node->router.server_view.hash);
     receive_report(node, ASKING, "z1", 0);
     return node;
@@ -172,7 +172,7 @@
 
     receive_request(node, ASKING, TERM, NUMBER, 0);
     node_fixture_read_servers(node, "docks", 2 * SERVERS, "10.0.1.1:80");
-    node->router.view_servers = NUMBER + 1;
+    node->router.view_list_version = NUMBER + 1;
     receive_request(node, ASKING, TERM, NUMBER, 1);
     ck_assert_uint_eq(pages_sent(node), 3);
     receive_request(node, ASKING, TERM, NUMBER, 0); /* one that begins is not */
@@ -201,7 +201,7 @@
     node_fixture_tick(node, CW_TICK_MS);
     ck_assert_uint_eq(requests_sent(node), 1);
     receive_page(node, TERM, NUMBER, 9, 0, 1);
-    ck_assert_uint_eq(node->router.view_servers, NUMBER);
+    ck_assert_uint_eq(node->router.view_list_version, NUMBER);
     node_fixture_free(node);
 }
 END_TEST
@@ -213,7 +213,7 @@
     uint64_t        told;
 
     receive_page(node, TERM, NUMBER, 7, 0, 1);
-    ck_assert_uint_eq(node->router.view_servers, NUMBER);
+    ck_assert_uint_eq(node->router.view_list_version, NUMBER);
     told = sent(node, CWP__DATAGRAM__CONTENT_ACK, CW_DISTANCE_ZONE) - before;
     ck_assert_uint_ge(told, 8);
     ck_assert_uint_le(told, NODES + 2);
@@ -227,7 +227,7 @@
 
     node->router.view_term = TERM;
     receive_page(node, TERM - 1, NUMBER + 1, 9, 0, 1);
-    ck_assert_uint_eq(node->router.view_servers, 0);
+    ck_assert_uint_eq(node->router.view_list_version, 0);
     ck_assert_ptr_null(node->router.server_view.list);
     node_fixture_free(node);
 }
@@ -244,7 +244,7 @@
     ck_assert_uint_eq(requests_sent(node), 1);
     receive_page(node, TERM, NUMBER, 8, 0, 1);
     ck_assert_uint_eq(node->router.server_view.list->count, SERVERS);
-    ck_assert_uint_eq(node->router.view_servers, 0);
+    ck_assert_uint_eq(node->router.view_list_version, 0);
     for (passed = 0; passed < SETTLE_MS; passed += CW_TICK_MS) {
         receive_heartbeat(node, NUMBER, 1);
         node_fixture_tick(node, CW_TICK_MS);
--- a/tests/test_loop_clock.c
+++ b/tests/test_loop_clock.c
@@ -125,7 +125,7 @@
     node_fixture_t *node = node_fixture_create();
 
     begin(&node->router.loop);
-    cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s"));
+    cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s"));
     node_fixture_read_servers(node, "s", SERVERS, "10.0.1.1:80");
     node_fixture_lead(node);
     return node;
@@ -143,10 +143,10 @@
     cw_router_t    *router = &node->router;
     size_t          orders = node->order_count;
 
-    ck_assert(cw_router_is_able(router, cw_router_now(router)));
+    ck_assert(cw_router_has_authority(router, cw_router_now(router)));
     fake_suspended += CW_SECONDS(SUSPENDED_S);
     router->loop.time++; /* the loop has woken: the steady clock has hardly moved */
-    ck_assert(!cw_router_is_able(router, cw_router_now(router)));
+    ck_assert(!cw_router_has_authority(router, cw_router_now(router)));
     node_fixture_tick(node, 1);
     ck_assert_uint_eq(node->order_count, orders); /* and gives no order */
     free_node(node);
@@ -157,7 +157,7 @@
 {
     node_fixture_t *node = new_leader();
     cw_router_t    *router = &node->router;
-    cw_time_us_t    confirmed_at = router->tables_at;
+    cw_time_us_t    confirmed_at = router->tables_valid_at;
     cw_time_us_t    list_true_at = router->server_view.true_at;
 
     ck_assert_ptr_nonnull(cw_engine_owner(router->engine, cw_engine_service(router->engine, "s"), 0));
@@ -177,7 +177,7 @@
     cw_credential_evidence_t evidence = {.stale_after = CW_SECONDS(5), .fails_closed = true};
     cw_time_us_t             until;
 
-    cw_router_on_newest(router, 1, cw_router_now(router));
+    cw_router_on_configuration_evidence(router, 1, cw_router_now(router));
     until = cw_credential_evidence_trusted_until(&evidence, router->freshness.complete_at);
     ck_assert_int_gt(until, cw_router_now(router));
     fake_suspended += CW_SECONDS(SUSPENDED_S);
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -97,7 +97,7 @@
     Cwp__Datagram    datagram = CWP__DATAGRAM__INIT;
 
     range.last = CW_KEY_LAST;
-    range.server = cw_short_name("i-000000");
+    range.server = cw_name_hash("i-000000");
     range.fence = 3;
     range.routable = true;
     table.term = term;
@@ -120,7 +120,7 @@
     Cwp__Datagram   datagram = CWP__DATAGRAM__INIT;
 
     ask.ticket = 1;
-    ask.service = cw_short_name("s");
+    ask.service = cw_name_hash("s");
     ask.objective_ms = 500;
     ask.lease_ms = 1000;
     ask.wait_ms = 100;
@@ -214,7 +214,7 @@
     Cwp__KeySamples *pointer = &samples;
     Cwp__Datagram    datagram = CWP__DATAGRAM__INIT;
 
-    samples.service = cw_short_name("s");
+    samples.service = cw_name_hash("s");
     samples.keys = &key;
     samples.n_keys = 1;
     samples.seen = seen;
@@ -263,7 +263,7 @@
     ck_assert_ptr_nonnull(status);
     free(status);
     node_fixture_read_servers(node, "s", 3, "10.0.1.1:80");
-    ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s")));
+    ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     receive_all_kinds(node);
     node_fixture_tick(node, CW_TICK_MS);
     ck_assert_uint_eq(cw_router_version(&node->router), 1);
@@ -294,14 +294,14 @@
     node_fixture_t *first = node_fixture_create();
     node_fixture_t *second = node_fixture_create();
 
-    ck_assert(cw_router_use_configuration(&first->router, node_fixture_configuration(1, "s")));
+    ck_assert(cw_router_apply_configuration(&first->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(first); /* without any list */
     node_fixture_read_servers(first, "s", 4, "10.0.1.1:80");
     node_fixture_lead(first);
     ck_assert_uint_eq(cw_assigner_ranges(first->router.keyed[0].assigner)->count, 4);
     node_fixture_read_servers(second, "s", 4, "10.0.1.1:80");
     node_fixture_lead(second); /* without any configuration */
-    ck_assert(cw_router_use_configuration(&second->router, node_fixture_configuration(1, "s")));
+    ck_assert(cw_router_apply_configuration(&second->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(second);
     ck_assert_uint_eq(cw_assigner_ranges(second->router.keyed[0].assigner)->count, 4);
     node_fixture_free(first);
@@ -454,7 +454,7 @@
     node_fixture_t *node = node_fixture_create();
 
     node_fixture_read_servers(node, "s", MANY_SERVERS, "10.0.1.1:80");
-    ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s")));
+    ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
     ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, MANY_SERVERS);
     node_fixture_free(node);
@@ -467,7 +467,7 @@
     uint32_t        sequence;
 
     node_fixture_read_servers(node, "s", 4, "10.0.1.1:80");
-    ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s")));
+    ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
     ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, 4);
     for (sequence = 1; sequence < 60; sequence++) { /* so often that one of them alone would keep a server busy */
@@ -492,7 +492,7 @@
     size_t                 index;
 
     node_fixture_read_servers(node, "s", 4, "10.0.1.1:80");
-    ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "s")));
+    ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead_unanswered(node);
     ck_assert_uint_eq(node->order_count, 4);
     memcpy(former, node->orders, sizeof(former));
@@ -698,11 +698,11 @@
     node_fixture_t *node = node_fixture_create();
 
     take_list_of(node, 3);
-    ck_assert_uint_eq(node->router.view_servers, 3);
+    ck_assert_uint_eq(node->router.view_list_version, 3);
     receive_heartbeats(node, 3, 9000);
-    ck_assert_uint_eq(node->router.view_servers, 3);
+    ck_assert_uint_eq(node->router.view_list_version, 3);
     receive_heartbeats(node, 3, 2000);
-    ck_assert_uint_eq(node->router.view_servers, 0);
+    ck_assert_uint_eq(node->router.view_list_version, 0);
     node_fixture_free(node);
 }
 END_TEST
@@ -713,10 +713,10 @@
 
     take_list_of(node, 3);
     receive_heartbeats(node, 3, 11000);
-    ck_assert_uint_eq(node->router.view_servers, 0);
+    ck_assert_uint_eq(node->router.view_list_version, 0);
     take_list_of(node, 3);
     receive_heartbeats(node, 3, 40000);
-    ck_assert_uint_eq(node->router.view_servers, 3);
+    ck_assert_uint_eq(node->router.view_list_version, 3);
     node_fixture_free(node);
 }
 END_TEST
@@ -727,12 +727,12 @@
     int             beats;
 
     receive_table(node, TERM, 0, 1, "s");
-    ck_assert_uint_ne(node->router.view_tables, 0);
+    ck_assert_uint_ne(node->router.view_tables_version, 0);
     for (beats = 0; beats < 10; beats++) {
         tick_for(node, 200);
         receive_heartbeat(node, TERM, 0, 1);
     }
-    ck_assert_uint_eq(node->router.view_tables, 0);
+    ck_assert_uint_eq(node->router.view_tables_version, 0);
     node_fixture_free(node);
 }
 END_TEST
--- a/tests/test_pass_on.c
+++ b/tests/test_pass_on.c
@@ -35,7 +35,7 @@
     cw_range_list_t ranges = {.items = &range, .count = 1};
 
     ck_assert(cw_key_tables_update(&node->router.tables, "docks", &ranges, TABLES_NUMBER));
-    node->router.view_tables = TABLES_NUMBER;
+    node->router.view_tables_version = TABLES_NUMBER;
 }
 
 /* The leader has the same list under the same number. */
@@ -70,7 +70,7 @@
     (void)add_reader(node);
     node->router.settings.link_mbps = 100;
     node->router.view_term = TERM;
-    node->router.view_servers = SERVERS_NUMBER;
+    node->router.view_list_version = SERVERS_NUMBER;
     set_tables(node);
     receive_heartbeat(node);
     for (step = 0; step < STEPS; step++) {
--- a/tests/test_push.c
+++ b/tests/test_push.c
@@ -35,8 +35,8 @@
     uint64_t           lacks = possession == LACKS_TWO_CHANGES ? 2 : possession == LACKS_CHANGE ? 1 : 0;
 
     peer->term = router->leadership.lock.term;
-    peer->servers = possession == LACKS_ALL ? 0 : router->lead_servers - lacks;
-    peer->tables = possession == LACKS_ALL ? 0 : router->lead_tables - lacks;
+    peer->servers = possession == LACKS_ALL ? 0 : router->leader_list_version - lacks;
+    peer->tables = possession == LACKS_ALL ? 0 : router->leader_tables_version - lacks;
     peer->servers_push = (cw_push_state_t){0};
     peer->tables_push = (cw_push_state_t){0};
 }
@@ -48,7 +48,7 @@
     int             index;
 
     node->router.settings.link_mbps = 100000;
-    ck_assert(cw_router_use_configuration(&node->router, node_fixture_configuration(1, "docks")));
+    ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "docks")));
     node_fixture_read_servers(node, "docks", SERVERS, "10.0.1.1:80");
     node_fixture_lead(node);
     for (index = 0; index < NODES; index++) {
@@ -56,8 +56,8 @@
     }
     node_fixture_read_servers(node, "docks", SERVERS + 9, "10.0.1.1:80");
     node_fixture_read_servers(node, "docks", SERVERS + 10, "10.0.1.1:80");
-    ck_assert_uint_gt(node->router.lead_servers, 2);
-    ck_assert_uint_gt(node->router.lead_tables, 0);
+    ck_assert_uint_gt(node->router.leader_list_version, 2);
+    ck_assert_uint_gt(node->router.leader_tables_version, 0);
     return node;
 }
 
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "quota_world.h"
+#include "quota_sim.h"
 
 enum { NODES = 81, CAPABLE = 9 };
 
--- a/tests/test_quota_counter.c
+++ b/tests/test_quota_counter.c
@@ -251,8 +251,8 @@
     granted = cw_quota_counter_ask(counter, NODE, &asked, start);
     ck_assert_uint_eq(granted.tokens, 0);
     ck_assert(granted.is_unknown);
-    ck_assert(cw_quota_counter_is_behind(counter, TENANT + 1, 8));
-    ck_assert(!cw_quota_counter_is_behind(counter, TENANT, 8));
+    ck_assert(cw_quota_counter_is_outdated(counter, TENANT + 1, 8));
+    ck_assert(!cw_quota_counter_is_outdated(counter, TENANT, 8));
     asked.version = 6; /* the limit was taken away since */
     granted = cw_quota_counter_ask(counter, NODE, &asked, start);
     ck_assert_uint_eq(granted.tokens, 10);
--- a/tests/test_quota_failures.c
+++ b/tests/test_quota_failures.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "quota_world.h"
+#include "quota_sim.h"
 
 enum {
     NODES = 27,
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -131,7 +131,7 @@
     node_fixture_t *node = node_fixture_create();
 
     node_fixture_read_servers(node, "s", SERVERS, "10.0.1.1:80"); /* four in r1, two in r2 */
-    ck_assert(cw_router_use_configuration(&node->router, configuration_of(first, second)));
+    ck_assert(cw_router_apply_configuration(&node->router, configuration_of(first, second)));
     node_fixture_lead(node);
     return node;
 }
@@ -163,7 +163,7 @@
             regions[index] = index % 2 == 0 ? low_regions : high_regions;
         }
         if (tick % ROUND_TICKS == 0) {
-            cw_router_take_samples(&node->router, cw_short_name("s"), &samples, cw_router_now(&node->router));
+            cw_router_add_samples(&node->router, cw_name_hash("s"), &samples, cw_router_now(&node->router));
         }
         node_fixture_tick(node, CW_TICK_MS);
         node_fixture_answer_store(node);
@@ -220,7 +220,7 @@
     for (tick = 0; tick < 1000; tick++) {
         const char *before = region_of_owner(node, 1000);
 
-        cw_router_take_samples(&node->router, cw_short_name("s"), &samples, cw_router_now(&node->router));
+        cw_router_add_samples(&node->router, cw_name_hash("s"), &samples, cw_router_now(&node->router));
         node_fixture_tick(node, CW_TICK_MS);
         node_fixture_answer_store(node);
         node_fixture_answer_orders(node, CW_ORDER_DONE);
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -174,7 +174,7 @@
 {
     static cw_servers_page_room_t room;
     Cwp__ServersPage              page = CWP__SERVERS_PAGE__INIT;
-    uint32_t                      pages = cw_servers_pages_of(list, base);
+    uint32_t                      pages = cw_servers_page_count(list, base);
     uint32_t                      number;
     size_t                        from = 0;
     size_t                        sum = 0;
@@ -191,12 +191,12 @@
     cw_server_list_t *followed = list_of(150, 0);
     cw_server_list_t *led = list_of(150, 7);
 
-    ck_assert_uint_eq(cw_servers_pages_of(followed, 0), 3);
+    ck_assert_uint_eq(cw_servers_page_count(followed, 0), 3);
     ck_assert_uint_eq(count_paged(followed, 0), 150);
     ck_assert_uint_eq(count_paged(led, 0), 150);
     ck_assert_uint_eq(count_paged(led, 6), 150);
     ck_assert_uint_eq(count_paged(led, 7), 0);
-    ck_assert_uint_eq(cw_servers_pages_of(led, 7), 1); /* that nothing changed is told too */
+    ck_assert_uint_eq(cw_servers_page_count(led, 7), 1); /* that nothing changed is told too */
     cw_server_list_release(followed);
     cw_server_list_release(led);
 }
@@ -450,7 +450,7 @@
     fill_ranges(&list, MANY_RANGES);
     page.service = (char *)"docks";
     ck_assert(cw_key_tables_update(&told, "docks", &list, 1));
-    for (part = cw_table_pages_of(list.count); part > 0; part--) {
+    for (part = cw_table_page_count(list.count); part > 0; part--) {
         cw_table_page_fill(&page, &room, told.items[0].entries, told.items[0].count, part - 1);
         cw_table_page_take(&received, &page);
     }
@@ -605,9 +605,9 @@
 
 START_TEST(an_empty_table_takes_one_page)
 {
-    ck_assert_uint_eq(cw_table_pages_of(0), 1);
-    ck_assert_uint_eq(cw_table_pages_of(CW_TABLE_PAGE_RANGES), 1);
-    ck_assert_uint_eq(cw_table_pages_of(CW_TABLE_PAGE_RANGES + 1), 2);
+    ck_assert_uint_eq(cw_table_page_count(0), 1);
+    ck_assert_uint_eq(cw_table_page_count(CW_TABLE_PAGE_RANGES), 1);
+    ck_assert_uint_eq(cw_table_page_count(CW_TABLE_PAGE_RANGES + 1), 2);
 }
 END_TEST
 
