--- a/tests/test_table_publication.c
+++ b/tests/test_table_publication.c
@@ -55,9 +55,9 @@
     uint64_t                    tables;
 
     node_fixture_read_servers(node, "s", SERVERS, "10.0.1.1:80");
-    ck_assert(cw_router_use_configuration(router, node_fixture_configuration(1, "s")));
+    ck_assert(cw_router_apply_configuration(router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
-    tables = router->lead_tables;
+    tables = router->leader_tables_version;
     cw_table_publication_done(&router->table_publication, cw_router_now(router));
     cw_table_publication_note_change(&router->table_publication, cw_router_now(router));
     router->loop.time += 70;
--- a/tests/test_view_parts.c
+++ b/tests/test_view_updates.c
@@ -1,5 +1,5 @@
 /**
- * @file test_view_parts.c
+ * @file test_view_updates.c
  * @brief Updates that are received page by page: pages of several of them may come mixed, and in any order.
  *
  * Pattern of load: two relays and the leader send long updates, for different lists, at the same time.
@@ -8,11 +8,11 @@
 #include <string.h>
 
 #include "loop_fixture.h"
-#include "router/view_parts.h"
+#include "router/view_updates.h"
 
 enum { PAGES = 6 };
 
-static cw_list_parts_t *take(cw_view_parts_t *parts, uint64_t base, uint64_t number, uint32_t page, cw_time_us_t now)
+static cw_list_parts_t *take(cw_view_updates_t *parts, uint64_t base, uint64_t number, uint32_t page, cw_time_us_t now)
 {
     char             id[32];
     char             removed[32];
@@ -37,7 +37,7 @@
     message.n_servers = 1;
     message.removed = removals;
     message.n_removed = page == 0 && base != 0 ? 1 : 0;
-    return cw_view_parts_take_list(parts, &message, now);
+    return cw_view_updates_take_list(parts, &message, now);
 }
 
 static cw_server_list_t *known_list(void)
@@ -55,10 +55,10 @@
 
 START_TEST(pages_of_several_updates_may_come_mixed)
 {
-    cw_view_parts_t  *parts = cw_view_parts_create();
-    cw_server_list_t *list;
-    cw_list_parts_t  *last = NULL;
-    uint32_t          page;
+    cw_view_updates_t *parts = cw_view_updates_create();
+    cw_server_list_t  *list;
+    cw_list_parts_t   *last = NULL;
+    uint32_t           page;
 
     for (page = 0; page < PAGES; page++) {
         ck_assert_ptr_nonnull(take(parts, 0, 9, page, page));
@@ -69,17 +69,17 @@
     list = cw_list_parts_finish(last, NULL);
     ck_assert_uint_eq(list->count, PAGES);
     cw_server_list_release(list);
-    cw_view_parts_free(parts);
+    cw_view_updates_free(parts);
 }
 END_TEST
 
 START_TEST(changes_are_laid_over_what_is_known_in_the_end)
 {
-    cw_view_parts_t  *parts = cw_view_parts_create();
-    cw_server_list_t *known = known_list();
-    cw_server_list_t *list;
-    cw_list_parts_t  *last = NULL;
-    uint32_t          page;
+    cw_view_updates_t *parts = cw_view_updates_create();
+    cw_server_list_t  *known = known_list();
+    cw_server_list_t  *list;
+    cw_list_parts_t   *last = NULL;
+    uint32_t           page;
 
     for (page = PAGES; page > 0; page--) {
         last = take(parts, 8, 9, page - 1, page); /* who was removed is told last */
@@ -91,26 +91,26 @@
     ck_assert_uint_eq(cw_server_list_find(list, "s-3@1")->capacity, 9);
     cw_server_list_release(list);
     cw_server_list_release(known);
-    cw_view_parts_free(parts);
+    cw_view_updates_free(parts);
 }
 END_TEST
 
 START_TEST(a_page_that_was_here_is_not_taken_again)
 {
-    cw_view_parts_t *parts = cw_view_parts_create();
-    cw_list_parts_t *list = take(parts, 0, 9, 0, 0);
+    cw_view_updates_t *parts = cw_view_updates_create();
+    cw_list_parts_t   *list = take(parts, 0, 9, 0, 0);
 
     ck_assert_uint_eq(cw_view_assembly_first_missing(&list->assembly), 1);
     ck_assert_ptr_null(take(parts, 0, 9, 0, 1));
     ck_assert_ptr_null(take(parts, 0, 9, PAGES, 1)); /* no such page */
-    cw_view_parts_free(parts);
+    cw_view_updates_free(parts);
 }
 END_TEST
 
 START_TEST(one_more_takes_the_place_of_the_longest_idle)
 {
-    cw_view_parts_t *parts = cw_view_parts_create();
-    uint64_t         base;
+    cw_view_updates_t *parts = cw_view_updates_create();
+    uint64_t           base;
 
     for (base = 1; base <= CW_ASSEMBLIES; base++) {
         ck_assert_ptr_nonnull(take(parts, base, 9, 0, CW_MS((int64_t)base)));
@@ -119,7 +119,7 @@
     ck_assert_ptr_nonnull(take(parts, base, 9, 0, CW_MS(200)));
     ck_assert_ptr_null(take(parts, 1, 9, 0, CW_MS(300)));    /* still here */
     ck_assert_ptr_nonnull(take(parts, 2, 9, 0, CW_MS(300))); /* begins again */
-    cw_view_parts_free(parts);
+    cw_view_updates_free(parts);
 }
 END_TEST
 
