--- a/sim/lease_servers.c
+++ b/sim/lease_servers.c
@@ -175,7 +175,7 @@
         return CW_ORDER_UNANSWERED;
     }
     if (strcmp(server->id, order->server) != 0) {
-        return CW_ORDER_ENDED;
+        return CW_ORDER_OTHER_INCARNATION;
     }
     if (order->kind == CW_ORDER_GRANT) {
         return handle_grant(world, server, order, late);
--- a/src/proxy/engine_claim.c
+++ b/src/proxy/engine_claim.c
@@ -14,7 +14,7 @@
 
 enum {
     REPLY_MS = 20,  /* two ways between zones, and a busy node's turn */
-    SILENT_MS = 300 /* a node that stopped is missed by all within a second (CW_PEER_SILENCE_MS) */
+    SILENT_MS = 300 /* a node that stopped is missed by all within a second (CW_PEER_TIMEOUT_MS) */
 };
 
 /* Part of a usual request's time that is waited for a slot in this zone before others are asked: a server there costs
@@ -91,7 +91,7 @@
                          .tenant = request->tenant_hash,
                          .objective = left > 0 ? left : 0,
                          .lease = request->deadline - now,
-                         .wait_most = wait};
+                         .max_slot_wait = wait};
 
     if (request->attempts > 0) { /* it has been at a server: late is better than nothing */
         ask.objective = request->deadline - now;
--- a/src/router/configuration_exchange.c
+++ b/src/router/configuration_exchange.c
@@ -127,7 +127,7 @@
     request.has = version_in_force(exchange);
     if (is_assembling(exchange)) {
         request.version = exchange->assembly.partial->version;
-        request.first_page = cw_configuration_assembly_missing(&exchange->assembly);
+        request.first_page = cw_configuration_assembly_first_missing(&exchange->assembly);
     }
     exchange->window_end = request.first_page + WINDOW_PAGES;
     datagram.content_case = CWP__DATAGRAM__CONTENT_CONFIGURATION_REQUEST;
@@ -251,7 +251,8 @@
 /* All pages that were asked for have come: the next ones are asked for at once. */
 static void go_on(cw_configuration_exchange_t *exchange, cw_time_us_t now)
 {
-    if (is_assembling(exchange) && cw_configuration_assembly_missing(&exchange->assembly) >= exchange->window_end) {
+    if (is_assembling(exchange) &&
+        cw_configuration_assembly_first_missing(&exchange->assembly) >= exchange->window_end) {
         ask(exchange, now);
     }
 }
@@ -281,7 +282,7 @@
         exchange->owner.too_large(exchange->owner.context);
         return;
     }
-    configuration = cw_configuration_assembly_take(&exchange->assembly, in_force(exchange), page);
+    configuration = cw_configuration_assembly_add_page(&exchange->assembly, in_force(exchange), page);
     if (configuration != NULL) {
         exchange->is_waiting = false;
         exchange->owner.received(exchange->owner.context, configuration);
--- a/src/router/leader_tenure.c
+++ b/src/router/leader_tenure.c
@@ -34,7 +34,7 @@
     }
 }
 
-cw_time_us_t cw_leader_tenure_deference(const cw_leader_tenure_t *tenure)
+cw_time_us_t cw_leader_tenure_take_delay(const cw_leader_tenure_t *tenure)
 {
     return tenure->rival_since == 0 ? 0 : CW_MS(CW_LEADER_DEFERENCE_MS);
 }
--- a/src/router/leader_tenure.h
+++ b/src/router/leader_tenure.h
@@ -44,7 +44,7 @@
 /** A rival is in reach now, or none is. */
 void cw_leader_tenure_note_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now);
 /** How much later than it might this node takes the lock. */
-cw_time_us_t cw_leader_tenure_deference(const cw_leader_tenure_t *tenure);
+cw_time_us_t cw_leader_tenure_take_delay(const cw_leader_tenure_t *tenure);
 /** Should this node, if it leads, hand over to the rival? */
 bool cw_leader_tenure_should_hand_over(const cw_leader_tenure_t *tenure, cw_time_us_t now);
 /** Has the node's authority changed since the last call? */
--- a/src/router/replaced_versions.h
+++ b/src/router/replaced_versions.h
@@ -21,15 +21,15 @@
 
 /** All zeros: none. */
 typedef struct cw_replaced_versions {
-    uint64_t     newest;                            /**< replaced; 0: none */
-    cw_time_us_t true_at[CW_REPLACED_VERSIONS_MAX]; /**< by number, modulo */
+    uint64_t     newest;                             /**< replaced; 0: none */
+    cw_time_us_t valid_at[CW_REPLACED_VERSIONS_MAX]; /**< by number, modulo */
     size_t       count;
 } cw_replaced_versions_t;
 
 /** A new term: no number of it has been replaced. */
 void cw_replaced_versions_begin(cw_replaced_versions_t *replaced);
 /** This number, one more than the last, is replaced; it was surely true until then. */
-void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t number, cw_time_us_t true_at);
+void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t number, cw_time_us_t valid_at);
 /** Ages of the last numbers that were replaced, the newest first, milliseconds. Returns how many. */
 size_t cw_replaced_versions_ages(const cw_replaced_versions_t *replaced, cw_time_us_t now,
                                  uint32_t ages_ms[CW_REPLACED_VERSIONS_MAX]);
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -76,14 +76,14 @@
     if (now - router->started_at < CW_SECONDS(PEERS_UNKNOWN_S)) {
         return CW_NODES_UNKNOWN;
     }
-    return cw_peer_link_alive(router->link, router->silence, now);
+    return cw_peer_link_count_alive(router->link, router->silence, now);
 }
 
 /* Nodes among which the retry budget's fixed part is shared: the most seen within a window. A process that has run for
  * less than a window knows neither them nor what its former life has spent. */
 static uint32_t nodes_for_budget(cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t alive = cw_peer_link_alive(router->link, router->settings.retry_window, now) + 1;
+    uint32_t alive = cw_peer_link_count_alive(router->link, router->settings.retry_window, now) + 1;
 
     if (alive >= router->peak_nodes || now - router->peak_nodes_at > router->settings.retry_window) {
         router->peak_nodes = alive;
@@ -201,7 +201,7 @@
                                      .configuration_within = router->settings.configuration_within,
                                      .configuration_newest = cw_router_on_configuration_evidence,
                                      .answered = cw_router_on_answered,
-                                     .zones_may_be_out = router->settings.zone_out_within > 0,
+                                     .zones_can_be_taken_out = router->settings.zone_out_within > 0,
                                      .servers = cw_router_on_servers};
     cw_absence_settings_t absence;
     char                  store_address[32];
@@ -226,8 +226,8 @@
     if (error != 0) {
         return error;
     }
-    cw_peer_link_set_place(router->link, router->settings.zone, router->settings.zone_regions,
-                           router->settings.zone_region_count);
+    cw_peer_link_set_zone(router->link, router->settings.zone, router->settings.zone_regions,
+                          router->settings.zone_region_count);
     router->started_at = cw_router_now(router);
     cw_fleet_size_init(&router->fleet_size, router->settings.retry_window, router->started_at);
     absence = cw_absence_settings_of(router->settings.heartbeat, router->settings.drain);
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -38,7 +38,7 @@
 
 enum {
     CW_TICK_MS = 20,
-    CW_PEER_SILENCE_MS = 1000, /**< at least; longer where many nodes make reports rare */
+    CW_PEER_TIMEOUT_MS = 1000, /**< at least; longer where many nodes make reports rare */
     CW_LARGE_FLEET_DATAGRAMS_PER_SECOND =
         60, /**< of reports of one of many nodes, whose datagrams are most of what all do */
     CW_LEADER_DATAGRAMS_PER_SECOND = 1000, /**< of its reports, and of its tables */
@@ -346,13 +346,13 @@
 void cw_router_view_tick(cw_router_t *router, cw_time_us_t now);
 void cw_router_on_servers(void *context, const cw_servers_read_t *read);
 /** The tables in force were still true then, as a node that has the same ones has read. */
-void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t true_at);
+void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t valid_at);
 bool cw_router_tables_known(const cw_router_t *router);
 
 /* ---- router_zones.c ---- */
 void cw_router_zones_init(cw_router_t *router);
-/** Another list is in force: servers and zones out of service by it. before_true_at: of the list before. */
-void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now);
+/** Another list is in force: servers and zones out of service by it. before_valid_at: of the list before. */
+void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_valid_at, cw_time_us_t now);
 /** As configured: how the servers of each service start. */
 void cw_router_apply_warm_ups(cw_router_t *router);
 void cw_router_zones_tick(cw_router_t *router, cw_time_us_t now);
--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -29,9 +29,9 @@
 /* ---- leadership ---- */
 
 /* Nodes that start together do not know one another yet: the more capable one is, the sooner it looks for the lock. */
-static cw_time_us_t first_look_after(const cw_router_t *router)
+static cw_time_us_t first_read_after(const cw_router_t *router)
 {
-    return router->settings.first_look_within * CAPABILITY_OF_A_CORE /
+    return router->settings.first_read_within * CAPABILITY_OF_A_CORE /
            (CAPABILITY_OF_A_CORE + cw_router_capability(router));
 }
 
@@ -42,8 +42,8 @@
                                          .renew_every = router->settings.leader_hold / RENEWALS_A_LEADER_HOLD,
                                          .heartbeat_timeout = CW_MS(HEARTBEAT_TIMEOUT_MS),
                                          .read_every = CW_MS(READ_EVERY_MS),
-                                         .first_look_after = first_look_after(router),
-                                         .first_look_within = router->settings.first_look_within / FIRST_TURN_PART};
+                                         .first_read_after = first_read_after(router),
+                                         .first_read_within = router->settings.first_read_within / FIRST_TURN_PART};
 
     memcpy(settings.node, router->settings.node, sizeof(settings.node));
     memcpy(settings.address, router->settings.address, sizeof(router->settings.address));
@@ -133,7 +133,7 @@
  * it. */
 static void read_lock(cw_router_t *router)
 {
-    if (router->leadership.leading || router->settings.first_look_within > 0) {
+    if (router->leadership.leading || router->settings.first_read_within > 0) {
         router->store->read(router->store->context, leader_kind, leader_name, on_lock, router);
     } else {
         router->store->read_copy(router->store->context, leader_kind, leader_name, on_lock, router);
@@ -282,12 +282,12 @@
     uint32_t followers;
 
     cw_leader_tenure_note_rival(&router->tenure, is_rival_in_reach(router), now);
-    followers = cw_peer_link_alive(router->link, router->silence, now);
+    followers = cw_peer_link_count_alive(router->link, router->silence, now);
     if (cw_router_is_new(router, now) && followers < NEW_FOLLOWERS) {
         followers = NEW_FOLLOWERS;
     }
     cw_leadership_set_followers(&router->leadership, followers);
-    cw_leadership_defer(&router->leadership, cw_leader_tenure_deference(&router->tenure));
+    cw_leadership_set_take_delay(&router->leadership, cw_leader_tenure_take_delay(&router->tenure));
     if (cw_router_has_authority(router, now) && cw_leader_tenure_should_hand_over(&router->tenure, now) &&
         !is_store_in_trouble(router, now)) {
         note_leadership(router, CW_EVENT_LEADER_LOST, "a more capable node is in reach");
@@ -334,7 +334,7 @@
     cw_order_trust_expire(router->order_trust, now);
     for (index = 0; index < router->keyed_count; index++) {
         cw_router_plan(router, &router->keyed[index], now);
-        cw_assigner_set_pace(router->keyed[index].assigner, renewals_a_second(router));
+        cw_assigner_set_renewal_rate(router->keyed[index].assigner, renewals_a_second(router));
         cw_assigner_tick(router->keyed[index].assigner, router->server_view.list, able,
                          is_store_in_trouble(router, now), now);
         cw_router_measure(&router->keyed[index], now);
--- a/src/router/router_pass_on.c
+++ b/src/router/router_pass_on.c
@@ -90,7 +90,7 @@
     cw_router_t     *router = context;
     const cw_peer_t *peer = cw_peer_link_find(router->link, address);
 
-    return peer == NULL ? 0 : cw_peer_link_send_part(router->link, peer, pages, first, count);
+    return peer == NULL ? 0 : cw_peer_link_send_range(router->link, peer, pages, first, count);
 }
 
 void cw_router_pass_on_init(cw_router_t *router)
@@ -138,7 +138,7 @@
         return; /* no node can take it either */
     }
     set_pass_on(datagram, false);
-    cw_datagram_batch_empty(&packed);
+    cw_datagram_batch_clear(&packed);
     cw_peer_link_pack_into(router->link, &packed, datagram);
     if (packed.count == 1 && !cw_pass_on_queue_add(router->pass_on, &update, page, &packed, now)) {
         cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, 1); /* the leader sends it by itself */
@@ -187,7 +187,7 @@
     if (leader->incarnation == passed->incarnation && passed->sequence <= leader->sequence) {
         return false;
     }
-    if (cw_peer_is_former(leader, passed->incarnation, now)) {
+    if (cw_peer_is_former_incarnation(leader, passed->incarnation, now)) {
         return false;
     }
     cw_peer_set_incarnation(leader, passed->incarnation, now);
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -208,7 +208,7 @@
 
 static cw_time_us_t keys_pause(const cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t nodes = cw_peer_link_alive(router->link, router->silence, now);
+    uint32_t nodes = cw_peer_link_count_alive(router->link, router->silence, now);
 
     return CW_MS(KEYS_PAUSE_MS) * (KEYS_NODES + nodes) / KEYS_NODES;
 }
@@ -217,14 +217,14 @@
 {
     cw_time_us_t silence = idle * SILENCE_IN_PAUSES;
 
-    router->silence = (silence > CW_MS(CW_PEER_SILENCE_MS) ? silence : CW_MS(CW_PEER_SILENCE_MS)) + way;
+    router->silence = (silence > CW_MS(CW_PEER_TIMEOUT_MS) ? silence : CW_MS(CW_PEER_TIMEOUT_MS)) + way;
 }
 
 static void report_among_few(cw_router_t *router, cw_time_us_t now)
 {
     cw_time_us_t since_all = now - router->reported_all_at;
     cw_time_us_t since_zone = now - router->reported_zone_at;
-    uint32_t     all = cw_peer_link_alive(router->link, router->silence, now);
+    uint32_t     all = cw_peer_link_count_alive(router->link, router->silence, now);
     uint32_t     near = count_targets(router, now).near;
     cw_time_us_t idle = CW_MS(paced_to_all(router, IDLE_PAUSE_MS, all));
 
@@ -313,7 +313,7 @@
 {
     cw_time_us_t life = router->silence / SILENCE_IN_PAUSES + CW_MS(REPORT_SLACK_MS); /* the next one replaces it */
 
-    return life > CW_MS(CW_POOL_REPORT_LIFE_MS) ? life : CW_MS(CW_POOL_REPORT_LIFE_MS);
+    return life > CW_MS(CW_POOL_REPORT_EXPIRY_MS) ? life : CW_MS(CW_POOL_REPORT_EXPIRY_MS);
 }
 
 void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent)
--- a/src/router/router_quota.c
+++ b/src/router/router_quota.c
@@ -12,7 +12,7 @@
 #include "router/router_quota.h"
 
 enum {
-    GATHER_EVERY_MS = 100 /* how often the nodes that may count are gathered; well below CW_PEER_SILENCE_MS */
+    GATHER_EVERY_MS = 100 /* how often the nodes that may count are gathered; well below CW_PEER_TIMEOUT_MS */
 };
 
 static const char *const mode_names[] = {"free", "metered", "alone"};
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -26,7 +26,7 @@
                                               .waiting = load->waiting,
                                               .unreachable = load->unreachable};
     }
-    cw_server_pool_report(router->pool, peer->address, reports, index, now);
+    cw_server_pool_apply_report(router->pool, peer->address, reports, index, now);
 }
 
 static void take_paces(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
@@ -40,7 +40,7 @@
         paces[index] = (cw_server_pace_t){.hash = pace->server, .served = pace->served, .time = pace->time};
     }
     if (index > 0) {
-        cw_server_pool_learn(router->pool, peer->address, paces, index, now);
+        cw_server_pool_apply_paces(router->pool, peer->address, paces, index, now);
     }
 }
 
@@ -63,7 +63,7 @@
         peer->last_received_at != 0) {
         return false; /* late or repeated */
     }
-    if (cw_peer_is_former(peer, received->incarnation, now)) {
+    if (cw_peer_is_former_incarnation(peer, received->incarnation, now)) {
         return false; /* late: the node has started anew since */
     }
     if (peer->last_received_at == 0 || peer->is_lost || peer->incarnation != received->incarnation) {
@@ -81,18 +81,18 @@
     cw_peer_set_incarnation(peer, received->incarnation, now);
     peer->sequence = received->sequence;
     peer->last_received_at = now;
-    peer->direct_at = now;
+    peer->last_direct_report_at = now;
     peer->stopping = received->stopping;
     peer->store_lost = received->store_lost;
     peer->peers = received->peers;
-    peer->misses_this = is_missed(router, received);
+    peer->receives_nothing_from_us = is_missed(router, received);
     peer->term = received->term;
     peer->servers = received->servers;
     peer->tables = received->tables;
     if (received->node[0] != '\0') {
         peer->details_at = strcmp(peer->node, received->node) == 0 ? peer->details_at : now;
         cw_text_copy(peer->node, sizeof(peer->node), received->node);
-        cw_peer_link_note_zone(router->link, peer, received->zone);
+        cw_peer_link_set_peer_zone(router->link, peer, received->zone);
         peer->capability = received->capability;
     }
     return true;
@@ -122,8 +122,8 @@
 
         fits = cw_queue_lengths_add(&router->queue_lengths, &length);
     }
-    cw_dropped_entries_note("queue lengths of other nodes: services seem less busy there", CW_QUEUE_LENGTHS_MAX,
-                            fits ? 0 : count - index + 1);
+    cw_dropped_entries_report("queue lengths of other nodes: services seem less busy there", CW_QUEUE_LENGTHS_MAX,
+                              fits ? 0 : count - index + 1);
     if (any || router->queue_lengths.count > 0) {
         cw_engine_each_service(router->engine, sum_queue, router);
     }
@@ -137,7 +137,7 @@
         return;
     }
     if (cw_router_is_summarized(router, peer, now)) { /* counted in its zone's sums already */
-        cw_server_pool_report(router->pool, peer->address, NULL, 0, now);
+        cw_server_pool_apply_report(router->pool, peer->address, NULL, 0, now);
         cw_router_handle_queues(router, peer->address, false, NULL, 0, now);
     } else {
         take_loads(router, peer, received, now);
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -72,15 +72,15 @@
 }
 
 /* Another list is in force: all that goes by it is told. */
-static void use_servers(cw_router_t *router, cw_server_list_t *before, cw_time_us_t before_true_at, cw_time_us_t now)
+static void use_servers(cw_router_t *router, cw_server_list_t *before, cw_time_us_t before_valid_at, cw_time_us_t now)
 {
     cw_server_list_t *list = router->server_view.list;
 
     note_servers(router, before);
     cw_server_pool_update(router->pool, list, now);
-    cw_router_apply_zones(router, before_true_at, now);
+    cw_router_apply_zones(router, before_valid_at, now);
     if (router->leadership.leading) {
-        cw_replaced_versions_add(&router->replaced_servers, router->leader_list_version, before_true_at);
+        cw_replaced_versions_add(&router->replaced_servers, router->leader_list_version, before_valid_at);
         router->leader_list_version++;
         router->view_list_version = router->leader_list_version;
         cw_list_history_add(&router->list_history, before, list, router->leader_list_version);
@@ -121,13 +121,13 @@
 {
     cw_time_us_t      now = cw_router_now(router);
     size_t            kept = router->server_view.kept;
-    cw_time_us_t      before_true_at = router->server_view.true_at;
+    cw_time_us_t      before_valid_at = router->server_view.valid_at;
     cw_server_list_t *before;
-    cw_view_result_t  result = cw_server_view_take(&router->server_view, reading, now, &before);
+    cw_view_result_t  result = cw_server_view_apply(&router->server_view, reading, now, &before);
 
     if (result == CW_VIEW_CHANGED) {
         note_kept(router, kept);
-        use_servers(router, before, before_true_at, now);
+        use_servers(router, before, before_valid_at, now);
     } else if (result == CW_VIEW_OLDER) {
         cw_router_log_older_servers(router, reading->revision, "read");
     }
@@ -140,8 +140,8 @@
     cw_server_reading_t reading = {.list = read->list,
                                    .revision = read->revision,
                                    .latest = read->latest,
-                                   .true_at = router->reading_copy ? 0 : router->servers_read_at - read->lag,
-                                   .store_failed = router->store_availability.failed_at > router->server_view.true_at};
+                                   .valid_at = router->reading_copy ? 0 : router->servers_read_at - read->lag,
+                                   .store_failed = router->store_availability.failed_at > router->server_view.valid_at};
 
     router->reading_servers = false;
     router->servers_lag = read->lag;
@@ -157,7 +157,7 @@
     cw_server_list_t *before;
 
     if (cw_server_view_expire(&router->server_view, now, &before) == CW_VIEW_CHANGED) {
-        use_servers(router, before, router->server_view.true_at, now);
+        use_servers(router, before, router->server_view.valid_at, now);
     }
 }
 
@@ -165,7 +165,7 @@
 static bool is_one_of_many(const cw_router_t *router, cw_time_us_t now)
 {
     return cw_router_is_new(router, now) ||
-           cw_peer_link_alive(router->link, router->silence, now) >= CW_FLEET_MANY_NODES;
+           cw_peer_link_count_alive(router->link, router->silence, now) >= CW_FLEET_MANY_NODES;
 }
 
 /* While the store does not answer, many nodes that ask it are a burden, and each call has a price: the readers go on.
@@ -199,7 +199,8 @@
     router->reading_servers = true;
     router->servers_read_at = now;
     if (!from_copy && router->server_view.list != NULL && router->server_view.revision != 0) {
-        router->store->know_servers(router->store->context, router->server_view.list, router->server_view.revision);
+        router->store->set_known_servers(router->store->context, router->server_view.list,
+                                         router->server_view.revision);
     }
     router->reading_copy = from_copy;
     router->store->read_servers(router->store->context, from_copy);
@@ -261,15 +262,15 @@
     return tables_valid(router) * TABLES_OLD_PERCENT / 100;
 }
 
-static void validate_tables(cw_router_t *router, cw_time_us_t true_at)
+static void validate_tables(cw_router_t *router, cw_time_us_t valid_at)
 {
-    router->tables_valid_at = true_at > router->tables_valid_at ? true_at : router->tables_valid_at;
+    router->tables_valid_at = valid_at > router->tables_valid_at ? valid_at : router->tables_valid_at;
     cw_engine_set_tables_valid(router->engine, router->tables_valid_at, router->tables_valid_at + tables_valid(router));
 }
 
-void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t true_at)
+void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t valid_at)
 {
-    validate_tables(router, true_at);
+    validate_tables(router, valid_at);
 }
 
 /* ---- the leader's heartbeat ---- */
@@ -277,15 +278,15 @@
 /* The list in force is the leader's newest, or was true until a moment that the leader tells. */
 static void confirm_servers(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    cw_time_us_t true_at;
+    cw_time_us_t valid_at;
 
     if (router->view_list_version >= heartbeat->servers) {
         cw_server_view_confirm(&router->server_view, heartbeat->list_revision, now - CW_MS(heartbeat->list_age_ms));
         return;
     }
-    true_at = cw_replaced_versions_true_at(router->view_list_version, heartbeat->servers,
-                                           heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
-    cw_server_view_confirm(&router->server_view, router->server_view.revision, true_at);
+    valid_at = cw_replaced_versions_true_at(router->view_list_version, heartbeat->servers,
+                                            heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
+    cw_server_view_confirm(&router->server_view, router->server_view.revision, valid_at);
 }
 
 /* The same of the tables. */
@@ -378,21 +379,21 @@
 {
     table_read_t          *read = data;
     cw_router_t           *router = read->router;
-    cw_time_us_t           true_at = read->sent_at;
+    cw_time_us_t           valid_at = read->sent_at;
     cw_assignment_record_t record;
 
     if (read->from_copy) { /* used for a while; owners that hold the keys no longer say so */
-        true_at -= tables_valid(router) * TABLES_OLD_PERCENT / 100;
+        valid_at -= tables_valid(router) * TABLES_OLD_PERCENT / 100;
     }
     router->table_reads_pending--;
     cw_router_store_result(router, reply->result == CW_STORE_DONE || reply->result == CW_STORE_NOT_FOUND,
                            cw_router_now(router));
     if (reply->result == CW_STORE_DONE && !router->leadership.leading &&
         cw_assignment_record_from_json(&record, reply->value)) {
-        if (true_at > router->tables_valid_at && cw_record_is_usable(record.term, router->view_term)) {
+        if (valid_at > router->tables_valid_at && cw_record_is_usable(record.term, router->view_term)) {
             cw_router_begin_term(router, record.term);
             use_record(router, read->service, &record);
-            validate_tables(router, true_at);
+            validate_tables(router, valid_at);
         }
         cw_range_list_clear(&record.ranges);
     }
@@ -503,7 +504,7 @@
  */
 static bool is_list_due(const cw_router_t *router, bool heartbeat_is_fresh, cw_time_us_t now)
 {
-    cw_time_us_t age = now - router->server_view.true_at;
+    cw_time_us_t age = now - router->server_view.valid_at;
 
     if (router->server_view.list == NULL) {
         return is_first_read_due(router, heartbeat_is_fresh, now);
--- a/src/router/signal_notices.c
+++ b/src/router/signal_notices.c
@@ -14,7 +14,7 @@
     SEND_AGAIN_MS = 200,
     SEND_PAUSE_MS = 50, /* between datagrams: servers that change all the time are told of together */
     CHANGED_EVERY_MS = 500,
-    RENEWED_EVERY_MS = 3000, /* three in the time after which a limit is forgotten (CW_LIMIT_FORGOTTEN_MS) */
+    RENEWED_EVERY_MS = 3000, /* three in the time after which a limit is forgotten (CW_LIMIT_EXPIRY_MS) */
 };
 
 typedef struct notice {
@@ -84,7 +84,7 @@
     if (notice->sends_left > 0) {
         return notice->send_at;
     }
-    return notice->told_at + CW_MS(notice->is_leave ? RENEWED_EVERY_MS : CW_LIMIT_FORGOTTEN_MS);
+    return notice->told_at + CW_MS(notice->is_leave ? RENEWED_EVERY_MS : CW_LIMIT_EXPIRY_MS);
 }
 
 /* While its first sending is due, a further change leaves it: it is sent as the server's state is then. */
@@ -138,7 +138,7 @@
 
 static bool is_over(const notice_t *notice, cw_time_us_t now)
 {
-    return notice->sends_left == 0 && !notice->is_leave && now - notice->told_at >= CW_MS(CW_LIMIT_FORGOTTEN_MS);
+    return notice->sends_left == 0 && !notice->is_leave && now - notice->told_at >= CW_MS(CW_LIMIT_EXPIRY_MS);
 }
 
 size_t cw_signal_notices_due(cw_signal_notices_t *notices, uint32_t servers[CW_SIGNAL_NOTICES_MOST], cw_time_us_t now)
--- a/src/tenancy/caller_identity.c
+++ b/src/tenancy/caller_identity.c
@@ -50,7 +50,7 @@
     size_t      index;
 
     for (index = 0; index < fields->count; index++) {
-        if (!cw_http_name_is_alike(fields->items[index].name, header)) {
+        if (!cw_http_name_is_equivalent(fields->items[index].name, header)) {
             continue;
         }
         if (value != NULL) {
@@ -161,7 +161,7 @@
     for (index = 0; index < fields->count; index++) {
         const cw_http_field_t *field = &fields->items[index];
 
-        if (cw_http_name_is_alike(field->name, header) && field->value != NULL &&
+        if (cw_http_name_is_equivalent(field->name, header) && field->value != NULL &&
             may_hold_key(configuration, field->value, scheme, &parts)) {
             return true;
         }
--- a/src/tenancy/quota_redirects.c
+++ b/src/tenancy/quota_redirects.c
@@ -6,7 +6,7 @@
 
 enum {
     FIRST_MS = 300,      /* for the first reply of the node that is named */
-    CONFIRMED_MS = 1000, /* since its last one: when a node that stopped is missed by all (CW_PEER_SILENCE_MS) */
+    CONFIRMED_MS = 1000, /* since its last one: when a node that stopped is missed by all (CW_PEER_TIMEOUT_MS) */
     AGAIN_MS = 300       /* two nodes that name one another agree by then: their reports have crossed */
 };
 
--- a/src/tenancy/quota_reports.c
+++ b/src/tenancy/quota_reports.c
@@ -15,7 +15,7 @@
     REPORTS_MOST = 2,       /* without a reply, until a counting node is in doubt; a datagram may be lost */
     PASS_OVER_REPORTS = 40, /* without a reply: 2 s, so that a node that stopped is missed by all before; with 0.4 of
                                the datagrams lost, one run of 50 million reaches it */
-    SILENT_MS = 1000,       /* a node that stopped is missed by all by then (CW_PEER_SILENCE_MS); */
+    SILENT_MS = 1000,       /* a node that stopped is missed by all by then (CW_PEER_TIMEOUT_MS); */
     SILENT_DOUBLINGS = 3,
     DECLINED_MS = 300,  /* one that has just started counts soon */
     USAGES_MOST = 48,   /* in one datagram of some 1,200 bytes */
--- a/tests/engine_fixture.c
+++ b/tests/engine_fixture.c
@@ -182,7 +182,7 @@
     world->upstream = cw_upstream_create(&world->loop, &options);
     world->engine = cw_engine_create(&world->loop, &settings, world->pool, world->upstream);
     ck_assert_int_eq(cw_http_listener_create(&world->front, &world->loop, "127.0.0.1", 0, &limits, &handler), 0);
-    cw_http_listener_set_rejects(world->front, front_rejects);
+    cw_http_listener_set_reject_callback(world->front, front_rejects);
     world->caller = cw_upstream_create(&world->loop, &options);
     snprintf(address, sizeof(address), "127.0.0.1:%u", cw_http_listener_port(world->front));
     world->front_target = cw_upstream_target_create(world->caller, address);
--- a/tests/quota_sim.c
+++ b/tests/quota_sim.c
@@ -340,8 +340,8 @@
     if (via != 0) {
         post_by(world, &message, index_of(via));
     }
-    for (way = 0; way < CW_DETOUR_WAYS; way++) {
-        size_t between = (turn * CW_DETOUR_WAYS + way) % world->node_count;
+    for (way = 0; way < CW_DETOUR_INDIRECT_PROBES; way++) {
+        size_t between = (turn * CW_DETOUR_INDIRECT_PROBES + way) % world->node_count;
 
         if (between != suspect && between != message.from && hears(node, between)) {
             post_by(world, &message, between);
@@ -357,7 +357,7 @@
 
     for (other = 0; other < world->node_count; other++) {
         if (other != index_of(node->address) && is_suspect(node, other) &&
-            cw_detours_probe(node->detours, world->nodes[other].address, world->now, &turn)) {
+            cw_detours_begin_probe(node->detours, world->nodes[other].address, world->now, &turn)) {
             probe(node, other, turn);
         }
     }
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -137,7 +137,7 @@
     cw_engine_set_tables_valid(world.engine, 0, INT64_MAX);
     cw_engine_set_table(world.engine, "keyed", &route, 1, 1);
     report.hash = cw_server_pool_find(world.pool, "s1")->hash;
-    cw_server_pool_report(world.pool, 9, &report, 1, cw_engine_now(world.engine));
+    cw_server_pool_apply_report(world.pool, 9, &report, 1, cw_engine_now(world.engine));
     (void)engine_world_ask(&world, "GET", "/keyed/x", "15000");
     while (cw_engine_queued(world.engine) == 0) {
         uv_run(&world.loop, UV_RUN_ONCE);
@@ -145,7 +145,7 @@
     cw_test_run_some(&world.loop, 20);
     ck_assert(!world.answered); /* just one is before it */
     report.waiting = 100000;
-    cw_server_pool_report(world.pool, 9, &report, 1, cw_engine_now(world.engine));
+    cw_server_pool_apply_report(world.pool, 9, &report, 1, cw_engine_now(world.engine));
     cw_engine_wake(world.engine);
     cw_test_run_until_set(&world.loop, &world.answered);
     ck_assert_int_eq(world.status, 503);
--- a/tests/test_engine_limits.c
+++ b/tests/test_engine_limits.c
@@ -160,7 +160,7 @@
     (void)engine_world_ask(&world, "GET", "/safe/x", "15000");
     cw_test_run_until(&world.loop, has_asked, &node);
     ck_assert_uint_eq(node.asked.server, cw_server_pool_find(world.pool, "s0")->hash);
-    ck_assert_int_eq(node.asked.wait_most, 0);
+    ck_assert_int_eq(node.asked.max_slot_wait, 0);
     reply(&world, &node, CW_SLOT_REFUSED);
     cw_test_run_until_set(&world.loop, &world.answered);
     ck_assert_int_eq(world.status, 200);
@@ -179,7 +179,7 @@
     limit(&world, "s1", 6);
     (void)engine_world_ask(&world, "GET", "/safe/x", "15000");
     cw_test_run_until(&world.loop, has_asked, &node);
-    ck_assert_int_gt(node.asked.wait_most, CW_SECONDS(10)); /* nothing else would do: it may wait */
+    ck_assert_int_gt(node.asked.max_slot_wait, CW_SECONDS(10)); /* nothing else would do: it may wait */
     reply(&world, &node, CW_SLOT_REFUSED);
     reply(&world, &node, CW_SLOT_REFUSED);
     cw_test_run_until_set(&world.loop, &world.answered);
@@ -205,7 +205,7 @@
     }
     ck_assert(cw_server_is_limited(server, cw_engine_now(world.engine)));
     signals.has_run = true;
-    for (answer = 0; answer < CW_LIMIT_UNNAMED_ENDS; answer++) {
+    for (answer = 0; answer < CW_LIMIT_UNNAMED_ANSWERS; answer++) {
         cw_engine_note_signals(world.engine, server, &signals, "r");
     }
     ck_assert(!cw_server_is_limited(server, cw_engine_now(world.engine)));
--- a/tests/test_engine_regions.c
+++ b/tests/test_engine_regions.c
@@ -93,8 +93,8 @@
     engine_world_t world;
 
     begin_with_near_server_taken(&world);
-    cw_server_pool_fault(cw_server_pool_find(world.pool, "s0"), cw_engine_now(world.engine));
-    cw_server_pool_fault(cw_server_pool_find(world.pool, "s0"), cw_engine_now(world.engine));
+    cw_server_pool_record_fault(cw_server_pool_find(world.pool, "s0"), cw_engine_now(world.engine));
+    cw_server_pool_record_fault(cw_server_pool_find(world.pool, "s0"), cw_engine_now(world.engine));
     (void)engine_world_upload(&world, "/once/x");
     cw_test_run_until_set(&world.loop, &world.answered);
     ck_assert_int_eq(world.status, 200);
--- a/tests/test_engine_slots.c
+++ b/tests/test_engine_slots.c
@@ -275,7 +275,7 @@
     size_t              length = strlen(brokers->text);
 
     snprintf(brokers->text + length, sizeof(brokers->text) - length, "z%u %d, ", broker,
-             (int)(asked->wait_most / 1000000));
+             (int)(asked->max_slot_wait / 1000000));
     brokers->broker = broker;
     brokers->asked = *asked;
     brokers->has_asked = true;
@@ -333,8 +333,8 @@
     cw_engine_set_slots(world.engine, &port);
     (void)engine_world_ask(&world, "GET", "/safe/x", "15000");
     refuse_all(&brokers); /* the last ask may wait the longest */
-    ck_assert_int_gt(brokers.asked.wait_most, CW_SECONDS(10));
-    ck_assert_int_le(brokers.asked.wait_most, CW_SECONDS(15));
+    ck_assert_int_gt(brokers.asked.max_slot_wait, CW_SECONDS(10));
+    ck_assert_int_le(brokers.asked.max_slot_wait, CW_SECONDS(15));
 }
 END_TEST
 
@@ -406,7 +406,7 @@
     cw_slot_port_t port = {.context = &brokers, .broker_of = broker_of_zone, .ask = note_ask, .give_back = note_return};
 
     begin_with_unresponsive_broker(&world, &brokers, &port);
-    cw_server_pool_begin(cw_server_pool_find(world.pool, "s0"), cw_engine_now(world.engine)); /* its one slot */
+    cw_server_pool_begin_request(cw_server_pool_find(world.pool, "s0"), cw_engine_now(world.engine)); /* its one slot */
     (void)engine_world_ask(&world, "GET", "/safe/y", "15000");
     refuse_all(&brokers);
     ck_assert_int_eq(world.status, 503);
@@ -423,7 +423,7 @@
     engine_world_init(&world);
     cw_engine_set_slots(world.engine, &port);
     world.servers[0].status = 200;
-    cw_server_pool_begin(cw_server_pool_find(world.pool, "s1"), cw_engine_now(world.engine)); /* its one slot */
+    cw_server_pool_begin_request(cw_server_pool_find(world.pool, "s1"), cw_engine_now(world.engine)); /* its one slot */
     (void)engine_world_ask(&world, "GET", "/safe/x", "15000");
     while (!world.answered) {
         if (brokers.has_asked && brokers.broker == 1) {
--- a/tests/test_leader_tenure.c
+++ b/tests/test_leader_tenure.c
@@ -21,11 +21,11 @@
 {
     cw_leader_tenure_t tenure = {0};
 
-    ck_assert_int_eq(cw_leader_tenure_deference(&tenure), 0);
+    ck_assert_int_eq(cw_leader_tenure_take_delay(&tenure), 0);
     cw_leader_tenure_note_rival(&tenure, true, CW_SECONDS(START_S));
-    ck_assert_int_eq(cw_leader_tenure_deference(&tenure), CW_MS(CW_LEADER_DEFERENCE_MS));
+    ck_assert_int_eq(cw_leader_tenure_take_delay(&tenure), CW_MS(CW_LEADER_DEFERENCE_MS));
     cw_leader_tenure_note_rival(&tenure, false, CW_SECONDS(START_S) + 1);
-    ck_assert_int_eq(cw_leader_tenure_deference(&tenure), 0);
+    ck_assert_int_eq(cw_leader_tenure_take_delay(&tenure), 0);
 }
 END_TEST
 
