--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -31,7 +31,7 @@
 trap cluster_end EXIT
 
 # Waits until a command succeeds. There is no timeout of its own: the time limit of the test runner ends a wait in vain.
-until_true() { until "$@" >/dev/null 2>&1; do sleep 0.05; done; }
+wait_until_true() { until "$@" >/dev/null 2>&1; do sleep 0.05; done; }
 
 # Address of the store for a node. If STORE_ENDPOINTS (number of endpoints) is set, the first endpoint serves operators and
 # servers, and each node has a further endpoint of its own; else all use the first one.
@@ -115,7 +115,7 @@
     local n
     "$BUILD/cw-store" --address "$NET.250" ${STORE_PAGE:+--page "$STORE_PAGE"} ${STORE_ENDPOINTS:+--endpoints "$STORE_ENDPOINTS"} >"$WORK/store.out" &
     PIDS+=("$!")
-    until_true grep -q port "$WORK/store.out"
+    wait_until_true grep -q port "$WORK/store.out"
     STORE="$NET.250:$(awk '{print $2}' "$WORK/store.out")" # the first endpoint also serves operators and servers
     [ -z "${LINKED:-}" ] || link_start
     NODES=""
@@ -157,7 +157,7 @@
 cluster_wait_ready() {
     local n
     for n in "${!NODE_PIDS[@]}"; do
-        until_true curl -sf "http://$NET.$n:8081/readyz"
+        wait_until_true curl -sf "http://$NET.$n:8081/readyz"
     done
 }
 
@@ -166,7 +166,7 @@
 cluster_wait_served() {
     local key
     for key in 0 10000 20000 30000 40000 50000 65535; do
-        until_true curl -sf "http://$NET.1:8080/docks/x" -H 'Host: maps.example' -H "X-Shard-Key: $key" \
+        wait_until_true curl -sf "http://$NET.1:8080/docks/x" -H 'Host: maps.example' -H "X-Shard-Key: $key" \
             -H "X-Request-Id: wait-$key-$RANDOM$RANDOM" -H 'X-Deadline-Ms: 1000' ${CALLER_KEY:+-H "Authorization: Bearer $CALLER_KEY"}
     done
 }
@@ -215,7 +215,7 @@
 
 # Checks of a server's record: that it has ended, and that it ran no request in its last half second.
 server_ended() { grep -q '"stop"' "$WORK/server-$1.json"; }
-rested_before_end() {
+idle_before_end() {
     local last_run stop
     last_run=$(jq -s '[.[]|select(.event=="run").ns]|max // 0' "$WORK/server-$1.json")
     stop=$(jq -s '[.[]|select(.event=="stop").ns]|max // 0' "$WORK/server-$1.json")
@@ -223,14 +223,14 @@
 }
 
 # Starts the servers that most tests use: six of the service maps (divided by key), three of hires.
-usual_servers() {
+standard_servers() {
     local i
     for i in 1 2 3 4 5 6; do cluster_server "m$i" --service maps --zone "z$(((i - 1) % 3 + 1))" --keyed --work-ms "${WORK_MS:-15}"; done
     for i in 1 2 3; do cluster_server "h$i" --service hires --zone "z$i" --work-ms 15 --hangs; done
 }
-usual_cluster() {
+standard_cluster() {
     cluster_start "${1:-3}"
-    usual_servers
+    standard_servers
     cluster_configure "$(configuration 1)"
     cluster_wait_ready
     cluster_wait_served
@@ -243,7 +243,7 @@
 ${NODE_SETTINGS:-}"
     group_of() { case $1 in z1 | z2) echo east ;; *) echo west ;; esac; }
     cluster_start 6
-    usual_servers
+    standard_servers
     cluster_server m7 --service maps --zone z4 --keyed --work-ms 15
     cluster_server h4 --service hires --zone z4 --work-ms 15 --hangs
     cluster_configure "$(configuration 1)"
@@ -312,4 +312,4 @@
     done
 }
 # Prints how often a leader resigned because its orders did not reach servers that answer other nodes.
-resigned_cut_off() { cat "$WORK"/node*.log | grep -c "orders do not reach servers that answer others"; }
+cut_off_resignations() { cat "$WORK"/node*.log | grep -c "orders do not reach servers that answer others"; }
--- a/sim/lease_events.c
+++ b/sim/lease_events.c
@@ -105,7 +105,7 @@
 
 bool sim_has_faults(const sim_world_t *world)
 {
-    return world->now < world->settings.calm_at;
+    return world->now < world->settings.faults_end_at;
 }
 
 void sim_violation(sim_world_t *world, const char *format, ...)
--- a/sim/lease_world.h
+++ b/sim/lease_sim.h
@@ -1,5 +1,5 @@
 /**
- * @file lease_world.h
+ * @file lease_sim.h
  * @brief Deterministic simulation of leadership, assignments and grants: runs the router's own state machines with a
  *        model of the store, the servers and the links between them, in logical time.
  *
@@ -10,8 +10,8 @@
  *  - at each grant that a server accepts: its fence is above all fences with which other servers held the cell,
  *  - at the end: the assignment record in the store covers all keys, and all cells are served again.
  */
-#ifndef CEDARWINCH_SIM_LEASE_WORLD_H
-#define CEDARWINCH_SIM_LEASE_WORLD_H
+#ifndef CEDARWINCH_SIM_LEASE_SIM_H
+#define CEDARWINCH_SIM_LEASE_SIM_H
 
 #include "assignment/assigner.h"
 #include "lease/leadership.h"
@@ -28,7 +28,7 @@
 typedef struct cw_sim_settings {
     uint64_t     seed;
     cw_time_us_t length;         /**< duration of the run */
-    cw_time_us_t calm_at;        /**< no faults from this time on */
+    cw_time_us_t faults_end_at;  /**< no faults from this time on */
     double       store_lost;     /**< probability that a write is done and not answered */
     double       store_late;     /**< probability that a write is done 1 to 6 s later and not answered */
     double       order_lost;     /**< probability that an order is carried out and not answered */
@@ -57,7 +57,7 @@
 } cw_sim_result_t;
 
 /** Sets the usual frequencies of faults. */
-void cw_sim_settings_rough(cw_sim_settings_t *settings, uint64_t seed);
+void cw_sim_settings_with_faults(cw_sim_settings_t *settings, uint64_t seed);
 /** Runs the simulation; runs with equal settings are equal. */
 void cw_sim_run(const cw_sim_settings_t *settings, cw_sim_result_t *result);
 
--- a/standins/verdict/lives.c
+++ b/standins/verdict/incarnations.c
@@ -1,8 +1,8 @@
 /**
- * @file lives.c
+ * @file incarnations.c
  * @brief Compares names of incarnations with ids of servers.
  */
-#include "lives.h"
+#include "incarnations.h"
 
 #include <string.h>
 
--- a/standins/verdict/lives.h
+++ b/standins/verdict/incarnations.h
@@ -1,9 +1,9 @@
 /**
- * @file lives.h
+ * @file incarnations.h
  * @brief Names of incarnations of servers in records.
  */
-#ifndef CEDARWINCH_STANDINS_VERDICT_LIVES_H
-#define CEDARWINCH_STANDINS_VERDICT_LIVES_H
+#ifndef CEDARWINCH_STANDINS_VERDICT_INCARNATIONS_H
+#define CEDARWINCH_STANDINS_VERDICT_INCARNATIONS_H
 
 #include <stdbool.h>
 
--- a/tests/process/fatal_signal.sh
+++ b/tests/process/fatal_signal.sh
@@ -2,7 +2,7 @@
 # A node that is ended by a fatal signal writes one last log line, from which the place in the code can be found, and then
 # ends as it would without a handler.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 1
+standard_cluster 1
 
 last_line() { tail -1 "$WORK/node1.log"; }
 field() { last_line | jq -r ".$1 // \"\""; }
@@ -22,6 +22,6 @@
     check "$name: its addresses lead to main" at_least "$(functions | grep -cx main)" 1
     check "$name: each line of the log is whole" at_least "$(jq -s length "$WORK/node1.log" 2>/dev/null || echo 0)" 2
     start_node 1
-    until_true curl -sf "http://$NET.1:8081/readyz"
+    wait_until_true curl -sf "http://$NET.1:8081/readyz"
 done
 finish_test
--- a/tests/process/rehearsal.sh
+++ b/tests/process/rehearsal.sh
@@ -2,7 +2,7 @@
 # Checks what docs/OPERATIONS.md describes: explain finds refused and failed requests by their ids, status shows the
 # owners of keys, and the logs show an outage of the store and a reload.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 ask() { curl -s -o /dev/null -w '%{http_code}' "http://$NET.1:8080$1" -H 'Host: maps.example' -H "X-Request-Id: $2" -H 'X-Shard-Key: 5' -H "X-Deadline-Ms: $3" "${@:4}"; }
 check "a request without a route gets 404" [ "$(ask /nowhere lost-1 500)" = 404 ]
 for i in 1 2 3 4 5 6; do kill -STOP "${SERVER_PIDS[m$i]}"; done
@@ -11,11 +11,11 @@
 metric() { curl -sf "http://$NET.1:8081/metrics" | awk -v name="$1" '$1 == name {print $2}'; }
 metric_is() { [ "$(metric "$1")" = "$2" ]; }
 cluster_configure "$(configuration 2 | jq '.routes[1].timeout_ms = 30000')" # a request keeps its slot until its stopped server continues
-until_true metric_is cedarwinch_configuration_version 2
+wait_until_true metric_is cedarwinch_configuration_version 2
 for i in 1 2 3; do kill -STOP "${SERVER_PIDS[h$i]}"; done
 sent=$(metric cedarwinch_sent_total)
 for i in 1 2 3 4 5 6; do ask /hire/x "hold-$i" 30000 -X POST >/dev/null & done
-until_true metric_is cedarwinch_sent_total $((sent + 6)) # all slots: three servers with two each
+wait_until_true metric_is cedarwinch_sent_total $((sent + 6)) # all slots: three servers with two each
 code=$(ask /hire/x refused-1 1000 -X POST)
 check "a request that gets no slot in time is refused ($code)" [ "$code" = 503 ]
 for i in 1 2 3; do kill -CONT "${SERVER_PIDS[h$i]}"; done
@@ -31,10 +31,10 @@
 check "status shows the ranges of owners" at_least "$(grep -c 'keys .* fence' "$WORK/status")" 6
 curl -sf -X POST "http://$STORE/control?down=2500&how=busy" >/dev/null
 logged() { grep -q "$1" "$WORK"/node*.log; }
-until_true logged '"store lost"'
-until_true logged '"store back"'
+wait_until_true logged '"store lost"'
+wait_until_true logged '"store back"'
 check "the outage of the store is logged" logged '"store back"'
 kill -HUP "${NODE_PIDS[1]}"
-until_true logged '"reload"'
+wait_until_true logged '"reload"'
 check "a reload is logged" logged '"reload".*taken'
 finish_test
--- a/tests/process/tenant_limit.sh
+++ b/tests/process/tenant_limit.sh
@@ -3,7 +3,7 @@
 # within the limit in every window, most of the limit must be used, and requests of other tenants must be served.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 RATE=20 WINDOW_S=5 BURST=0 SLACK=20
-usual_cluster 5
+standard_cluster 5
 cluster_server pages --service rimac/pages --work-ms 10
 cat >"$WORK/rimac.yaml" <<YAML
 tenant: rimac
@@ -25,11 +25,11 @@
     done
     return 1
 }
-until_true served 1
+wait_until_true served 1
 # A node that has just started does not count, and a bucket is dropped when no request arrives, so each check sends a request first.
 counting_after_a_request() { status 1 >/dev/null; counting; }
-until_true counting_after_a_request
-(sleep 6; until_true counting; n=$(counting) && echo "$n" >"$WORK/counted" && kill -KILL "${NODE_PIDS[$n]}") &
+wait_until_true counting_after_a_request
+(sleep 6; wait_until_true counting; n=$(counting) && echo "$n" >"$WORK/counted" && kill -KILL "${NODE_PIDS[$n]}") &
 killer=$!
 (cluster_callers calm --rate 50 --count 800) &
 calm=$!
--- a/tests/process/tenant_limit_pair_cut.sh
+++ b/tests/process/tenant_limit_pair_cut.sh
@@ -6,11 +6,11 @@
 . "$(dirname "$0")/lib/limited_tenant.sh"
 COUNT=${COUNT:-4} CUT_S=${CUT_S:-7}
 
-usual_cluster "$COUNT"
-until_true all_in_touch
+standard_cluster "$COUNT"
+wait_until_true all_in_touch
 limited_callers limited $((2 * (COUNT - 1) * (CUT_S + 2) + 4)) &
 callers=$!
-until_true one_counts
+wait_until_true one_counts
 counter=$(counting)
 echo "n$counter counts"
 for cut in cut-one-way cut; do
@@ -19,7 +19,7 @@
         link "$cut" "n$counter" "n$other"
         sleep "$CUT_S"
         link heal
-        until_true all_in_touch
+        wait_until_true all_in_touch
         sleep 0.5
     done
 done
--- a/tests/process/tenant_limit_restart_all.sh
+++ b/tests/process/tenant_limit_restart_all.sh
@@ -6,17 +6,17 @@
 . "$(dirname "$0")/lib/limited_tenant.sh"
 COUNT=${COUNT:-18}
 
-usual_cluster "$COUNT"
-until_true all_in_touch
+standard_cluster "$COUNT"
+wait_until_true all_in_touch
 limited_callers limited 20 &
 callers=$!
-until_true one_counts
+wait_until_true one_counts
 for _ in 1 2; do
     sleep 3
     for n in "${!NODE_PIDS[@]}"; do kill -KILL "${NODE_PIDS[$n]}"; done
     for n in $(seq 1 "$COUNT"); do start_node "$n"; done
-    until_true all_in_touch
-    until_true one_counts
+    wait_until_true all_in_touch
+    wait_until_true one_counts
 done
 wait "$callers"
 check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
