--- a/src/router/configuration_exchange.c
+++ b/src/router/configuration_exchange.c
@@ -80,8 +80,8 @@
 
 /* ---- requests ---- */
 
-void cw_configuration_exchange_note_holder(cw_configuration_exchange_t *exchange, uint32_t address, uint64_t version,
-                                           bool is_same_zone, cw_time_us_t now)
+void cw_configuration_exchange_record_holder(cw_configuration_exchange_t *exchange, uint32_t address, uint64_t version,
+                                             bool is_same_zone, cw_time_us_t now)
 {
     bool is_closer = is_same_zone && !exchange->is_same_zone;
 
@@ -223,8 +223,8 @@
     transfer->address = 0;
 }
 
-void cw_configuration_exchange_take_request(cw_configuration_exchange_t *exchange, uint32_t address,
-                                            const Cwp__ConfigurationRequest *request, cw_time_us_t now)
+void cw_configuration_exchange_handle_request(cw_configuration_exchange_t *exchange, uint32_t address,
+                                              const Cwp__ConfigurationRequest *request, cw_time_us_t now)
 {
     const cw_configuration_t *sent = request->version == 0 ? NULL : find_kept_version(exchange, request->version);
     cw_page_window_t          window = {.first = request->first_page, .count = WINDOW_PAGES};
@@ -265,8 +265,8 @@
     exchange->next_request_at = now + CW_MS(REDIRECT_MS);
 }
 
-void cw_configuration_exchange_take_page(cw_configuration_exchange_t *exchange, uint32_t address,
-                                         const Cwp__ConfigurationPage *page, cw_time_us_t now)
+void cw_configuration_exchange_handle_page(cw_configuration_exchange_t *exchange, uint32_t address,
+                                           const Cwp__ConfigurationPage *page, cw_time_us_t now)
 {
     uint32_t            before = exchange->assembly.received;
     cw_configuration_t *configuration;
--- a/src/router/configuration_exchange.h
+++ b/src/router/configuration_exchange.h
@@ -44,17 +44,17 @@
 /** Records that this configuration is in force here now. */
 void cw_configuration_exchange_set(cw_configuration_exchange_t *exchange, cw_configuration_t *configuration);
 /** Records that the node at `address` has this version. is_same_zone: it is in this node's zone. */
-void cw_configuration_exchange_note_holder(cw_configuration_exchange_t *exchange, uint32_t address, uint64_t version,
-                                           bool is_same_zone, cw_time_us_t now);
+void cw_configuration_exchange_record_holder(cw_configuration_exchange_t *exchange, uint32_t address, uint64_t version,
+                                             bool is_same_zone, cw_time_us_t now);
 /** Sends a request if one is due. Called at each tick. */
 void cw_configuration_exchange_tick(cw_configuration_exchange_t *exchange, cw_time_us_t now);
 /** True while pages of a higher version are being received, so that it need not be read from the store. */
 bool cw_configuration_exchange_is_receiving(const cw_configuration_exchange_t *exchange, cw_time_us_t now);
 /** Replies to a request of the node at `address`. */
-void cw_configuration_exchange_take_request(cw_configuration_exchange_t *exchange, uint32_t address,
-                                            const Cwp__ConfigurationRequest *request, cw_time_us_t now);
+void cw_configuration_exchange_handle_request(cw_configuration_exchange_t *exchange, uint32_t address,
+                                              const Cwp__ConfigurationRequest *request, cw_time_us_t now);
 /** Handles a page, or a redirect, from the node at `address`. */
-void cw_configuration_exchange_take_page(cw_configuration_exchange_t *exchange, uint32_t address,
-                                         const Cwp__ConfigurationPage *page, cw_time_us_t now);
+void cw_configuration_exchange_handle_page(cw_configuration_exchange_t *exchange, uint32_t address,
+                                           const Cwp__ConfigurationPage *page, cw_time_us_t now);
 
 #endif
--- a/src/router/configuration_newest.c
+++ b/src/router/configuration_newest.c
@@ -4,7 +4,7 @@
  */
 #include "router/configuration_newest.h"
 
-void cw_configuration_newest_note(cw_configuration_newest_t *newest, uint64_t version, uint64_t own, cw_time_us_t now)
+void cw_configuration_newest_record(cw_configuration_newest_t *newest, uint64_t version, uint64_t own, cw_time_us_t now)
 {
     if (version <= own || version <= newest->version) {
         return;
--- a/src/router/configuration_newest.h
+++ b/src/router/configuration_newest.h
@@ -25,7 +25,8 @@
 } cw_configuration_newest_t;
 
 /** Records that another node has `version` in force while this node has `own` (0: none). */
-void cw_configuration_newest_note(cw_configuration_newest_t *newest, uint64_t version, uint64_t own, cw_time_us_t now);
+void cw_configuration_newest_record(cw_configuration_newest_t *newest, uint64_t version, uint64_t own,
+                                    cw_time_us_t now);
 /** True if other nodes have had a higher version than `own` for at least `max_wait` and none has sent it. */
 bool cw_configuration_newest_is_overdue(const cw_configuration_newest_t *newest, uint64_t own, cw_time_us_t max_wait,
                                         cw_time_us_t now);
--- a/src/router/key_tables.c
+++ b/src/router/key_tables.c
@@ -111,7 +111,7 @@
                               .routable = cw_range_is_routable(range)};
 }
 
-bool cw_key_tables_update(cw_key_tables_t *tables, const char *service, const cw_range_list_t *ranges, uint64_t number)
+bool cw_key_tables_update(cw_key_tables_t *tables, const char *service, const cw_range_list_t *ranges, uint64_t version)
 {
     cw_key_table_t *table = cw_key_tables_service(tables, service);
     cw_key_table_t  fresh = {0};
@@ -130,11 +130,11 @@
         while (before < table->count && table->entries[before].low < entry.low) {
             before++;
         }
-        entry.changed_in = number;
+        entry.changed_in = version;
         if (before < table->count && is_same(&table->entries[before], &entry)) {
             entry.changed_in = table->entries[before].changed_in;
         }
-        is_changed = is_changed || entry.changed_in == number;
+        is_changed = is_changed || entry.changed_in == version;
         fresh.entries[fresh.count++] = entry;
     }
     free(table->entries);
--- a/src/router/key_tables.h
+++ b/src/router/key_tables.h
@@ -52,7 +52,8 @@
 void cw_key_tables_seal(cw_key_tables_t *tables);
 /** Replaces a service's table by its assignments; entries that differ are marked with `number`. Returns true if any
  * does. */
-bool cw_key_tables_update(cw_key_tables_t *tables, const char *service, const cw_range_list_t *ranges, uint64_t number);
+bool cw_key_tables_update(cw_key_tables_t *tables, const char *service, const cw_range_list_t *ranges,
+                          uint64_t version);
 /** Applies each table of `changes` to the one of its service: its ranges replace what they cover. Both are sealed. */
 void cw_key_tables_apply_changes(cw_key_tables_t *tables, const cw_key_tables_t *changes);
 /** Hash of the contents without changed_in, the same whatever the order of the tables. */
--- a/src/router/leader_tenure.c
+++ b/src/router/leader_tenure.c
@@ -25,7 +25,7 @@
     return capability >= CW_LEADER_RIVAL_FACTOR * own;
 }
 
-void cw_leader_tenure_note_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now)
+void cw_leader_tenure_record_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now)
 {
     if (!in_reach) {
         tenure->rival_since = 0;
@@ -34,9 +34,9 @@
     }
 }
 
-cw_time_us_t cw_leader_tenure_deference(const cw_leader_tenure_t *tenure)
+cw_time_us_t cw_leader_tenure_take_delay(const cw_leader_tenure_t *tenure)
 {
-    return tenure->rival_since == 0 ? 0 : CW_MS(CW_LEADER_DEFERENCE_MS);
+    return tenure->rival_since == 0 ? 0 : CW_MS(CW_LEADER_TAKE_DELAY_MS);
 }
 
 bool cw_leader_tenure_should_hand_over(const cw_leader_tenure_t *tenure, cw_time_us_t now)
--- a/src/router/leader_tenure.h
+++ b/src/router/leader_tenure.h
@@ -5,7 +5,7 @@
  *
  * Rules:
  *  - A rival is a node with at least CW_LEADER_RIVAL_FACTOR times this node's capability. While one is in reach, this
- *    node takes the lock CW_LEADER_DEFERENCE_MS later than it could, so that the rival takes it first.
+ *    node takes the lock CW_LEADER_TAKE_DELAY_MS later than it could, so that the rival takes it first.
  *  - A leader hands over once a rival has been in reach, and the leader itself has led, for CW_LEADER_HAND_OVER_S.
  *  - A leader that has released its lock states so in its reports for CW_RELEASE_ANNOUNCED_S, so that the others need
  *    not wait until they miss its heartbeat.
@@ -21,7 +21,7 @@
 
 enum {
     CW_LEADER_RIVAL_FACTOR = 2,
-    CW_LEADER_DEFERENCE_MS = 500,
+    CW_LEADER_TAKE_DELAY_MS = 500,
     CW_LEADER_HAND_OVER_S = 4,
     CW_RELEASE_ANNOUNCED_S = 2 /**< long enough for several reports to all nodes, since some may be lost */
 };
@@ -44,9 +44,9 @@
 /** Whether another node with this capability is a rival of a node with the capability `own`. */
 bool cw_leader_is_rival(uint32_t own, uint32_t capability);
 /** Notes whether a rival is in reach now. Called with each tick. */
-void cw_leader_tenure_note_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now);
+void cw_leader_tenure_record_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now);
 /** How much later than it could this node takes the lock. */
-cw_time_us_t cw_leader_tenure_deference(const cw_leader_tenure_t *tenure);
+cw_time_us_t cw_leader_tenure_take_delay(const cw_leader_tenure_t *tenure);
 /** Whether this node, if it leads, is to hand over to the rival. */
 bool cw_leader_tenure_should_hand_over(const cw_leader_tenure_t *tenure, cw_time_us_t now);
 /** Whether the node's authority has changed since the last call. */
--- a/src/router/list_exchange.c
+++ b/src/router/list_exchange.c
@@ -40,34 +40,33 @@
 
 /** A node of the zone and the list that it has. */
 typedef struct holder {
-    uint32_t          address;
-    cw_list_version_t has;
+    uint32_t     address;
+    cw_list_id_t has;
 } holder_t;
 
 struct cw_list_exchange {
     cw_list_exchange_owner_t owner;
 
     /* requests */
-    cw_list_version_t wanted;    /**< newest list that the leader named; number 0: none */
-    cw_time_us_t      wanted_at; /**< last heartbeat that named a list */
-    cw_list_version_t
-        target; /**< the list being requested: the wanted one, or an earlier one of its term; number 0: none */
-    cw_list_version_t rejected;         /**< it was received whole, but has not come into force */
-    uint32_t          missing;          /**< first page of the target that has not been received */
-    uint32_t          window_end;       /**< pages below this one have been requested */
-    uint32_t          unanswered;       /**< requests since the last page was received */
-    cw_time_us_t      next_request_at;  /**< no request is sent before */
-    uint32_t          redirect_address; /**< node that a redirect named; 0: holders are asked in rotation */
-    uint32_t          round_robin;      /**< rotation through the holders */
-    uint32_t          last_asked;       /**< node to which the last request was sent */
-    holder_t          holders[HOLDERS_MAX];
-    size_t            holder_count;
-    size_t            next_holder; /**< index of the one to be replaced when the table is full */
+    cw_list_id_t wanted;    /**< newest list that the leader named; number 0: none */
+    cw_time_us_t wanted_at; /**< last heartbeat that named a list */
+    cw_list_id_t target; /**< the list being requested: the wanted one, or an earlier one of its term; number 0: none */
+    cw_list_id_t rejected;         /**< it was received whole, but has not come into force */
+    uint32_t     missing;          /**< first page of the target that has not been received */
+    uint32_t     window_end;       /**< pages below this one have been requested */
+    uint32_t     unanswered;       /**< requests since the last page was received */
+    cw_time_us_t next_request_at;  /**< no request is sent before */
+    uint32_t     redirect_address; /**< node that a redirect named; 0: holders are asked in rotation */
+    uint32_t     round_robin;      /**< rotation through the holders */
+    uint32_t     last_asked;       /**< node to which the last request was sent */
+    holder_t     holders[HOLDERS_MAX];
+    size_t       holder_count;
+    size_t       next_holder; /**< index of the one to be replaced when the table is full */
 
     /* replies */
     double            allowance; /**< bytes that may be sent now */
     cw_time_us_t      filled_at;
-    cw_list_version_t sent; /**< list that was sent last; `served` are the nodes that received it */
+    cw_list_id_t      sent; /**< list that was sent last; `served` are the nodes that received it */
     transfer_t        transfers[TRANSFERS_MAX];
     size_t            transfer_count;       /* simultaneous transfers allowed */
     waiting_request_t waiting[WAITING_MAX]; /* in order of arrival */
@@ -99,14 +98,14 @@
     free(exchange);
 }
 
-static bool is_same(cw_list_version_t one, cw_list_version_t other)
+static bool is_same(cw_list_id_t one, cw_list_id_t other)
 {
-    return one.term == other.term && one.number == other.number;
+    return one.term == other.term && one.version == other.version;
 }
 
 /* ---- requests ---- */
 
-static void set_target(cw_list_exchange_t *exchange, cw_list_version_t target)
+static void set_target(cw_list_exchange_t *exchange, cw_list_id_t target)
 {
     exchange->target = target;
     exchange->missing = 0;
@@ -118,8 +117,7 @@
     return exchange->missing > 0 && exchange->unanswered <= UNANSWERED_MAX;
 }
 
-void cw_list_exchange_set_wanted(cw_list_exchange_t *exchange, cw_list_version_t wanted, cw_list_version_t has,
-                                 cw_time_us_t now)
+void cw_list_exchange_set_wanted(cw_list_exchange_t *exchange, cw_list_id_t wanted, cw_list_id_t has, cw_time_us_t now)
 {
     if (wanted.term < exchange->wanted.term) {
         return; /* sent by an earlier leader */
@@ -133,9 +131,9 @@
     }
     exchange->wanted = wanted;
     exchange->wanted_at = now;
-    if (has.term == wanted.term && has.number != 0) {
-        set_target(exchange, (cw_list_version_t){0});
-    } else if (exchange->target.term != wanted.term || exchange->target.number == 0 || !is_receiving(exchange)) {
+    if (has.term == wanted.term && has.version != 0) {
+        set_target(exchange, (cw_list_id_t){0});
+    } else if (exchange->target.term != wanted.term || exchange->target.version == 0 || !is_receiving(exchange)) {
         if (!is_same(exchange->target, wanted)) {
             set_target(exchange, wanted);
         }
@@ -154,9 +152,10 @@
     return NULL;
 }
 
-static bool covers_target(const cw_list_exchange_t *exchange, cw_list_version_t has)
+static bool covers_target(const cw_list_exchange_t *exchange, cw_list_id_t has)
 {
-    return exchange->target.number != 0 && has.term == exchange->target.term && has.number >= exchange->target.number;
+    return exchange->target.version != 0 && has.term == exchange->target.term &&
+           has.version >= exchange->target.version;
 }
 
 /* Called when a further node has the list: the nodes that did not reply were busy with others, or have ended. */
@@ -184,12 +183,11 @@
     return holder;
 }
 
-void cw_list_exchange_note_holder(cw_list_exchange_t *exchange, uint32_t address, cw_list_version_t has,
-                                  cw_time_us_t now)
+void cw_list_exchange_record_holder(cw_list_exchange_t *exchange, uint32_t address, cw_list_id_t has, cw_time_us_t now)
 {
     holder_t *holder = find_holder(exchange, address);
 
-    if (holder == NULL && (has.number == 0 || has.term < exchange->wanted.term)) {
+    if (holder == NULL && (has.version == 0 || has.term < exchange->wanted.term)) {
         return;
     }
     holder = holder == NULL ? add_holder(exchange, address) : holder;
@@ -236,7 +234,7 @@
 {
     uint32_t address;
 
-    if (exchange->target.number == 0 || is_same(exchange->target, exchange->rejected) ||
+    if (exchange->target.version == 0 || is_same(exchange->target, exchange->rejected) ||
         now < exchange->next_request_at || now - exchange->wanted_at > CW_MS(HEARTBEAT_TIMEOUT_MS)) {
         return;
     }
@@ -246,13 +244,13 @@
     }
 }
 
-void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t next_missing,
+void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_id_t of, uint32_t next_missing,
                                     uint32_t pages, cw_time_us_t now)
 {
-    if (exchange->target.number == 0 || of.term != exchange->target.term || of.number < exchange->target.number) {
+    if (exchange->target.version == 0 || of.term != exchange->target.term || of.version < exchange->target.version) {
         return;
     }
-    if (of.number > exchange->target.number) {
+    if (of.version > exchange->target.version) {
         set_target(exchange, of);
     }
     exchange->missing = next_missing;
@@ -265,10 +263,10 @@
     }
 }
 
-void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t other_holder,
-                                 cw_time_us_t now)
+void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_id_t of, uint32_t other_holder, cw_time_us_t now)
 {
-    if (!is_same(of, exchange->target) || exchange->target.number == 0 || other_holder == exchange->owner.own_address) {
+    if (!is_same(of, exchange->target) || exchange->target.version == 0 ||
+        other_holder == exchange->owner.own_address) {
         return;
     }
     exchange->redirect_address = other_holder;
@@ -337,7 +335,7 @@
     }
 }
 
-static void redirect(cw_list_exchange_t *exchange, uint32_t address, cw_list_version_t of)
+static void redirect(cw_list_exchange_t *exchange, uint32_t address, cw_list_id_t of)
 {
     uint32_t other_holder;
 
@@ -350,7 +348,7 @@
     }
 }
 
-static void set_sent_list(cw_list_exchange_t *exchange, cw_list_version_t of)
+static void set_sent_list(cw_list_exchange_t *exchange, cw_list_id_t of)
 {
     if (!is_same(of, exchange->sent)) {
         exchange->sent = of;
@@ -413,8 +411,8 @@
     }
 }
 
-void cw_list_exchange_take_request(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
-                                   cw_time_us_t now)
+void cw_list_exchange_handle_request(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
+                                     cw_time_us_t now)
 {
     transfer_t *transfer = find_transfer(exchange, address, now);
 
--- a/src/router/list_exchange.h
+++ b/src/router/list_exchange.h
@@ -35,16 +35,16 @@
 typedef struct cw_list_exchange cw_list_exchange_t;
 
 /** Identifies a list by the number that the leader gave it. */
-typedef struct cw_list_version {
+typedef struct cw_list_id {
     uint64_t term;
-    uint64_t number; /**< within the term; 0: none */
-} cw_list_version_t;
+    uint64_t version; /**< within the term; 0: none */
+} cw_list_id_t;
 
 /** Pages of a list that a node requests. */
 typedef struct cw_list_window {
-    cw_list_version_t of;
-    uint32_t          first; /**< first page that is missing */
-    uint32_t          count; /**< number of pages */
+    cw_list_id_t of;
+    uint32_t     first; /**< first page that is missing */
+    uint32_t     count; /**< number of pages */
 } cw_list_window_t;
 
 /** Callbacks and settings that the owner of an exchange provides. */
@@ -56,7 +56,7 @@
      * last page of the list was among them. */
     size_t (*send_pages)(void *context, uint32_t address, const cw_list_window_t *window, bool *is_last);
     /** Tells the node at `address` of another node, which has received the list from this one. */
-    void (*redirect)(void *context, uint32_t address, cw_list_version_t of, uint32_t other_holder);
+    void (*redirect)(void *context, uint32_t address, cw_list_id_t of, uint32_t other_holder);
     double   bytes_per_s; /**< bytes of pages that may be sent per second; 0: no limit */
     uint32_t own_address; /**< start of the rotation, so that nodes that start together ask different ones */
 } cw_list_exchange_owner_t;
@@ -67,21 +67,19 @@
 
 /** Records that the leader's heartbeat names the list `wanted`, while `has` is in force here. If both are of the same
  * term, nothing is requested, since the leader sends the changes. */
-void cw_list_exchange_set_wanted(cw_list_exchange_t *exchange, cw_list_version_t wanted, cw_list_version_t has,
-                                 cw_time_us_t now);
+void cw_list_exchange_set_wanted(cw_list_exchange_t *exchange, cw_list_id_t wanted, cw_list_id_t has, cw_time_us_t now);
 /** Records that the node at `address`, of this node's zone, has this list. */
-void cw_list_exchange_note_holder(cw_list_exchange_t *exchange, uint32_t address, cw_list_version_t has,
-                                  cw_time_us_t now);
+void cw_list_exchange_record_holder(cw_list_exchange_t *exchange, uint32_t address, cw_list_id_t has, cw_time_us_t now);
 /** Records that a page of a whole list was received. next_missing: first page that is missing; `pages`: none is. */
-void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t next_missing,
+void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_id_t of, uint32_t next_missing,
                                     uint32_t pages, cw_time_us_t now);
 /** Records that the node that was asked cannot serve this one now, and names another one. */
-void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t other_holder,
+void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_id_t of, uint32_t other_holder,
                                  cw_time_us_t now);
 /** Sends a request if one is due, and pages that were waiting for the allowance. Called at each tick. */
 void cw_list_exchange_tick(cw_list_exchange_t *exchange, cw_time_us_t now);
 /** Handles a request of the node at `address`: sends the pages now, or as soon as a transfer is free. */
-void cw_list_exchange_take_request(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
-                                   cw_time_us_t now);
+void cw_list_exchange_handle_request(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
+                                     cw_time_us_t now);
 
 #endif
--- a/src/router/list_history.h
+++ b/src/router/list_history.h
@@ -18,7 +18,7 @@
 /** A server that was removed from the list. */
 typedef struct cw_list_removal {
     char     id[CW_REMOVED_ID_MAX];
-    uint64_t number; /**< number of the first list without it */
+    uint64_t version; /**< number of the first list without it */
 } cw_list_removal_t;
 
 /** The last removals, and the oldest list that changes can bring up to date. */
@@ -30,13 +30,13 @@
 } cw_list_history_t;
 
 /** Starts over with a list of this number; NULL: there is no list yet. */
-void cw_list_history_begin(cw_list_history_t *history, cw_server_list_t *list, uint64_t number);
+void cw_list_history_begin(cw_list_history_t *history, cw_server_list_t *list, uint64_t version);
 /** Adds the list of the next number, and marks its entries with the number in which they changed. before: the list
  * before it, or NULL. */
 void cw_list_history_add(cw_list_history_t *history, const cw_server_list_t *before, cw_server_list_t *list,
-                         uint64_t number);
+                         uint64_t version);
 /** True if a node with the list of this number can be sent only what changed. */
-bool cw_list_history_covers(const cw_list_history_t *history, uint64_t number);
+bool cw_list_history_covers(const cw_list_history_t *history, uint64_t version);
 /** Ids of servers removed after the list of number `base`, at most `room`; returns how many. The ids are borrowed. */
 size_t cw_list_history_removed(const cw_list_history_t *history, uint64_t base, char **ids, size_t room);
 
--- a/src/router/loop_start.c
+++ b/src/router/loop_start.c
@@ -29,7 +29,7 @@
 
 int cw_loop_start(uv_loop_t *loop)
 {
-    const struct timespec pause = {.tv_nsec = CW_LOOP_PAUSE_MS * 1000000L};
+    const struct timespec pause = {.tv_nsec = CW_LOOP_RETRY_INTERVAL_MS * 1000000L};
     int                   error = UV_EMFILE;
     int                   tries;
 
--- a/src/router/pass_on_queue.c
+++ b/src/router/pass_on_queue.c
@@ -17,24 +17,24 @@
 
 /** An update and the progress of passing it on. */
 typedef struct waiting_update {
-    cw_pass_on_update_t update;
-    cw_datagram_batch_t pages;     /* in the order in which they were received */
-    uint8_t            *seen;      /* 1 for each page received, by page number */
-    uint32_t            received;  /* number of pages received */
-    receiver_t         *receivers; /* nodes that have not been sent all pages; NULL: not all pages are received */
-    size_t              receiver_count;
-    cw_time_us_t        begun_at;
+    cw_forwarded_update_t update;
+    cw_datagram_batch_t   pages;     /* in the order in which they were received */
+    uint8_t              *seen;      /* 1 for each page received, by page number */
+    uint32_t              received;  /* number of pages received */
+    receiver_t           *receivers; /* nodes that have not been sent all pages; NULL: not all pages are received */
+    size_t                receiver_count;
+    cw_time_us_t          begun_at;
 } waiting_update_t;
 
-struct cw_pass_on_queue {
-    cw_pass_on_owner_t owner;
-    waiting_update_t   updates[CW_PASS_ON_UPDATES_MAX]; /* oldest first */
-    size_t             count;
+struct cw_forward_queue {
+    cw_forward_queue_owner_t owner;
+    waiting_update_t         updates[CW_FORWARD_UPDATES_MAX]; /* oldest first */
+    size_t                   count;
 };
 
-cw_pass_on_queue_t *cw_pass_on_queue_create(const cw_pass_on_owner_t *owner)
+cw_forward_queue_t *cw_forward_queue_create(const cw_forward_queue_owner_t *owner)
 {
-    cw_pass_on_queue_t *queue = cw_memory_zeroed(sizeof(*queue));
+    cw_forward_queue_t *queue = cw_memory_zeroed(sizeof(*queue));
 
     queue->owner = *owner;
     return queue;
@@ -48,14 +48,14 @@
     free(waiting->receivers);
 }
 
-static void drop_update(cw_pass_on_queue_t *queue, size_t place)
+static void drop_update(cw_forward_queue_t *queue, size_t place)
 {
     free_update(&queue->updates[place]);
     queue->count--;
     memmove(&queue->updates[place], &queue->updates[place + 1], (queue->count - place) * sizeof(queue->updates[0]));
 }
 
-void cw_pass_on_queue_free(cw_pass_on_queue_t *queue)
+void cw_forward_queue_free(cw_forward_queue_t *queue)
 {
     while (queue->count > 0) {
         drop_update(queue, queue->count - 1);
@@ -63,20 +63,20 @@
     free(queue);
 }
 
-size_t cw_pass_on_queue_waiting(const cw_pass_on_queue_t *queue)
+size_t cw_forward_queue_waiting(const cw_forward_queue_t *queue)
 {
     return queue->count;
 }
 
 /* ---- receiving pages ---- */
 
-static bool is_same(const cw_pass_on_update_t *left, const cw_pass_on_update_t *right)
+static bool is_same(const cw_forwarded_update_t *left, const cw_forwarded_update_t *right)
 {
     return left->is_list == right->is_list && left->is_relayed == right->is_relayed && left->term == right->term &&
-           left->base == right->base && left->number == right->number && left->pages == right->pages;
+           left->base == right->base && left->version == right->version && left->pages == right->pages;
 }
 
-static waiting_update_t *find(cw_pass_on_queue_t *queue, const cw_pass_on_update_t *update)
+static waiting_update_t *find(cw_forward_queue_t *queue, const cw_forwarded_update_t *update)
 {
     size_t place;
 
@@ -88,11 +88,11 @@
     return NULL;
 }
 
-static waiting_update_t *begin(cw_pass_on_queue_t *queue, const cw_pass_on_update_t *update, cw_time_us_t now)
+static waiting_update_t *begin(cw_forward_queue_t *queue, const cw_forwarded_update_t *update, cw_time_us_t now)
 {
     waiting_update_t *waiting;
 
-    if (queue->count == CW_PASS_ON_UPDATES_MAX) {
+    if (queue->count == CW_FORWARD_UPDATES_MAX) {
         return NULL;
     }
     waiting = &queue->updates[queue->count++];
@@ -114,7 +114,7 @@
     waiting->receiver_count = count;
 }
 
-bool cw_pass_on_queue_add(cw_pass_on_queue_t *queue, const cw_pass_on_update_t *update, uint32_t page,
+bool cw_forward_queue_add(cw_forward_queue_t *queue, const cw_forwarded_update_t *update, uint32_t page,
                           const cw_datagram_batch_t *packed, cw_time_us_t now)
 {
     waiting_update_t *waiting;
@@ -175,7 +175,7 @@
     waiting->receivers[waiting->receiver_count++] = (receiver_t){.address = address};
 }
 
-bool cw_pass_on_queue_add_receiver(cw_pass_on_queue_t *queue, const cw_pass_on_update_t *update,
+bool cw_forward_queue_add_receiver(cw_forward_queue_t *queue, const cw_forwarded_update_t *update,
                                    const cw_datagram_batch_t *pages, uint32_t address, cw_time_us_t now)
 {
     waiting_update_t *waiting = find(queue, update);
@@ -196,12 +196,12 @@
 /* ---- sending ---- */
 
 /* Sends the next pages to one node. A node that no longer needs the update counts as having been sent all pages. */
-static void send_next_pages(const cw_pass_on_queue_t *queue, waiting_update_t *waiting, receiver_t *receiver,
+static void send_next_pages(const cw_forward_queue_t *queue, waiting_update_t *waiting, receiver_t *receiver,
                             cw_send_allowance_t *allowance)
 {
-    const cw_pass_on_owner_t *owner = &queue->owner;
-    size_t                    left = waiting->pages.count - receiver->sent;
-    size_t                    count = left < CW_PASS_ON_PAGES_PER_TURN ? left : CW_PASS_ON_PAGES_PER_TURN;
+    const cw_forward_queue_owner_t *owner = &queue->owner;
+    size_t                          left = waiting->pages.count - receiver->sent;
+    size_t                          count = left < CW_FORWARD_PAGES_PER_TURN ? left : CW_FORWARD_PAGES_PER_TURN;
 
     if (!owner->is_wanted(owner->context, receiver->address, &waiting->update)) {
         receiver->sent = (uint32_t)waiting->pages.count;
@@ -226,12 +226,12 @@
 }
 
 /* Sends the next pages to the first nodes of the list, until the allowance is used up. */
-static void send_turn(const cw_pass_on_queue_t *queue, waiting_update_t *waiting, cw_send_allowance_t *allowance)
+static void send_turn(const cw_forward_queue_t *queue, waiting_update_t *waiting, cw_send_allowance_t *allowance)
 {
     size_t incomplete = 0;
     size_t index;
 
-    for (index = 0; index < waiting->receiver_count && incomplete < CW_PASS_ON_INCOMPLETE_MAX; index++) {
+    for (index = 0; index < waiting->receiver_count && incomplete < CW_FORWARD_INCOMPLETE_MAX; index++) {
         receiver_t *receiver = &waiting->receivers[index];
 
         if (!cw_send_allowance_has_any(allowance)) {
@@ -243,7 +243,7 @@
     drop_complete_receivers(waiting);
 }
 
-void cw_pass_on_queue_send(cw_pass_on_queue_t *queue, cw_send_allowance_t *allowance, cw_time_us_t now)
+void cw_forward_queue_send(cw_forward_queue_t *queue, cw_send_allowance_t *allowance, cw_time_us_t now)
 {
     size_t place = 0;
 
@@ -255,7 +255,7 @@
         if (is_whole) {
             send_turn(queue, waiting, allowance);
         }
-        if (now - waiting->begun_at > CW_MS(CW_PASS_ON_WAIT_MAX_MS) || (is_whole && waiting->receiver_count == 0)) {
+        if (now - waiting->begun_at > CW_MS(CW_FORWARD_WAIT_MAX_MS) || (is_whole && waiting->receiver_count == 0)) {
             drop_update(queue, place);
         } else {
             place++;
--- a/src/router/pass_on_queue.h
+++ b/src/router/pass_on_queue.h
@@ -22,50 +22,50 @@
 #include "peer/datagram_batch.h"
 
 enum {
-    CW_PASS_ON_UPDATES_MAX = 16,    /**< most updates that wait; the leader makes several a second */
-    CW_PASS_ON_PAGES_PER_TURN = 4,  /**< pages sent to one node in one turn: 20 KB, about 10 ms at 20 Mbit/s */
-    CW_PASS_ON_INCOMPLETE_MAX = 16, /**< most nodes that have received a part of an update, but not all of it */
-    CW_PASS_ON_WAIT_MAX_MS = 10000  /**< an update that has waited for longer is dropped */
+    CW_FORWARD_UPDATES_MAX = 16,    /**< most updates that wait; the leader makes several a second */
+    CW_FORWARD_PAGES_PER_TURN = 4,  /**< pages sent to one node in one turn: 20 KB, about 10 ms at 20 Mbit/s */
+    CW_FORWARD_INCOMPLETE_MAX = 16, /**< most nodes that have received a part of an update, but not all of it */
+    CW_FORWARD_WAIT_MAX_MS = 10000  /**< an update that has waited for longer is dropped */
 };
 
-typedef struct cw_pass_on_queue cw_pass_on_queue_t;
+typedef struct cw_forward_queue cw_forward_queue_t;
 
 /** Identifies the update that a page belongs to. */
-typedef struct cw_pass_on_update {
+typedef struct cw_forwarded_update {
     bool     is_list;    /**< true: list of servers; false: tables of keys */
     bool     is_relayed; /**< its receivers are relays, which pass it on */
     uint64_t term;       /**< of the leader that made it */
     uint64_t base;       /**< number that the changes apply to; 0: the whole list or tables */
-    uint64_t number;     /**< of the list or the tables that result */
+    uint64_t version;    /**< of the list or the tables that result */
     uint32_t pages;
-} cw_pass_on_update_t;
+} cw_forwarded_update_t;
 
 /** Callbacks by which a queue asks its owner about nodes and sends pages. */
-typedef struct cw_pass_on_owner {
+typedef struct cw_forward_queue_owner {
     void *context;
     /** Lists the addresses of the zone's nodes in the order in which they are sent to. The queue frees the memory.
      * Returns their count. */
     size_t (*list_nodes)(void *context, uint32_t **addresses);
     /** Whether the node needs the update, as far as this node knows. */
-    bool (*is_wanted)(void *context, uint32_t address, const cw_pass_on_update_t *update);
+    bool (*is_wanted)(void *context, uint32_t address, const cw_forwarded_update_t *update);
     /** Sends `count` pages, from page `first` on, to one node. Returns the number of bytes sent. */
     size_t (*send)(void *context, uint32_t address, const cw_datagram_batch_t *pages, size_t first, size_t count);
-} cw_pass_on_owner_t;
+} cw_forward_queue_owner_t;
 
 /** Creates an empty queue. owner: copied. */
-cw_pass_on_queue_t *cw_pass_on_queue_create(const cw_pass_on_owner_t *owner);
-void                cw_pass_on_queue_free(cw_pass_on_queue_t *queue);
+cw_forward_queue_t *cw_forward_queue_create(const cw_forward_queue_owner_t *owner);
+void                cw_forward_queue_free(cw_forward_queue_t *queue);
 /** Adds a packed page that this relay has received. False: the page is invalid, or is dropped because too many updates
  * wait. */
-bool cw_pass_on_queue_add(cw_pass_on_queue_t *queue, const cw_pass_on_update_t *update, uint32_t page,
+bool cw_forward_queue_add(cw_forward_queue_t *queue, const cw_forwarded_update_t *update, uint32_t page,
                           const cw_datagram_batch_t *packed, cw_time_us_t now);
 /** Queues all pages of an update for one node. Does nothing if they are still being sent to it. False: too many updates
  * wait. */
-bool cw_pass_on_queue_add_receiver(cw_pass_on_queue_t *queue, const cw_pass_on_update_t *update,
+bool cw_forward_queue_add_receiver(cw_forward_queue_t *queue, const cw_forwarded_update_t *update,
                                    const cw_datagram_batch_t *pages, uint32_t address, cw_time_us_t now);
 /** Sends as many pages as the allowance permits. Called once a turn of the loop. */
-void cw_pass_on_queue_send(cw_pass_on_queue_t *queue, cw_send_allowance_t *allowance, cw_time_us_t now);
+void cw_forward_queue_send(cw_forward_queue_t *queue, cw_send_allowance_t *allowance, cw_time_us_t now);
 /** Number of updates that have not been passed on completely yet. */
-size_t cw_pass_on_queue_waiting(const cw_pass_on_queue_t *queue);
+size_t cw_forward_queue_waiting(const cw_forward_queue_t *queue);
 
 #endif
--- a/src/router/replaced_versions.c
+++ b/src/router/replaced_versions.c
@@ -11,13 +11,13 @@
     memset(replaced, 0, sizeof(*replaced));
 }
 
-void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t number, cw_time_us_t true_at)
+void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t version, cw_time_us_t true_at)
 {
-    if (number != replaced->newest + 1) {
+    if (version != replaced->newest + 1) {
         replaced->count = 0;
     }
-    replaced->newest = number;
-    replaced->true_at[number % CW_REPLACED_VERSIONS_MAX] = true_at;
+    replaced->newest = version;
+    replaced->true_at[version % CW_REPLACED_VERSIONS_MAX] = true_at;
     replaced->count += replaced->count < CW_REPLACED_VERSIONS_MAX ? 1 : 0;
 }
 
@@ -34,8 +34,8 @@
     return replaced->count;
 }
 
-cw_time_us_t cw_replaced_versions_true_at(uint64_t has, uint64_t newest, const uint32_t *ages_ms, size_t count,
-                                          cw_time_us_t now)
+cw_time_us_t cw_replaced_versions_valid_at(uint64_t has, uint64_t newest, const uint32_t *ages_ms, size_t count,
+                                           cw_time_us_t now)
 {
     uint64_t behind = newest - has;
 
--- a/src/router/replaced_versions.h
+++ b/src/router/replaced_versions.h
@@ -31,12 +31,12 @@
 void cw_replaced_versions_begin(cw_replaced_versions_t *replaced);
 /** Records that this number was replaced; it was certainly valid at `true_at`. A gap in the numbers discards earlier
  * ones. */
-void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t number, cw_time_us_t true_at);
+void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t version, cw_time_us_t true_at);
 /** Ages in milliseconds of the last numbers that were replaced, the newest first. Returns how many. */
 size_t cw_replaced_versions_ages(const cw_replaced_versions_t *replaced, cw_time_us_t now,
                                  uint32_t ages_ms[CW_REPLACED_VERSIONS_MAX]);
 /** When the number `has` was certainly valid, from the ages that the leader sent with its newest number; 0: unknown. */
-cw_time_us_t cw_replaced_versions_true_at(uint64_t has, uint64_t newest, const uint32_t *ages_ms, size_t count,
-                                          cw_time_us_t now);
+cw_time_us_t cw_replaced_versions_valid_at(uint64_t has, uint64_t newest, const uint32_t *ages_ms, size_t count,
+                                           cw_time_us_t now);
 
 #endif
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -71,7 +71,7 @@
 
 /* Nodes that send requests to the same servers. A process that has just started does not know most of them yet; if it
  * counted only those that it knows, it would choose the same servers as all others that have just started. */
-static uint32_t nodes_in_reach(const cw_router_t *router, cw_time_us_t now)
+static uint32_t reachable_nodes(const cw_router_t *router, cw_time_us_t now)
 {
     if (now - router->started_at < CW_SECONDS(PEER_DISCOVERY_S)) {
         return CW_NODES_UNKNOWN;
@@ -123,13 +123,13 @@
     cw_router_zones_tick(router, now);
     cw_router_slots_tick(router, now);
     cw_router_relay_tick(router, now);
-    cw_router_pass_on_tick(router, now);
+    cw_router_forward_tick(router, now);
     cw_router_list_exchange_tick(router, now);
     cw_router_detours_tick(router, now);
     cw_router_quota_tick(router, now);
     cw_router_crashes_tick(router, now);
     cw_router_signals_tick(router, now);
-    cw_engine_set_nodes(router->engine, nodes_for_budget(router, now), nodes_in_reach(router, now));
+    cw_engine_set_nodes(router->engine, nodes_for_budget(router, now), reachable_nodes(router, now));
     cw_router_store_calls_tick(now);
     cw_router_check_file(router, now);
     cw_router_check_stop(router, now);
@@ -239,7 +239,7 @@
     cw_router_detours_init(router);
     cw_router_slots_init(router);
     cw_router_push_init(router);
-    cw_router_pass_on_init(router);
+    cw_router_forward_init(router);
     router->view_updates = cw_view_updates_create();
     cw_router_relay_init(router);
     cw_router_list_exchange_init(router);
--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -9,7 +9,7 @@
 
 enum {
     FIRST_TABLES_WAIT_MS = 1000,
-    RENEWALS_PER_HOLD = 4,
+    RENEWALS_PER_LEASE = 4,
     ORDER_TIMEOUT_MS = 350,
     RELEASE_TIMEOUT_MS = 1500,
     LATE_ORDER_S = 13
@@ -106,7 +106,7 @@
 
     cw_time_us_t now = cw_router_now(keyed->router);
 
-    cw_table_publication_note_change(&keyed->router->table_publication, now);
+    cw_table_publication_record_change(&keyed->router->table_publication, now);
     cw_router_publish_tables(keyed->router, now);
 }
 
@@ -124,7 +124,7 @@
 
 void cw_router_publish_tables(cw_router_t *router, cw_time_us_t now)
 {
-    uint64_t number = router->leader_tables_version + 1;
+    uint64_t version = router->leader_tables_version + 1;
     bool     is_changed = false;
     size_t   index;
 
@@ -140,7 +140,7 @@
         const cw_range_list_t *ranges = cw_assigner_ranges(assigner);
 
         is_changed = (ranges->count > 0 &&
-                      cw_key_tables_update(&router->tables, cw_assigner_service(assigner), ranges, number)) ||
+                      cw_key_tables_update(&router->tables, cw_assigner_service(assigner), ranges, version)) ||
                      is_changed;
     }
     if (!is_changed) {
@@ -150,8 +150,8 @@
         cw_replaced_versions_add(&router->replaced_tables, router->leader_tables_version,
                                  router->table_publication.changed_at);
     }
-    router->leader_tables_version = number;
-    router->view_tables_version = number;
+    router->leader_tables_version = version;
+    router->view_tables_version = version;
     cw_router_apply_tables(router);
     cw_router_tables_changed(router);
 }
@@ -196,7 +196,7 @@
     cw_assigner_settings_t   settings = {.hold = router->settings.hold,
                                          .hold_long = router->settings.hold_long,
                                          .hold_most = router->settings.hold_long,
-                                         .renew_every = router->settings.hold / RENEWALS_PER_HOLD,
+                                         .renew_every = router->settings.hold / RENEWALS_PER_LEASE,
                                          .order_timeout = CW_MS(ORDER_TIMEOUT_MS),
                                          .release_timeout = CW_MS(RELEASE_TIMEOUT_MS),
                                          .late_orders = CW_SECONDS(LATE_ORDER_S),
--- a/src/router/router_broadcast.c
+++ b/src/router/router_broadcast.c
@@ -31,7 +31,7 @@
                                                : peer->distance == CW_DISTANCE_ZONE;
 }
 
-void cw_router_pass_on_broadcast(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
+void cw_router_forward_broadcast(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
                                  uint32_t *stage)
 {
     bool             is_from_zone = sender->distance == CW_DISTANCE_ZONE;
--- a/src/router/router_configuration.c
+++ b/src/router/router_configuration.c
@@ -105,15 +105,15 @@
     cw_configuration_freshness_confirm(&router->freshness, version, at);
 }
 
-void cw_router_note_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now)
+void cw_router_record_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now)
 {
     bool is_same_zone = strcmp(peer->zone, router->settings.zone) == 0;
 
     if (version <= cw_router_version(router)) {
         return;
     }
-    cw_configuration_exchange_note_holder(router->exchange, peer->address, version, is_same_zone, now);
-    cw_configuration_newest_note(&router->configuration_newest, version, cw_router_version(router), now);
+    cw_configuration_exchange_record_holder(router->exchange, peer->address, version, is_same_zone, now);
+    cw_configuration_newest_record(&router->configuration_newest, version, cw_router_version(router), now);
 }
 
 static void check_credential_evidence(cw_router_t *router, cw_time_us_t now)
--- a/src/router/router_crashes.c
+++ b/src/router/router_crashes.c
@@ -14,9 +14,9 @@
 enum {
     PROBE_TIMEOUT_MS = 300, /* connect timeout */
     PROBES_PER_SECOND = 10, /* many connections may be reset at once; the list proves the ends of servers not probed */
-    PENDING_REPORTS_MAX = 64,  /* crashes and clearances that are being reported at a time */
-    BROADCASTS_PER_REPORT = 3, /* times that each is broadcast, since datagrams may be lost */
-    BROADCAST_PAUSE_MS = 400   /* between broadcasts */
+    PENDING_REPORTS_MAX = 64,   /* crashes and clearances that are being reported at a time */
+    BROADCASTS_PER_REPORT = 3,  /* times that each is broadcast, since datagrams may be lost */
+    BROADCAST_INTERVAL_MS = 400 /* between broadcasts */
 };
 
 /** A crash to be reported, or a clearance: a server has answered the request. */
@@ -82,7 +82,7 @@
     }
 }
 
-void cw_router_crashes_note_gone(cw_router_t *router, const cw_server_entry_t *entry)
+void cw_router_crashes_record_gone(cw_router_t *router, const cw_server_entry_t *entry)
 {
     uint32_t server = cw_name_hash(entry->id);
 
@@ -186,7 +186,7 @@
 
     cw_crash_suspects_tick(crashes->suspects, now);
     cw_metric_set(CW_METRIC_CRASH_SUSPECTS, cw_crash_suspects_count(crashes->suspects));
-    if (crashes->count > 0 && now - crashes->broadcast_at >= CW_MS(BROADCAST_PAUSE_MS)) {
+    if (crashes->count > 0 && now - crashes->broadcast_at >= CW_MS(BROADCAST_INTERVAL_MS)) {
         crashes->broadcast_at = now;
         cw_router_broadcast(router, pack_report(crashes, now), now);
         count_broadcasts(crashes);
@@ -219,7 +219,7 @@
     for (index = 0; index < report->n_sightings; index++) {
         handle_sighting(router->crashes, report->sightings[index], now);
     }
-    cw_router_pass_on_broadcast(router, sender, datagram, &datagram->crash_report->stage);
+    cw_router_forward_broadcast(router, sender, datagram, &datagram->crash_report->stage);
 }
 
 void cw_router_crashes_init(cw_router_t *router)
--- a/src/router/router_detours.c
+++ b/src/router/router_detours.c
@@ -32,12 +32,12 @@
 
 static bool is_received_lately(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    cw_time_us_t silence_max = router->silence / 2 > CW_MS(SUSPECT_MS) ? router->silence / 2 : CW_MS(SUSPECT_MS);
+    cw_time_us_t suspect_after = router->silence / 2 > CW_MS(SUSPECT_MS) ? router->silence / 2 : CW_MS(SUSPECT_MS);
 
-    return peer->last_received_at != 0 && now - peer->last_received_at <= silence_max;
+    return peer->last_received_at != 0 && now - peer->last_received_at <= suspect_after;
 }
 
-static bool is_silent(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+static bool is_unresponsive(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     bool has_discovered_peers = now - router->started_at >= CW_MS(DISCOVERY_MS);
 
@@ -56,7 +56,7 @@
 
 static bool is_suspect(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    return !peer->stopping && (misses_this_node(router, peer, now) || is_silent(router, peer, now));
+    return !peer->stopping && (misses_this_node(router, peer, now) || is_unresponsive(router, peer, now));
 }
 
 bool cw_router_is_alive(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
@@ -132,7 +132,7 @@
 
 /* ---- probes ---- */
 
-static bool may_pass_on(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+static bool may_forward(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     return peer->last_received_at != 0 && !peer->is_lost && !is_suspect(router, peer, now);
 }
@@ -145,14 +145,14 @@
     uint32_t         count = 0;
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        count += may_pass_on(router, peer, now) ? 1 : 0;
+        count += may_forward(router, peer, now) ? 1 : 0;
     }
     if (count == 0) {
         return NULL;
     }
     place %= count;
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        if (may_pass_on(router, peer, now) && place-- == 0) {
+        if (may_forward(router, peer, now) && place-- == 0) {
             break;
         }
     }
@@ -195,7 +195,7 @@
 /* ---- receiving ---- */
 
 /* Takes the name, zone and capability of an origin that this node has never received from directly. */
-static void take_identity(const cw_router_t *router, cw_peer_t *origin, const Cwp__Detour *detour)
+static void apply_identity(const cw_router_t *router, cw_peer_t *origin, const Cwp__Detour *detour)
 {
     if (origin->last_received_at != 0) {
         return;
@@ -237,7 +237,7 @@
 
 /* Handles a detour whose destination is this node. A probe proves only that the origin's datagrams arrive here. The
  * reply to it, and all later datagrams, prove that both directions work. */
-static void take_addressed_here(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
+static void handle_addressed_here(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
 {
     cw_time_us_t now = cw_router_now(router);
     cw_peer_t   *origin = cw_peer_link_learn(router->link, detour->origin, now);
@@ -246,7 +246,7 @@
     if (origin == NULL) {
         return; /* the origin is this node itself, or not an address */
     }
-    take_identity(router, origin, detour);
+    apply_identity(router, origin, detour);
     if (detour->is_probe) {
         reply = detour_to(router, detour->origin);
         send_detour(router, sender, &reply);
@@ -258,7 +258,7 @@
     }
 }
 
-static void pass_on(cw_router_t *router, const Cwp__Detour *detour)
+static void forward_detour(cw_router_t *router, const Cwp__Detour *detour)
 {
     const cw_peer_t *destination = cw_peer_link_find(router->link, detour->destination);
     Cwp__Detour      passed = *detour;
@@ -271,8 +271,8 @@
 void cw_router_handle_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour)
 {
     if (detour->destination == own_address(router)) {
-        take_addressed_here(router, sender, detour);
+        handle_addressed_here(router, sender, detour);
     } else if (detour->origin == sender->address) { /* only one intermediate node, so that no datagram circulates */
-        pass_on(router, detour);
+        forward_detour(router, detour);
     }
 }
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -158,7 +158,7 @@
     cw_time_us_t       tables_valid_at;     /**< last time that the tables were known to be true; 0: never */
     cw_time_us_t       leader_heartbeat_at;
     uint64_t           leader_term;
-    bool               leader_silent;                 /**< the leader's heartbeat is overdue, which has been logged */
+    bool               leader_overdue;                /**< the leader's heartbeat is overdue, which has been logged */
     bool               tables_expired;                /**< the tables are too old to route by, which has been logged */
     char               leader_node[CW_NODE_NAME_MAX]; /**< name; empty: not known */
     cw_view_updates_t *view_updates; /**< updates from the leader and from relays of which pages are still missing */
@@ -179,8 +179,8 @@
     cw_list_history_t      list_history;
     cw_send_allowance_t    push_allowance; /**< bytes that may be sent to bring other nodes up to date */
     cw_relay_delays_t      relay_delays;
-    cw_pass_on_queue_t    *pass_on;     /**< updates that this node, as a relay, forwards to its zone */
-    cw_order_trust_t      *order_trust; /**< servers that this leader's orders have not reached lately */
+    cw_forward_queue_t    *forward_queue; /**< updates that this node, as a relay, forwards to its zone */
+    cw_order_trust_t      *order_trust;   /**< servers that this leader's orders have not reached lately */
     cw_service_assignment_t keyed[CW_KEYED_SERVICES_MAX]; /**< services divided by key that this node leads */
     size_t                  keyed_count;
 } cw_router_t;
@@ -218,14 +218,14 @@
 /** How long the last report of a node that sends no further ones is used. */
 cw_time_us_t cw_router_report_lifetime(const cw_router_t *router);
 /** Logs that a peer was lost or is back. silent: for how long it had not been heard from. */
-void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent);
+void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t since_received);
 
 /* ---- router_report.c ---- */
 /** Optional parts of a report; each is left out where no receiver needs it. */
 enum {
     CW_REPORT_NAMES = 1,
-    CW_REPORT_PACES = 2,
-    CW_REPORT_PACES_TO_LEADER = 4,
+    CW_REPORT_LATENCIES = 2,
+    CW_REPORT_LATENCIES_TO_LEADER = 4,
     CW_REPORT_LOADS = 8,
     CW_REPORT_KEYS = 16
 };
@@ -261,13 +261,13 @@
 
 /* ---- router_pass_on.c ---- */
 /** Creates the queue of updates that this node, as a relay, forwards. */
-void cw_router_pass_on_init(cw_router_t *router);
+void cw_router_forward_init(cw_router_t *router);
 /** Forwards a page of changes, which the leader has sent to this relay, to the other nodes of its zone. */
-void cw_router_pass_on_page(cw_router_t *router, const Cwp__Datagram *datagram);
+void cw_router_forward_page(cw_router_t *router, const Cwp__Datagram *datagram);
 /** Sends queued pages as far as the send allowance permits. */
-void cw_router_pass_on_tick(cw_router_t *router, cw_time_us_t now);
+void cw_router_forward_tick(cw_router_t *router, cw_time_us_t now);
 /** If this node is a relay, forwards the leader's heartbeat, which has just arrived with a report, to its zone. */
-void cw_router_pass_on_heartbeat(cw_router_t *router, const cw_peer_t *leader, const Cwp__NodeReport *report);
+void cw_router_forward_heartbeat(cw_router_t *router, const cw_peer_t *leader, const Cwp__NodeReport *report);
 /** Handles a leader's heartbeat that a relay has forwarded. */
 void cw_router_handle_passed_heartbeat(cw_router_t *router, const cw_peer_t *sender, const Cwp__PassedHeartbeat *passed,
                                        cw_time_us_t now);
@@ -282,7 +282,7 @@
 /** Notes the number of the newest list, which the leader's heartbeat names. */
 void cw_router_list_exchange_heartbeat(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now);
 /** Notes which list the peer has according to its report. */
-void cw_router_list_exchange_note_holder(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
+void cw_router_list_exchange_record_holder(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Notes that a page of a whole list has arrived. next_missing: the first page still missing; page->pages if none is.
  */
 void cw_router_list_exchange_page_received(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
@@ -298,7 +298,7 @@
 /** What an update for a peer contains. */
 typedef struct cw_push_scope {
     uint64_t base;    /**< the changes since the list (or tables) of this number; 0: the whole */
-    bool     pass_on; /**< the peer is a relay and forwards the update to its zone */
+    bool     forward; /**< the peer is a relay and forwards the update to its zone */
 } cw_push_scope_t;
 /** Pages packed for one peer, reused for others that need the same ones. Valid within one iteration of the event loop.
  */
@@ -340,7 +340,7 @@
  * cannot be used; NULL: it can. */
 void cw_router_on_configuration(void *context, cw_configuration_t *configuration, const char *problem);
 /** Notes that another node has this version in force; a newer one is requested from it. */
-void cw_router_note_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now);
+void cw_router_record_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now);
 /** Callback of the store adapter: an answer of the store shows that no configuration above this version had been
  * acknowledged at that time. */
 void cw_router_on_configuration_evidence(void *context, uint64_t version, cw_time_us_t at);
@@ -430,7 +430,7 @@
 void cw_router_broadcast(cw_router_t *router, size_t length, cw_time_us_t now);
 /** Forwards a broadcast datagram if this node is a relay that has to at this stage. stage: the datagram's own field,
  * which is raised by one then. */
-void cw_router_pass_on_broadcast(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
+void cw_router_forward_broadcast(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
                                  uint32_t *stage);
 
 /* ---- router_crashes.c ---- */
@@ -439,7 +439,7 @@
 /** Expires suspects, and reports crashes to the other nodes. */
 void cw_router_crashes_tick(cw_router_t *router, cw_time_us_t now);
 /** Notes that an entry is no longer in the list of servers. */
-void cw_router_crashes_note_gone(cw_router_t *router, const cw_server_entry_t *entry);
+void cw_router_crashes_record_gone(cw_router_t *router, const cw_server_entry_t *entry);
 /** Handles crashes that another node reports, and forwards the report if this node is a relay that has to. */
 void cw_router_handle_crash_report(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
                                    cw_time_us_t now);
@@ -452,7 +452,7 @@
 /** Fills in the rate limit of the server with this hash; false: it has none now. */
 bool cw_router_pack_limit(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message);
 /** Handles a server's rate limit that another node states. */
-void cw_router_take_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now);
+void cw_router_apply_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now);
 /** Handles a broadcast notice of servers' rate limits, and forwards it if this node is a relay that has to. */
 void cw_router_handle_signal_notice(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
                                     cw_time_us_t now);
@@ -489,7 +489,7 @@
 void cw_router_quota_tick(cw_router_t *router, cw_time_us_t now);
 /** Notes how many nodes there are according to a leader's lock or heartbeat; 0: the leader does not know. Limits are
  * divided by the new number at once. */
-void cw_router_note_nodes(cw_router_t *router, uint32_t nodes);
+void cw_router_record_nodes(cw_router_t *router, uint32_t nodes);
 /** Fraction of a shared limit that this node may give out: the fraction of all nodes that it reaches. */
 double cw_router_quota_share(const cw_router_t *router);
 /** Handles a node's report of the requests that it admitted. */
--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -8,17 +8,17 @@
 #include "router/router_internal.h"
 
 enum {
-    RENEWALS_PER_LEADER_HOLD = 4,
+    RENEWALS_PER_LEADER_LEASE = 4,
     HEARTBEAT_TIMEOUT_MS = 900,
     READ_EVERY_MS = 400,
     CAPABILITY_PER_CORE = 1000,
-    FIRST_LOOK_DIVISOR = 4,      /* equally capable nodes spread first looks over first_look_within / 4 */
+    FIRST_READ_DIVISOR = 4,      /* equally capable nodes spread first looks over first_look_within / 4 */
     STORE_UNRESPONSIVE_MS = 700, /* a renewal of the lock without an answer for so long: grants get the long hold */
     CUT_OFF_MS = 900,
     CUT_OFF_RANGES = 2,  /* a leader steps down if at least so many owners are out of its reach alone, */
     CUT_OFF_PERCENT = 5, /* and at least this part of all ranges: single orders go unanswered at any time, while the
                             loss of a zone concerns a sixth of the ranges or more */
-    STEP_DOWN_PAUSE_S = 6,
+    STEP_DOWN_DURATION_S = 6,
     RENEWALS_PER_CORE_SECOND = 4000, /* that a leader with a whole core sends */
     CAPABILITY_PER_MBPS = 5,         /* thousandths of a core that correspond to a Mbit/s of link */
     ASSUMED_FOLLOWERS = 64 /* until a process knows the others: 64 nodes spread their looks at the lock over 400 ms */
@@ -41,11 +41,11 @@
 {
     cw_leadership_settings_t settings = {.incarnation = router->incarnation,
                                          .hold = router->settings.leader_hold,
-                                         .renew_every = router->settings.leader_hold / RENEWALS_PER_LEADER_HOLD,
+                                         .renew_every = router->settings.leader_hold / RENEWALS_PER_LEADER_LEASE,
                                          .heartbeat_timeout = CW_MS(HEARTBEAT_TIMEOUT_MS),
                                          .read_every = CW_MS(READ_EVERY_MS),
                                          .first_look_after = first_look_after(router),
-                                         .first_look_within = router->settings.first_look_within / FIRST_LOOK_DIVISOR};
+                                         .first_look_within = router->settings.first_look_within / FIRST_READ_DIVISOR};
 
     memcpy(settings.node, router->settings.node, sizeof(settings.node));
     memcpy(settings.address, router->settings.address, sizeof(router->settings.address));
@@ -93,7 +93,7 @@
     cw_router_store_result(router, reply->result != CW_STORE_REFUSED && reply->result != CW_STORE_UNKNOWN, now);
     cw_leadership_replied(&router->leadership, reply, now);
     if (reply->value != NULL) {
-        cw_router_note_nodes(router, router->leadership.lock.nodes);
+        cw_router_record_nodes(router, router->leadership.lock.nodes);
     }
     if (reply->value != NULL && router->leadership.is_unreadable) {
         log_unreadable_lock();
@@ -191,7 +191,7 @@
 
 void cw_router_store_result(cw_router_t *router, bool answered, cw_time_us_t now)
 {
-    cw_store_change_t change = cw_store_availability_note(&router->store_availability, answered, now);
+    cw_store_availability_change_t change = cw_store_availability_record(&router->store_availability, answered, now);
 
     if (change == CW_STORE_LOST) {
         log_store_lost(&router->store_availability, now);
@@ -253,7 +253,7 @@
     }
     if (cut_off >= CUT_OFF_RANGES && cut_off * 100 >= ranges * CUT_OFF_PERCENT && !router->leadership.resigning) {
         log_leadership(router, CW_EVENT_LEADER_LOST, "orders do not reach servers that answer others");
-        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_PAUSE_S));
+        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_DURATION_S));
     }
 }
 
@@ -287,17 +287,17 @@
 {
     uint32_t followers;
 
-    cw_leader_tenure_note_rival(&router->tenure, is_rival_in_reach(router), now);
+    cw_leader_tenure_record_rival(&router->tenure, is_rival_in_reach(router), now);
     followers = cw_peer_link_alive(router->link, router->silence, now);
     if (cw_router_is_new(router, now) && followers < ASSUMED_FOLLOWERS) {
         followers = ASSUMED_FOLLOWERS;
     }
     cw_leadership_set_followers(&router->leadership, followers);
-    cw_leadership_defer(&router->leadership, cw_leader_tenure_deference(&router->tenure));
+    cw_leadership_defer(&router->leadership, cw_leader_tenure_take_delay(&router->tenure));
     if (cw_router_has_authority(router, now) && cw_leader_tenure_should_hand_over(&router->tenure, now) &&
         !is_store_unresponsive(router, now)) {
         log_leadership(router, CW_EVENT_LEADER_LOST, "a more capable node is in reach");
-        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_PAUSE_S));
+        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_DURATION_S));
     }
 }
 
--- a/src/router/router_list_exchange.c
+++ b/src/router/router_list_exchange.c
@@ -20,42 +20,42 @@
 
 /** The list that is being sent to other nodes. */
 typedef struct snapshot {
-    cw_list_version_t of;
+    cw_list_id_t      of;
     cw_server_list_t *list; /**< NULL: none */
     uint64_t          revision;
 } snapshot_t;
 
 struct cw_router_list_exchange {
     cw_list_exchange_t *exchange;
-    cw_list_version_t   named; /**< the list that the leader's last heartbeat named */
+    cw_list_id_t        named; /**< the list that the leader's last heartbeat named */
     uint64_t            named_hash;
     snapshot_t          snapshot;
 };
 
-static bool is_same(cw_list_version_t one, cw_list_version_t other)
+static bool is_same(cw_list_id_t one, cw_list_id_t other)
 {
-    return one.term == other.term && one.number == other.number;
+    return one.term == other.term && one.version == other.version;
 }
 
-static cw_list_version_t number_in_force(const cw_router_t *router)
+static cw_list_id_t list_in_force(const cw_router_t *router)
 {
-    return (cw_list_version_t){.term = router->view_term, .number = router->view_list_version};
+    return (cw_list_id_t){.term = router->view_term, .version = router->view_list_version};
 }
 
 /* ---- pages ---- */
 
 /* True if this node has that list with the leader's content. */
-static bool has_list(const cw_router_t *router, cw_list_version_t of)
+static bool has_list(const cw_router_t *router, cw_list_id_t of)
 {
     const cw_router_list_exchange_t *state = router->list_exchange;
 
-    if (of.number == 0 || router->server_view.list == NULL || !is_same(of, number_in_force(router))) {
+    if (of.version == 0 || router->server_view.list == NULL || !is_same(of, list_in_force(router))) {
         return false;
     }
     return router->leadership.leading || (is_same(of, state->named) && state->named_hash == router->server_view.hash);
 }
 
-static void take_snapshot(cw_router_t *router, cw_list_version_t of)
+static void take_snapshot(cw_router_t *router, cw_list_id_t of)
 {
     snapshot_t *snapshot = &router->list_exchange->snapshot;
 
@@ -82,7 +82,7 @@
 {
     cwp__servers_page__init(page);
     page->term = snapshot->of.term;
-    page->number = snapshot->of.number;
+    page->number = snapshot->of.version;
     page->revision = snapshot->revision;
     page->zones_out = snapshot->list->zones_out.names;
     page->n_zones_out = snapshot->list->zones_out.count;
@@ -139,7 +139,7 @@
     if (cw_event_begin(&event, CW_EVENT_LIST_REQUESTED)) {
         cw_event_text(&event, CW_FIELD_PEER, peer->node);
         cw_event_number(&event, CW_FIELD_TERM, (int64_t)window->of.term);
-        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)window->of.number);
+        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)window->of.version);
         cw_event_number(&event, CW_FIELD_LOW, (int64_t)window->first);
         cw_event_end(&event);
     }
@@ -156,7 +156,7 @@
         return; /* there is no room for another peer; a different node is asked after a pause */
     }
     request.term = window->of.term;
-    request.number = window->of.number;
+    request.number = window->of.version;
     request.first_page = window->first;
     datagram.content_case = CWP__DATAGRAM__CONTENT_LIST_REQUEST;
     datagram.list_request = &request;
@@ -164,7 +164,7 @@
     log_request(peer, window);
 }
 
-static void send_redirect(void *context, uint32_t address, cw_list_version_t of, uint32_t other_holder)
+static void send_redirect(void *context, uint32_t address, cw_list_id_t of, uint32_t other_holder)
 {
     cw_router_t     *router = context;
     const cw_peer_t *peer = cw_peer_link_find(router->link, address);
@@ -175,7 +175,7 @@
         return; /* the peer has been removed meanwhile */
     }
     page.term = of.term;
-    page.number = of.number;
+    page.number = of.version;
     page.ask_instead = other_holder;
     datagram.content_case = CWP__DATAGRAM__CONTENT_SERVERS;
     datagram.servers = &page;
@@ -221,21 +221,21 @@
 void cw_router_list_exchange_heartbeat(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
     cw_router_list_exchange_t *state = router->list_exchange;
-    cw_list_version_t          newest = {.term = heartbeat->term, .number = heartbeat->servers};
+    cw_list_id_t               newest = {.term = heartbeat->term, .version = heartbeat->servers};
 
     state->named = newest;
     state->named_hash = heartbeat->servers_hash;
     if (newest.term >= router->view_term && is_fleet_large(router, heartbeat)) {
-        cw_list_exchange_set_wanted(state->exchange, newest, number_in_force(router), now);
+        cw_list_exchange_set_wanted(state->exchange, newest, list_in_force(router), now);
     }
 }
 
-void cw_router_list_exchange_note_holder(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
+void cw_router_list_exchange_record_holder(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    cw_list_version_t has = {.term = peer->term, .number = peer->servers};
+    cw_list_id_t has = {.term = peer->term, .version = peer->servers};
 
     if (peer->distance == CW_DISTANCE_ZONE) {
-        cw_list_exchange_note_holder(router->list_exchange->exchange, peer->address, has, now);
+        cw_list_exchange_record_holder(router->list_exchange->exchange, peer->address, has, now);
     }
 }
 
@@ -256,9 +256,9 @@
 void cw_router_list_exchange_page_received(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
                                            uint32_t next_missing)
 {
-    cw_list_version_t of = {.term = page->term, .number = page->number};
+    cw_list_id_t of = {.term = page->term, .version = page->number};
 
-    if (next_missing >= page->pages && peer->distance == CW_DISTANCE_ZONE && is_same(of, number_in_force(router))) {
+    if (next_missing >= page->pages && peer->distance == CW_DISTANCE_ZONE && is_same(of, list_in_force(router))) {
         log_list_received(peer, page);
     }
     cw_list_exchange_page_received(router->list_exchange->exchange, of, next_missing, page->pages,
@@ -267,21 +267,21 @@
 
 void cw_router_list_exchange_redirected(cw_router_t *router, const Cwp__ServersPage *page)
 {
-    cw_list_version_t of = {.term = page->term, .number = page->number};
+    cw_list_id_t of = {.term = page->term, .version = page->number};
 
     cw_list_exchange_redirected(router->list_exchange->exchange, of, page->ask_instead, cw_router_now(router));
 }
 
 void cw_router_handle_list_request(cw_router_t *router, const cw_peer_t *peer, const Cwp__ListRequest *request)
 {
-    cw_list_window_t window = {.of = {.term = request->term, .number = request->number},
+    cw_list_window_t window = {.of = {.term = request->term, .version = request->number},
                                .first = request->first_page,
                                .count = CW_LIST_WINDOW_PAGES};
 
     if (peer->zone[0] != '\0' && peer->distance != CW_DISTANCE_ZONE) {
         return; /* whole lists are not exchanged between zones */
     }
-    cw_list_exchange_take_request(router->list_exchange->exchange, peer->address, &window, cw_router_now(router));
+    cw_list_exchange_handle_request(router->list_exchange->exchange, peer->address, &window, cw_router_now(router));
 }
 
 bool cw_router_gets_list_in_zone(const cw_router_t *router, const cw_peer_t *peer)
--- a/src/router/router_pass_on.c
+++ b/src/router/router_pass_on.c
@@ -72,7 +72,7 @@
     return count;
 }
 
-static bool is_wanted(void *context, uint32_t address, const cw_pass_on_update_t *update)
+static bool is_wanted(void *context, uint32_t address, const cw_forwarded_update_t *update)
 {
     cw_router_t     *router = context;
     const cw_peer_t *peer = cw_peer_link_find(router->link, address);
@@ -82,7 +82,7 @@
         return false;
     }
     has = peer->term == update->term ? (update->is_list ? peer->servers : peer->tables) : 0;
-    return has < update->number && (update->base != 0 || has == 0);
+    return has < update->version && (update->base != 0 || has == 0);
 }
 
 static size_t send_pages(void *context, uint32_t address, const cw_datagram_batch_t *pages, size_t first, size_t count)
@@ -93,30 +93,30 @@
     return peer == NULL ? 0 : cw_peer_link_send_part(router->link, peer, pages, first, count);
 }
 
-void cw_router_pass_on_init(cw_router_t *router)
+void cw_router_forward_init(cw_router_t *router)
 {
-    cw_pass_on_owner_t owner = {
+    cw_forward_queue_owner_t owner = {
         .context = router, .list_nodes = list_nodes, .is_wanted = is_wanted, .send = send_pages};
 
-    router->pass_on = cw_pass_on_queue_create(&owner);
+    router->forward_queue = cw_forward_queue_create(&owner);
 }
 
-static cw_pass_on_update_t update_of(const Cwp__Datagram *datagram, uint32_t *page)
+static cw_forwarded_update_t update_of(const Cwp__Datagram *datagram, uint32_t *page)
 {
     const Cwp__ServersPage *servers = datagram->servers;
     const Cwp__TablePage   *table = datagram->table;
 
     if (datagram->content_case == CWP__DATAGRAM__CONTENT_SERVERS) {
         *page = servers->page;
-        return (cw_pass_on_update_t){.is_list = true,
-                                     .term = servers->term,
-                                     .base = servers->since,
-                                     .number = servers->number,
-                                     .pages = servers->pages};
+        return (cw_forwarded_update_t){.is_list = true,
+                                       .term = servers->term,
+                                       .base = servers->since,
+                                       .version = servers->number,
+                                       .pages = servers->pages};
     }
     *page = table->page;
-    return (cw_pass_on_update_t){
-        .term = table->term, .base = table->since, .number = table->number, .pages = table->pages};
+    return (cw_forwarded_update_t){
+        .term = table->term, .base = table->since, .version = table->number, .pages = table->pages};
 }
 
 static void set_pass_on(const Cwp__Datagram *datagram, bool pass_on)
@@ -128,12 +128,12 @@
     }
 }
 
-void cw_router_pass_on_page(cw_router_t *router, const Cwp__Datagram *datagram)
+void cw_router_forward_page(cw_router_t *router, const Cwp__Datagram *datagram)
 {
     static cw_datagram_batch_t packed; /* its memory is reused */
     cw_time_us_t               now = cw_router_now(router);
     uint32_t                   page;
-    cw_pass_on_update_t        update = update_of(datagram, &page);
+    cw_forwarded_update_t      update = update_of(datagram, &page);
 
     if (update.pages > CW_PAGES_MAX) {
         return; /* no node accepts so many pages */
@@ -141,20 +141,20 @@
     set_pass_on(datagram, false);
     cw_datagram_batch_empty(&packed);
     cw_peer_link_pack_into(router->link, &packed, datagram);
-    if (packed.count == 1 && !cw_pass_on_queue_add(router->pass_on, &update, page, &packed, now)) {
+    if (packed.count == 1 && !cw_forward_queue_add(router->forward_queue, &update, page, &packed, now)) {
         cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, 1); /* the leader sends it to the nodes directly */
     }
-    cw_router_pass_on_tick(router, now);
+    cw_router_forward_tick(router, now);
 }
 
-void cw_router_pass_on_tick(cw_router_t *router, cw_time_us_t now)
+void cw_router_forward_tick(cw_router_t *router, cw_time_us_t now)
 {
-    cw_pass_on_queue_send(router->pass_on, &router->push_allowance, now);
+    cw_forward_queue_send(router->forward_queue, &router->push_allowance, now);
 }
 
 /* ---- heartbeats ---- */
 
-void cw_router_pass_on_heartbeat(cw_router_t *router, const cw_peer_t *leader, const Cwp__NodeReport *report)
+void cw_router_forward_heartbeat(cw_router_t *router, const cw_peer_t *leader, const Cwp__NodeReport *report)
 {
     Cwp__PassedHeartbeat passed = CWP__PASSED_HEARTBEAT__INIT;
     Cwp__Datagram        datagram = CWP__DATAGRAM__INIT;
@@ -184,7 +184,7 @@
 
 /* Takes the incarnation and sequence number of a heartbeat. False: it is delayed, repeated or of an earlier
  * incarnation. */
-static bool take_sequence(cw_peer_t *leader, const Cwp__PassedHeartbeat *passed, cw_time_us_t now)
+static bool accept_sequence(cw_peer_t *leader, const Cwp__PassedHeartbeat *passed, cw_time_us_t now)
 {
     if (leader->incarnation == passed->incarnation && passed->sequence <= leader->sequence) {
         return false;
@@ -203,7 +203,7 @@
     cw_peer_t *leader = cw_peer_link_learn(router->link, passed->leader, now);
 
     if (leader == NULL || passed->heartbeat == NULL || sender->distance != CW_DISTANCE_ZONE ||
-        cw_router_reads_backlog(router, now) || !take_sequence(leader, passed, now)) {
+        cw_router_reads_backlog(router, now) || !accept_sequence(leader, passed, now)) {
         return;
     }
     cw_text_copy(leader->node, sizeof(leader->node), passed->node);
@@ -211,7 +211,7 @@
     leader->last_received_at = now;
     leader->is_lost = false;
     cw_router_handle_leader_heartbeat(router, leader, passed->heartbeat, now);
-    cw_router_note_configuration(router, leader, passed->configuration, now);
+    cw_router_record_configuration(router, leader, passed->configuration, now);
     cw_configuration_freshness_unpack(&router->freshness, passed->configuration,
                                       passed->heartbeat->configuration_age_ms, now);
 }
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -28,13 +28,13 @@
     KEYS_INTERVAL_MS = 100,
     KEYS_INTERVAL_NODES = 64,
     /* Budget of reports to all nodes, and of those within the zone, up to FEW_NODES nodes. */
-    DATAGRAMS_A_SECOND = 150,
+    REPORT_DATAGRAMS_PER_SECOND = 150,
     /* Budget of reports within the zone above FEW_NODES nodes, where datagrams are most of the work of
      * all nodes. */
-    MANY_ZONE_DATAGRAMS_A_SECOND = 100,
+    MANY_ZONE_DATAGRAMS_PER_SECOND = 100,
     RELAY_LATENCY_MS = 300, /* interval between a relay's summaries, and the transit through two relays */
     REPORT_SLACK_MS = 700, /* largest delay of a report beyond its planned time: a turn of a busy node, and two ticks */
-    SILENCE_INTERVALS = 3, /* number of successive reports that may be lost before a node counts as lost */
+    TIMEOUT_INTERVALS = 3, /* number of successive reports that may be lost before a node counts as lost */
     LEADER_INTERVAL_MS = 1000, /* interval between reports to a leader that relays inform of this node; pages of
                                 * the leader are acknowledged at once, apart from these reports */
     FEW_NODES = 96,            /* up to this number of nodes, loads of other zones arrive early enough to be useful */
@@ -91,7 +91,7 @@
 
 /* ---- sending ---- */
 
-static void take_own_sample(void *context, const char *service, const cw_key_samples_t *samples)
+static void add_own_sample(void *context, const char *service, const cw_key_samples_t *samples)
 {
     cw_router_t        *router = context;
     cw_router_samples_t taken = {samples->keys, samples->regions, samples->count, samples->seen, router->settings.zone};
@@ -107,7 +107,7 @@
         return 0;
     }
     router->reported_full_at = now;
-    return CW_REPORT_NAMES | CW_REPORT_PACES;
+    return CW_REPORT_NAMES | CW_REPORT_LATENCIES;
 }
 
 static void send_to_all(cw_router_t *router, uint32_t parts, cw_time_us_t now)
@@ -157,14 +157,14 @@
 
     router->key_samples_sent_at = now;
     if (router->leadership.leading) {
-        cw_engine_take_samples(router->engine, take_own_sample, router);
+        cw_engine_take_samples(router->engine, add_own_sample, router);
         return;
     }
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
         if (is_leader(router, peer)) {
             uint32_t loads = cw_router_is_covered(router, peer, now) ? 0 : CW_REPORT_LOADS;
             /* service times: the leader must know soon which owners answer, since its own orders may not reach them */
-            size_t length = cw_router_pack_report(router, CW_REPORT_KEYS | CW_REPORT_PACES_TO_LEADER | loads, now);
+            size_t length = cw_router_pack_report(router, CW_REPORT_KEYS | CW_REPORT_LATENCIES_TO_LEADER | loads, now);
 
             cw_peer_link_send_packed(router->link, peer, length);
             router->reported_leader_at = now;
@@ -192,8 +192,8 @@
 {
     bool    is_new = cw_router_is_new(router, cw_router_now(router));
     int64_t budget = router->leadership.leading ? CW_LEADER_DATAGRAMS_PER_SECOND
-                     : is_new                   ? DATAGRAMS_A_SECOND /* other nodes have to learn of this one soon */
-                                                : datagrams_a_second;
+                     : is_new ? REPORT_DATAGRAMS_PER_SECOND /* other nodes have to learn of this one soon */
+                              : datagrams_a_second;
     int64_t affordable_ms = (int64_t)peers * 1000 / budget;
 
     return affordable_ms > least_ms ? affordable_ms : least_ms;
@@ -201,7 +201,7 @@
 
 static int64_t budget_to_all(uint32_t peers)
 {
-    return peers > FEW_NODES ? CW_LARGE_FLEET_DATAGRAMS_PER_SECOND : DATAGRAMS_A_SECOND;
+    return peers > FEW_NODES ? CW_LARGE_FLEET_DATAGRAMS_PER_SECOND : REPORT_DATAGRAMS_PER_SECOND;
 }
 
 static int64_t interval_to_all_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers)
@@ -212,7 +212,7 @@
 static int64_t interval_in_zone_ms(const cw_router_t *router, uint32_t in_zone, uint32_t all)
 {
     return interval_ms(router, ZONE_INTERVAL_MS, in_zone,
-                       all > FEW_NODES ? MANY_ZONE_DATAGRAMS_A_SECOND : DATAGRAMS_A_SECOND);
+                       all > FEW_NODES ? MANY_ZONE_DATAGRAMS_PER_SECOND : REPORT_DATAGRAMS_PER_SECOND);
 }
 
 static cw_time_us_t keys_interval(const cw_router_t *router, cw_time_us_t now)
@@ -222,11 +222,11 @@
     return CW_MS(KEYS_INTERVAL_MS) * (KEYS_INTERVAL_NODES + nodes) / KEYS_INTERVAL_NODES;
 }
 
-static void set_silence(cw_router_t *router, cw_time_us_t idle, cw_time_us_t relay_latency)
+static void set_peer_timeout(cw_router_t *router, cw_time_us_t idle, cw_time_us_t relay_latency)
 {
-    cw_time_us_t silence = idle * SILENCE_INTERVALS;
+    cw_time_us_t timeout = idle * TIMEOUT_INTERVALS;
 
-    router->silence = (silence > CW_MS(CW_PEER_SILENCE_MS) ? silence : CW_MS(CW_PEER_SILENCE_MS)) + relay_latency;
+    router->silence = (timeout > CW_MS(CW_PEER_SILENCE_MS) ? timeout : CW_MS(CW_PEER_SILENCE_MS)) + relay_latency;
 }
 
 static void report_among_few(cw_router_t *router, cw_time_us_t now)
@@ -237,7 +237,7 @@
     uint32_t     in_zone = count_targets(router, now).in_zone;
     cw_time_us_t idle = CW_MS(interval_to_all_ms(router, IDLE_INTERVAL_MS, all));
 
-    set_silence(router, idle, 0);
+    set_peer_timeout(router, idle, 0);
     if ((router->all_report_due && since_all >= CW_MS(interval_to_all_ms(router, ALL_INTERVAL_MS, all))) ||
         since_all >= idle) {
         send_to_all(router, CW_REPORT_LOADS | parts_due_at_intervals(router, all, now), now);
@@ -254,13 +254,13 @@
 
 /* Sets the silence after which a peer counts as lost, by the interval of the node that reports least often. This node's
  * own interval does not matter. */
-static void update_silence(cw_router_t *router, const report_targets_t *targets)
+static void update_peer_timeout(cw_router_t *router, const report_targets_t *targets)
 {
     uint32_t all = targets->in_zone + targets->covered + targets->uncovered;
     uint32_t reported_to_max = targets->uncovered > 0 ? all : cw_router_largest_zone(router);
     int64_t  idle_ms = (int64_t)reported_to_max * 1000 / budget_to_all(all);
 
-    set_silence(router, CW_MS(idle_ms > IDLE_INTERVAL_MS ? idle_ms : IDLE_INTERVAL_MS), CW_MS(RELAY_LATENCY_MS));
+    set_peer_timeout(router, CW_MS(idle_ms > IDLE_INTERVAL_MS ? idle_ms : IDLE_INTERVAL_MS), CW_MS(RELAY_LATENCY_MS));
 }
 
 static void report_outside_zone(cw_router_t *router, const report_targets_t *targets, cw_time_us_t now)
@@ -289,7 +289,7 @@
     cw_time_us_t     since_zone = now - router->reported_zone_at;
     cw_time_us_t     idle = CW_MS(interval_ms(router, IDLE_INTERVAL_MS, targets.in_zone, budget_to_all(all)));
 
-    update_silence(router, &targets);
+    update_peer_timeout(router, &targets);
     router->all_report_due = router->all_report_due || (router->zone_report_due && targets.uncovered > 0);
     if ((router->zone_report_due && since_zone >= CW_MS(interval_in_zone_ms(router, targets.in_zone, all))) ||
         since_zone >= idle) {
@@ -322,19 +322,20 @@
 
 cw_time_us_t cw_router_report_lifetime(const cw_router_t *router)
 {
-    cw_time_us_t life = router->silence / SILENCE_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
+    cw_time_us_t lifetime =
+        router->silence / TIMEOUT_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
 
-    return life > CW_MS(CW_POOL_REPORT_LIFE_MS) ? life : CW_MS(CW_POOL_REPORT_LIFE_MS);
+    return lifetime > CW_MS(CW_POOL_REPORT_LIFE_MS) ? lifetime : CW_MS(CW_POOL_REPORT_LIFE_MS);
 }
 
-void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent)
+void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t since_received)
 {
     cw_event_t event;
 
     if (cw_event_begin(&event, kind)) {
         cw_event_text(&event, CW_FIELD_PEER, peer->node);
         cw_event_text(&event, CW_FIELD_DETAIL, peer->text);
-        cw_event_ms(&event, CW_FIELD_SILENT_MS, silent);
+        cw_event_ms(&event, CW_FIELD_SILENT_MS, since_received);
         cw_event_end(&event);
     }
 }
--- a/src/router/router_push.c
+++ b/src/router/router_push.c
@@ -62,32 +62,32 @@
 /* Sends a batch of few pages at once. A longer one goes into the queue, which spreads it over time (pass_on_queue.h).
  */
 static void send_batch(cw_router_t *router, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
-                       const cw_pass_on_update_t *update)
+                       const cw_forwarded_update_t *update)
 {
     cw_time_us_t now = cw_router_now(router);
 
-    if (batch->count <= CW_PASS_ON_PAGES_PER_TURN) {
+    if (batch->count <= CW_FORWARD_PAGES_PER_TURN) {
         cw_send_allowance_spend(&router->push_allowance, cw_peer_link_send_batch(router->link, peer, batch));
-    } else if (!cw_pass_on_queue_add_receiver(router->pass_on, update, batch, peer->address, now)) {
+    } else if (!cw_forward_queue_add_receiver(router->forward_queue, update, batch, peer->address, now)) {
         cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, batch->count); /* the pages are sent again later */
     }
 }
 
-static cw_pass_on_update_t update_of(const cw_router_t *router, bool is_list, const cw_push_scope_t *scope,
-                                     const cw_datagram_batch_t *batch)
+static cw_forwarded_update_t update_of(const cw_router_t *router, bool is_list, const cw_push_scope_t *scope,
+                                       const cw_datagram_batch_t *batch)
 {
-    return (cw_pass_on_update_t){.is_list = is_list,
-                                 .is_relayed = scope->pass_on,
-                                 .term = router->view_term,
-                                 .base = scope->base,
-                                 .number = is_list ? router->view_list_version : router->view_tables_version,
-                                 .pages = (uint32_t)batch->count};
+    return (cw_forwarded_update_t){.is_list = is_list,
+                                   .is_relayed = scope->forward,
+                                   .term = router->view_term,
+                                   .base = scope->base,
+                                   .version = is_list ? router->view_list_version : router->view_tables_version,
+                                   .pages = (uint32_t)batch->count};
 }
 
 /* Whether these pages were packed for this scope in this turn. If not, empties the batch for packing them. */
 static bool is_packed(cw_packed_pages_t *packed, const cw_push_scope_t *scope)
 {
-    if (packed->is_packed && packed->scope.base == scope->base && packed->scope.pass_on == scope->pass_on) {
+    if (packed->is_packed && packed->scope.base == scope->base && packed->scope.forward == scope->forward) {
         return true;
     }
     cw_datagram_batch_empty(&packed->batch);
@@ -102,7 +102,7 @@
 
 static cw_packed_pages_t *packed_for(cw_packed_pages_t packed[SCOPES], const cw_push_scope_t *scope)
 {
-    return &packed[(scope->base == 0 ? 0 : 2) + (scope->pass_on ? 1 : 0)];
+    return &packed[(scope->base == 0 ? 0 : 2) + (scope->forward ? 1 : 0)];
 }
 
 static void forget_packed(cw_packed_pages_t packed[SCOPES])
@@ -238,7 +238,7 @@
         begin_servers_page(router, &page, &room, scope->base);
         page.page = number;
         page.pages = pages;
-        page.pass_on = scope->pass_on;
+        page.pass_on = scope->forward;
         if (number == 0 && scope->base != 0) {
             page.n_removed = cw_list_history_removed(&router->list_history, scope->base, room.removed, CW_REMOVED_MAX);
             page.removed = room.removed;
@@ -251,7 +251,7 @@
 void cw_router_send_servers(cw_router_t *router, const cw_peer_t *peer, const cw_push_scope_t *scope,
                             cw_packed_pages_t *packed)
 {
-    cw_pass_on_update_t update;
+    cw_forwarded_update_t update;
 
     if (!is_packed(packed, scope)) {
         pack_servers(router, scope, &packed->batch);
@@ -261,7 +261,7 @@
 }
 
 /* Whether the peer is to pass changes on to its zone. Nodes that have no list ask for the whole list themselves. */
-static bool shall_pass_on(const cw_router_t *router, const cw_peer_t *peer)
+static bool shall_forward(const cw_router_t *router, const cw_peer_t *peer)
 {
     return peer->distance != CW_DISTANCE_ZONE && cw_router_is_relay(router, peer);
 }
@@ -283,7 +283,7 @@
         if (is_due(router, peer, &peer->servers_push, peer->servers, router->leader_list_version, true, now)) {
             peer->servers_push.due_at = cw_router_next_push(&peer->servers_push, now);
             base = cw_list_history_covers(&router->list_history, base) ? base : 0;
-            scope = (cw_push_scope_t){.base = base, .pass_on = base != 0 && shall_pass_on(router, peer)};
+            scope = (cw_push_scope_t){.base = base, .forward = base != 0 && shall_forward(router, peer)};
             cw_router_send_servers(router, peer, &scope, packed_for(packed, &scope));
         }
     }
@@ -381,7 +381,7 @@
     page.term = router->view_term;
     page.number = router->view_tables_version;
     page.since = scope->base;
-    page.pass_on = scope->pass_on;
+    page.pass_on = scope->forward;
     for (index = 0; index < router->tables.count; index++) {
         page.pages +=
             cw_table_page_count(cw_table_changes(&router->tables.items[index], scope->base, changes, CW_KEY_LAST + 1));
@@ -397,7 +397,7 @@
 void cw_router_send_tables(cw_router_t *router, const cw_peer_t *peer, const cw_push_scope_t *scope,
                            cw_packed_pages_t *packed)
 {
-    cw_pass_on_update_t update;
+    cw_forwarded_update_t update;
 
     if (!is_packed(packed, scope)) {
         pack_tables(router, scope, &packed->batch);
@@ -421,7 +421,7 @@
         if (is_due(router, peer, &peer->tables_push, peer->tables, router->leader_tables_version, false, now)) {
             peer->tables_push.due_at = cw_router_next_push(&peer->tables_push, now);
             scope.base = base_of(router, peer, peer->tables);
-            scope.pass_on = shall_pass_on(router, peer);
+            scope.forward = shall_forward(router, peer);
             cw_router_send_tables(router, peer, &scope, packed_for(packed, &scope));
         }
     }
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -52,20 +52,20 @@
     return quota->nodes > 1 && now_of(quota) - quota->last_received_at >= CW_MS(ISOLATED_AFTER_MS);
 }
 
-static bool is_silent(const cw_router_quota_t *quota, uint32_t address)
+static bool is_unresponsive(const cw_router_quota_t *quota, uint32_t address)
 {
     return cw_quota_share_is_silent(quota->share, address, now_of(quota));
 }
 
-static uint32_t choose(cw_router_quota_t *quota, uint32_t tenant, bool excludes_silent)
+static uint32_t choose(cw_router_quota_t *quota, uint32_t tenant, bool excludes_unresponsive)
 {
     size_t count = 0;
     size_t index;
 
     for (index = 0; index < quota->candidate_count; index++) {
         uint32_t address = quota->candidates[index].address;
-        bool     is_excluded = excludes_silent ? is_silent(quota, address)
-                                               : cw_quota_share_has_declined(quota->share, address, now_of(quota));
+        bool     is_excluded = excludes_unresponsive ? is_unresponsive(quota, address)
+                                                     : cw_quota_share_has_declined(quota->share, address, now_of(quota));
 
         if (!is_excluded) {
             quota->eligible[count++] = quota->candidates[index];
@@ -81,7 +81,7 @@
     uint32_t first = choose(quota, tenant, false);
     uint32_t next;
 
-    if (!is_silent(quota, first)) {
+    if (!is_unresponsive(quota, first)) {
         return first;
     }
     next = choose(quota, tenant, true);
@@ -185,7 +185,8 @@
 
     for (index = 0; index < quota->candidate_count; index++) {
         const cw_broker_candidate_t *candidate = &quota->candidates[index];
-        uint32_t fields[] = {candidate->address, candidate->capability, is_silent(quota, candidate->address) ? 1 : 0,
+        uint32_t                     fields[] = {candidate->address, candidate->capability,
+                             is_unresponsive(quota, candidate->address) ? 1 : 0,
                              cw_quota_share_has_declined(quota->share, candidate->address, now_of(quota)) ? 1 : 0};
 
         state = XXH3_64bits_withSeed(fields, sizeof(fields), state);
@@ -221,7 +222,7 @@
     return cw_router_quota_is_new(quota) && router->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
 
-static uint32_t count_in_touch(const cw_router_t *router, cw_time_us_t now)
+static uint32_t count_reachable(const cw_router_t *router, cw_time_us_t now)
 {
     const cw_peer_t *peer;
     uint32_t         count = 1; /* this node */
@@ -234,7 +235,7 @@
 
 /* Limits follow a changed number at once: until a leader states one, a process that has just started divides them by an
  * assumed number, and requests may be waiting already. */
-void cw_router_note_nodes(cw_router_t *router, uint32_t nodes)
+void cw_router_record_nodes(cw_router_t *router, uint32_t nodes)
 {
     uint32_t before = router->fleet_size.stated;
 
@@ -256,7 +257,7 @@
 void cw_router_quota_update_nodes(cw_router_quota_t *quota, cw_time_us_t now)
 {
     quota->gathered_at = now;
-    quota->in_reach = count_in_touch(quota->router, now);
+    quota->in_reach = count_reachable(quota->router, now);
     quota->nodes = count_sharing_nodes(quota);
     update_candidates(quota, now);
     record_changes(quota, now);
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -15,7 +15,7 @@
         700, /* for so long after a node is heard for the first time or again, reports carry this node's name */
 };
 
-static void take_loads(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
+static void apply_loads(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
 {
     static cw_server_report_t reports[LOADS_MAX];
     size_t                    index;
@@ -31,7 +31,8 @@
     cw_server_pool_report(router->pool, peer->address, reports, index, now);
 }
 
-static void take_paces(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
+static void apply_latencies(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received,
+                            cw_time_us_t now)
 {
     static cw_server_pace_t paces[LOADS_MAX];
     size_t                  index;
@@ -60,7 +61,7 @@
 }
 
 /* Takes what the peer reports about itself. False: the report is delayed or repeated, and is ignored. */
-static bool take_identity(cw_router_t *router, cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
+static bool apply_identity(cw_router_t *router, cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
 {
     if (peer->incarnation == received->incarnation && received->sequence <= peer->sequence &&
         peer->last_received_at != 0) {
@@ -132,23 +133,23 @@
     }
 }
 
-static void take_report(cw_router_t *router, cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
+static void handle_report(cw_router_t *router, cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
 {
     size_t index;
 
-    if (!take_identity(router, peer, received, now)) {
+    if (!apply_identity(router, peer, received, now)) {
         return;
     }
     if (cw_router_is_summarized(router, peer, now)) { /* its requests are included in its zone's sums */
         cw_server_pool_report(router->pool, peer->address, NULL, 0, now);
         cw_router_handle_queues(router, peer->address, false, NULL, 0, now);
     } else {
-        take_loads(router, peer, received, now);
+        apply_loads(router, peer, received, now);
         cw_router_handle_queues(router, peer->address, peer->distance == CW_DISTANCE_ZONE, received->queues,
                                 received->n_queues, now);
     }
-    take_paces(router, peer, received, now);
-    cw_router_list_exchange_note_holder(router, peer, now);
+    apply_latencies(router, peer, received, now);
+    cw_router_list_exchange_record_holder(router, peer, now);
     for (index = 0; router->leadership.leading && index < received->n_samples; index++) {
         const Cwp__KeySamples *samples = received->samples[index];
         cw_router_samples_t    taken = {.keys = samples->keys,
@@ -163,10 +164,10 @@
         cw_leadership_receive_step_down(&router->leadership, now);
     }
     if (received->leader != NULL) {
-        cw_router_pass_on_heartbeat(router, peer, received);
+        cw_router_forward_heartbeat(router, peer, received);
         cw_router_handle_leader_heartbeat(router, peer, received->leader, now);
     }
-    cw_router_note_configuration(router, peer, received->configuration, now);
+    cw_router_record_configuration(router, peer, received->configuration, now);
     if (received->leader != NULL) {
         cw_configuration_freshness_unpack(&router->freshness, received->configuration,
                                           received->leader->configuration_age_ms, now);
@@ -174,7 +175,7 @@
     cw_engine_wake(router->engine);
 }
 
-static void take_nodes(cw_router_t *router, const Cwp__NodesPage *page, cw_time_us_t now)
+static void apply_nodes_page(cw_router_t *router, const Cwp__NodesPage *page, cw_time_us_t now)
 {
     size_t index;
 
@@ -190,31 +191,31 @@
 
     switch (datagram->content_case) {
     case CWP__DATAGRAM__CONTENT_REPORT:
-        take_report(router, peer, datagram->report, now);
+        handle_report(router, peer, datagram->report, now);
         break;
     case CWP__DATAGRAM__CONTENT_SERVERS:
         if (datagram->servers->pass_on) {
-            cw_router_pass_on_page(router, datagram);
+            cw_router_forward_page(router, datagram);
         }
         cw_router_handle_servers_page(router, peer, datagram->servers);
         break;
     case CWP__DATAGRAM__CONTENT_TABLE:
         if (datagram->table->pass_on) {
-            cw_router_pass_on_page(router, datagram);
+            cw_router_forward_page(router, datagram);
         }
         cw_router_handle_table_page(router, peer, datagram->table);
         break;
     case CWP__DATAGRAM__CONTENT_NODES:
-        take_nodes(router, datagram->nodes, now);
+        apply_nodes_page(router, datagram->nodes, now);
         break;
     case CWP__DATAGRAM__CONTENT_ACK:
         cw_router_handle_ack(router, peer, datagram->ack);
         break;
     case CWP__DATAGRAM__CONTENT_CONFIGURATION:
-        cw_configuration_exchange_take_page(router->exchange, peer->address, datagram->configuration, now);
+        cw_configuration_exchange_handle_page(router->exchange, peer->address, datagram->configuration, now);
         break;
     case CWP__DATAGRAM__CONTENT_CONFIGURATION_REQUEST:
-        cw_configuration_exchange_take_request(router->exchange, peer->address, datagram->configuration_request, now);
+        cw_configuration_exchange_handle_request(router->exchange, peer->address, datagram->configuration_request, now);
         break;
     case CWP__DATAGRAM__CONTENT_STORE_NOTICE:
         cw_router_handle_notice(router, peer, datagram->store_notice, now);
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -183,14 +183,14 @@
     }
 }
 
-static void log_unequal_view(const char *what, uint64_t term, uint64_t number)
+static void log_unequal_view(const char *what, uint64_t term, uint64_t version)
 {
     cw_event_t event;
 
     if (cw_event_begin(&event, CW_EVENT_VIEW_UNEQUAL)) {
         cw_event_text(&event, CW_FIELD_DETAIL, what);
         cw_event_number(&event, CW_FIELD_TERM, (int64_t)term);
-        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)number);
+        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)version);
         cw_event_end(&event);
     }
 }
@@ -198,12 +198,12 @@
 /* Without a number, this node is sent the whole list. */
 static void check_servers(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    static const cw_view_check_delays_t patience = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_REPEAT_S)};
+    static const cw_view_check_delays_t delays = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_REPEAT_S)};
     bool                                is_equal = heartbeat->servers_hash == router->server_view.hash;
 
     if (heartbeat->term == router->view_term && router->view_list_version != 0 &&
         heartbeat->servers == router->view_list_version &&
-        cw_view_check_note(&router->relay->servers_check, is_equal, &patience, now)) {
+        cw_view_check_record(&router->relay->servers_check, is_equal, &delays, now)) {
         log_unequal_view("servers", heartbeat->term, heartbeat->servers);
         router->view_list_version = 0;
     }
@@ -211,12 +211,12 @@
 
 static void check_tables(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    static const cw_view_check_delays_t patience = {CW_MS(TABLES_UNEQUAL_MS), CW_MS(TABLES_REPEAT_MS)};
+    static const cw_view_check_delays_t delays = {CW_MS(TABLES_UNEQUAL_MS), CW_MS(TABLES_REPEAT_MS)};
     bool                                is_equal = heartbeat->tables_hash == router->tables_hash;
 
     if (heartbeat->term == router->view_term && router->view_tables_version != 0 &&
         heartbeat->tables == router->view_tables_version &&
-        cw_view_check_note(&router->relay->tables_check, is_equal, &patience, now)) {
+        cw_view_check_record(&router->relay->tables_check, is_equal, &delays, now)) {
         log_unequal_view("tables", heartbeat->term, heartbeat->tables);
         router->view_tables_version = 0;
     }
@@ -263,7 +263,7 @@
 
 /* Passes a summary of another zone's relay on to this zone. It is marked as passed on, so that its receivers do not
  * pass it on again. */
-static void pass_on_summary(cw_router_t *router, const Cwp__Datagram *datagram)
+static void forward_summary(cw_router_t *router, const Cwp__Datagram *datagram)
 {
     const cw_peer_t *peer;
     size_t           length;
@@ -292,7 +292,7 @@
 
 /* Takes the time at which a relay received from the node, if it is later than the time known here, and recent enough
  * for the node to count as alive. */
-static void take_node(cw_router_t *router, const Cwp__ZoneSummary *summary, size_t index, cw_time_us_t now)
+static void apply_node(cw_router_t *router, const Cwp__ZoneSummary *summary, size_t index, cw_time_us_t now)
 {
     cw_time_us_t at = now - CW_MS(summary->ages_ms[index]);
     cw_peer_t   *peer = cw_peer_link_learn(router->link, summary->nodes[index], now);
@@ -312,7 +312,7 @@
 }
 
 /* Takes the details of a node, unless a recent report of the node itself has newer ones. */
-static void take_detail(cw_router_t *router, const Cwp__ZoneNode *detail, cw_time_us_t now)
+static void apply_detail(cw_router_t *router, const Cwp__ZoneNode *detail, cw_time_us_t now)
 {
     cw_peer_t *peer = cw_peer_link_find(router->link, detail->address);
 
@@ -338,10 +338,10 @@
     return false;
 }
 
-static void take_sums(cw_router_t *router, const Cwp__ZoneSummary *summary, cw_time_us_t now)
+static void apply_sums(cw_router_t *router, const Cwp__ZoneSummary *summary, cw_time_us_t now)
 {
     static cw_server_report_t sums[CW_SUMMARY_SERVERS_MAX];
-    uint64_t                  number = cw_zone_sender_bit | cw_name_hash(summary->zone);
+    uint64_t                  sender = cw_zone_sender_bit | cw_name_hash(summary->zone);
     size_t                    index;
 
     for (index = 0; index < summary->n_servers && index < CW_SUMMARY_SERVERS_MAX; index++) {
@@ -350,8 +350,8 @@
                                            .waiting = summary->waiting[index],
                                            .unreachable = is_unreachable(summary, summary->servers[index])};
     }
-    cw_server_pool_report(router->pool, number, sums, index, now);
-    cw_router_handle_queues(router, number, false, summary->queues, summary->n_queues, now);
+    cw_server_pool_report(router->pool, sender, sums, index, now);
+    cw_router_handle_queues(router, sender, false, summary->queues, summary->n_queues, now);
 }
 
 /* The age of a datagram from the backlog is unknown, and the ages of nodes in a summary are relative to its sending. */
@@ -396,24 +396,24 @@
         log_late_summary(router->relay, summary, now);
         return;
     }
-    if (!cw_zone_links_note(&router->relay->links, &header, now)) {
+    if (!cw_zone_links_record(&router->relay->links, &header, now)) {
         return;
     }
     for (index = 0; index < summary->n_nodes; index++) {
-        take_node(router, summary, index, now);
+        apply_node(router, summary, index, now);
     }
     for (index = 0; index < summary->n_details; index++) {
-        take_detail(router, summary->details[index], now);
+        apply_detail(router, summary->details[index], now);
     }
     if (summary->has_loads) {
-        take_sums(router, summary, now);
+        apply_sums(router, summary, now);
     }
     relay = cw_peer_link_find(router->link, summary->relay);
     if (relay != NULL) {
-        cw_router_note_configuration(router, relay, summary->configuration, now);
+        cw_router_record_configuration(router, relay, summary->configuration, now);
     }
     if (!summary->passed_on) {
-        pass_on_summary(router, datagram);
+        forward_summary(router, datagram);
     }
     cw_engine_wake(router->engine);
 }
--- a/src/router/router_share.c
+++ b/src/router/router_share.c
@@ -126,7 +126,7 @@
         peer->last_received_at = now;
         peer->store_lost = false;
     }
-    cw_router_note_configuration(router, peer, notice->configuration, now);
+    cw_router_record_configuration(router, peer, notice->configuration, now);
     cw_configuration_freshness_unpack(&router->freshness, notice->configuration, notice->configuration_age_ms, now);
     if (router->leadership.leading) {
         return;
@@ -146,7 +146,7 @@
 static bool is_reader_candidate(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     return is_in_zone(router, peer) && !peer->stopping && !peer->store_lost &&
-           now - peer->last_received_at < CW_MS(CW_READER_SILENCE_MS);
+           now - peer->last_received_at < CW_MS(CW_READER_TIMEOUT_MS);
 }
 
 static bool is_ranked_as_reader(const cw_router_t *router, cw_time_us_t now)
@@ -168,7 +168,7 @@
 
 static bool has_recent_heartbeat(const cw_router_t *router, cw_time_us_t now)
 {
-    return now - router->leader_heartbeat_at < CW_MS(CW_READER_SILENCE_MS);
+    return now - router->leader_heartbeat_at < CW_MS(CW_READER_TIMEOUT_MS);
 }
 
 static cw_configuration_role_t configuration_role(const cw_router_t *router, cw_time_us_t now)
--- a/src/router/router_signals.c
+++ b/src/router/router_signals.c
@@ -28,14 +28,14 @@
 {
     cw_router_t *router = context;
 
-    cw_signal_notices_note(router->signal_notices, server->hash, change, cw_router_now(router));
+    cw_signal_notices_record_limit(router->signal_notices, server->hash, change, cw_router_now(router));
 }
 
 static void on_leave_stated(void *context, const cw_server_t *server)
 {
     cw_router_t *router = context;
 
-    cw_signal_notices_note_leave(router->signal_notices, server->hash, cw_router_now(router));
+    cw_signal_notices_record_leave(router->signal_notices, server->hash, cw_router_now(router));
 }
 
 /* ---- sending ---- */
@@ -129,7 +129,7 @@
 
 /* ---- receiving ---- */
 
-void cw_router_take_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now)
+void cw_router_apply_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now)
 {
     cw_server_t *server = (cw_server_t *)cw_server_pool_find_hash(router->pool, message->server);
 
@@ -146,14 +146,14 @@
     size_t                   index;
 
     for (index = 0; index < notice->n_limits; index++) {
-        cw_signal_notices_note_received(router->signal_notices, notice->limits[index]->server, now);
-        cw_router_take_limit(router, notice->limits[index], now);
+        cw_signal_notices_record_received(router->signal_notices, notice->limits[index]->server, now);
+        cw_router_apply_limit(router, notice->limits[index], now);
     }
     for (index = 0; index < notice->n_leaving; index++) {
-        cw_signal_notices_note_received(router->signal_notices, notice->leaving[index], now);
+        cw_signal_notices_record_received(router->signal_notices, notice->leaving[index], now);
         cw_engine_apply_reported_leave(router->engine, notice->leaving[index]);
     }
-    cw_router_pass_on_broadcast(router, sender, datagram, &datagram->signal_notice->stage);
+    cw_router_forward_broadcast(router, sender, datagram, &datagram->signal_notice->stage);
 }
 
 void cw_router_signals_init(cw_router_t *router)
--- a/src/router/router_slots.c
+++ b/src/router/router_slots.c
@@ -259,7 +259,7 @@
                            .wait_most = CW_MS(message->wait_ms)};
 
     if (message->limit != NULL) {
-        cw_router_take_limit(router, message->limit, cw_router_now(router));
+        cw_router_apply_limit(router, message->limit, cw_router_now(router));
     }
     cw_slot_broker_ask(router->slots->broker, &asked, usual_time_of(router, asked.service), cw_router_now(router));
 }
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -30,8 +30,8 @@
     TABLES_STALE_PERCENT = 50,        /* the same for other nodes, for which a reader mostly confirms them before */
     HEARTBEAT_STALE_PERCENT = 45,     /* of `drain`: after so long without the leader's heartbeat a node reads itself */
     TABLES_READ_INTERVAL_MS = 700,
-    STORE_LOST_PAUSE_PERCENT = 80 /* of `drain`: see read_pause. The bounds apply to a machine again only when the store
-                                   * has been back for longer (contact-s of the sheets) */
+    STORE_LOST_INTERVAL_PERCENT = 80 /* of `drain`: see read_interval. The bounds apply to a machine again only when the
+                                      * store has been back for longer (contact-s of the sheets) */
 };
 
 /* ---- the list of servers ---- */
@@ -50,7 +50,7 @@
     difference->added += before == NULL ? 1 : 0;
     if (after == NULL) {
         difference->removed++;
-        cw_router_crashes_note_gone(difference->router, before);
+        cw_router_crashes_record_gone(difference->router, before);
     }
 }
 
@@ -170,16 +170,16 @@
 
 /* Pause between two reads. While the store does not answer, calls of many nodes would burden it, and each call has a
  * cost: so nodes of a large fleet pause for longer, except the readers. */
-static cw_time_us_t read_pause(const cw_router_t *router, cw_time_us_t usual, cw_time_us_t now)
+static cw_time_us_t read_interval(const cw_router_t *router, cw_time_us_t usual, cw_time_us_t now)
 {
-    cw_time_us_t longer = router->settings.drain * STORE_LOST_PAUSE_PERCENT / 100;
+    cw_time_us_t longer = router->settings.drain * STORE_LOST_INTERVAL_PERCENT / 100;
     bool         is_slowed = router->store_availability.is_lost && !router->is_reader && is_in_large_fleet(router, now);
 
     return is_slowed && longer > usual ? longer : usual;
 }
 
 /* Pause between two reads of the list while the store answers. */
-static cw_time_us_t usual_read_pause(const cw_router_t *router, cw_time_us_t now)
+static cw_time_us_t usual_read_interval(const cw_router_t *router, cw_time_us_t now)
 {
     if (cw_router_has_authority(router, now)) {
         return router->settings.drain / (router->servers_lag > 0 ? LAGGING_LIST_READS_PER_DRAIN : LIST_READS_PER_DRAIN);
@@ -190,10 +190,10 @@
 
 static void read_servers(cw_router_t *router, cw_time_us_t now)
 {
-    cw_time_us_t pause = usual_read_pause(router, now);
+    cw_time_us_t pause = usual_read_interval(router, now);
     bool         from_copy = router->server_view.list == NULL && !cw_router_has_authority(router, now);
 
-    pause = from_copy ? CW_MS(FIRST_READ_RETRY_MS) : read_pause(router, pause, now);
+    pause = from_copy ? CW_MS(FIRST_READ_RETRY_MS) : read_interval(router, pause, now);
     if (router->reading_servers || now - router->servers_read_at < pause) {
         return;
     }
@@ -285,8 +285,8 @@
         cw_server_view_confirm(&router->server_view, heartbeat->list_revision, now - CW_MS(heartbeat->list_age_ms));
         return;
     }
-    true_at = cw_replaced_versions_true_at(router->view_list_version, heartbeat->servers,
-                                           heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
+    true_at = cw_replaced_versions_valid_at(router->view_list_version, heartbeat->servers,
+                                            heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
     cw_server_view_confirm(&router->server_view, router->server_view.revision, true_at);
 }
 
@@ -299,9 +299,9 @@
     if (router->view_tables_version >= heartbeat->tables) {
         validate_tables(router, now);
     } else {
-        validate_tables(router, cw_replaced_versions_true_at(router->view_tables_version, heartbeat->tables,
-                                                             heartbeat->tables_replaced_ms,
-                                                             heartbeat->n_tables_replaced_ms, now));
+        validate_tables(router, cw_replaced_versions_valid_at(router->view_tables_version, heartbeat->tables,
+                                                              heartbeat->tables_replaced_ms,
+                                                              heartbeat->n_tables_replaced_ms, now));
     }
 }
 
@@ -331,7 +331,7 @@
         return;
     }
     router->leader_heartbeat_at = now;
-    cw_router_note_nodes(router, heartbeat->nodes);
+    cw_router_record_nodes(router, heartbeat->nodes);
     cw_router_adopt_versions(router, peer, heartbeat);
     cw_router_check_view(router, heartbeat, now);
     cw_router_list_exchange_heartbeat(router, heartbeat, now);
@@ -407,7 +407,7 @@
     size_t index;
 
     if (router->configuration == NULL || router->table_reads_pending > 0 ||
-        now - router->tables_read_at < read_pause(router, CW_MS(TABLES_READ_INTERVAL_MS), now)) {
+        now - router->tables_read_at < read_interval(router, CW_MS(TABLES_READ_INTERVAL_MS), now)) {
         return;
     }
     router->tables_read_at = now;
@@ -451,7 +451,7 @@
                    now >= router->tables_valid_at + router->settings.hold * CW_TABLES_VALID_PERCENT / 100;
     cw_event_t event;
 
-    if (!is_heartbeat_fresh && !router->leader_silent && router->leader_heartbeat_at > 0 &&
+    if (!is_heartbeat_fresh && !router->leader_overdue && router->leader_heartbeat_at > 0 &&
         cw_event_begin(&event, CW_EVENT_LEADER_SILENT)) {
         cw_event_text(&event, CW_FIELD_LEADER, router->leader_node);
         cw_event_ms(&event, CW_FIELD_SILENT_MS, now - router->leader_heartbeat_at);
@@ -462,7 +462,7 @@
         cw_event_ms(&event, CW_FIELD_VIEW_AGE_MS, now - router->tables_valid_at);
         cw_event_end(&event);
     }
-    router->leader_silent = !is_heartbeat_fresh;
+    router->leader_overdue = !is_heartbeat_fresh;
     router->tables_expired = expired;
 }
 
--- a/src/router/router_view_pages.c
+++ b/src/router/router_view_pages.c
@@ -109,7 +109,7 @@
     }
     peer->servers = ack->servers > peer->servers ? ack->servers : peer->servers;
     peer->tables = ack->tables > peer->tables ? ack->tables : peer->tables;
-    cw_router_list_exchange_note_holder(router, peer, cw_router_now(router));
+    cw_router_list_exchange_record_holder(router, peer, cw_router_now(router));
 }
 
 /* ---- the list of servers ---- */
@@ -141,7 +141,7 @@
         report_whole_page(router, peer, page, page->pages);
         return;
     }
-    update = cw_view_updates_take_list(router->view_updates, page, cw_router_now(router));
+    update = cw_view_updates_add_list_page(router->view_updates, page, cw_router_now(router));
     if (update == NULL) {
         return;
     }
@@ -169,7 +169,7 @@
     (void)router;
     if (cw_event_begin(&event, CW_EVENT_VIEW_TAKEN)) {
         cw_event_number(&event, CW_FIELD_TERM, (int64_t)position->term);
-        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)position->number);
+        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)position->version);
         cw_event_number(&event, CW_FIELD_CHANGED, (int64_t)entries);
         cw_event_end(&event);
     }
@@ -201,7 +201,7 @@
     if (!is_usable(router, &position, router->view_tables_version) || !is_table_page_accepted(router, peer, page)) {
         return;
     }
-    update = cw_view_updates_take_tables(router->view_updates, page, cw_router_now(router));
+    update = cw_view_updates_add_table_page(router->view_updates, page, cw_router_now(router));
     if (update == NULL || !cw_view_assembly_is_whole(&update->assembly)) {
         return;
     }
--- a/src/router/signal_notices.c
+++ b/src/router/signal_notices.c
@@ -91,7 +91,8 @@
 
 /* While the first datagram of a notice is still due, a further change does not alter the schedule: the datagram carries
  * the server's state at the time of sending. */
-void cw_signal_notices_note(cw_signal_notices_t *notices, uint32_t server, cw_limit_change_t change, cw_time_us_t now)
+void cw_signal_notices_record_limit(cw_signal_notices_t *notices, uint32_t server, cw_limit_change_t change,
+                                    cw_time_us_t now)
 {
     notice_t    *notice = find_or_add(notices, server);
     cw_time_us_t interval = CW_MS(change == CW_LIMIT_UNCHANGED ? RENEWAL_INTERVAL_MS : CHANGE_INTERVAL_MS);
@@ -106,10 +107,10 @@
     notices->next_at = notice->send_at < notices->next_at ? notice->send_at : notices->next_at;
 }
 
-void cw_signal_notices_note_leave(cw_signal_notices_t *notices, uint32_t server, cw_time_us_t now)
+void cw_signal_notices_record_leave(cw_signal_notices_t *notices, uint32_t server, cw_time_us_t now)
 {
     find_or_add(notices, server)->is_leave = true;
-    cw_signal_notices_note(notices, server, CW_LIMIT_BEGUN, now);
+    cw_signal_notices_record_limit(notices, server, CW_LIMIT_BEGUN, now);
 }
 
 void cw_signal_notices_end_leave(cw_signal_notices_t *notices, uint32_t server)
@@ -121,7 +122,7 @@
     }
 }
 
-void cw_signal_notices_note_received(cw_signal_notices_t *notices, uint32_t server, cw_time_us_t now)
+void cw_signal_notices_record_received(cw_signal_notices_t *notices, uint32_t server, cw_time_us_t now)
 {
     notice_t *notice = find_or_add(notices, server);
 
--- a/src/router/signal_notices.h
+++ b/src/router/signal_notices.h
@@ -32,13 +32,14 @@
 cw_signal_notices_t *cw_signal_notices_create(void);
 void                 cw_signal_notices_free(cw_signal_notices_t *notices);
 /** Notes that an answer to this node stated a server's limit, or that this node found that the limit has ended. */
-void cw_signal_notices_note(cw_signal_notices_t *notices, uint32_t server, cw_limit_change_t change, cw_time_us_t now);
+void cw_signal_notices_record_limit(cw_signal_notices_t *notices, uint32_t server, cw_limit_change_t change,
+                                    cw_time_us_t now);
 /** Notes that an answer to this node said that the server leaves. */
-void cw_signal_notices_note_leave(cw_signal_notices_t *notices, uint32_t server, cw_time_us_t now);
+void cw_signal_notices_record_leave(cw_signal_notices_t *notices, uint32_t server, cw_time_us_t now);
 /** Ends the repeated notices of a leave, since the list shows the leave or the server is gone. */
 void cw_signal_notices_end_leave(cw_signal_notices_t *notices, uint32_t server);
 /** Notes that a notice about a server was received from another node. */
-void cw_signal_notices_note_received(cw_signal_notices_t *notices, uint32_t server, cw_time_us_t now);
+void cw_signal_notices_record_received(cw_signal_notices_t *notices, uint32_t server, cw_time_us_t now);
 /** Fills in the servers whose present state is to be sent now, and counts one more notice of each as sent. Returns
  * their count. */
 size_t cw_signal_notices_due(cw_signal_notices_t *notices, uint32_t servers[CW_SIGNAL_NOTICES_MAX], cw_time_us_t now);
--- a/src/router/store_availability.c
+++ b/src/router/store_availability.c
@@ -4,32 +4,33 @@
  */
 #include "router/store_availability.h"
 
-static cw_store_change_t record_answer(cw_store_availability_t *reach)
+static cw_store_availability_change_t record_answer(cw_store_availability_t *availability)
 {
-    bool was_lost = reach->is_lost;
+    bool was_lost = availability->is_lost;
 
-    reach->failing_since = 0;
-    reach->is_lost = false;
+    availability->failing_since = 0;
+    availability->is_lost = false;
     return was_lost ? CW_STORE_BACK : CW_STORE_UNCHANGED;
 }
 
-cw_store_change_t cw_store_availability_note(cw_store_availability_t *reach, bool is_answered, cw_time_us_t now)
+cw_store_availability_change_t cw_store_availability_record(cw_store_availability_t *availability, bool is_answered,
+                                                            cw_time_us_t now)
 {
     if (is_answered) {
-        return record_answer(reach);
+        return record_answer(availability);
     }
-    reach->failed_at = now;
-    if (reach->failing_since == 0) {
-        reach->failing_since = now;
+    availability->failed_at = now;
+    if (availability->failing_since == 0) {
+        availability->failing_since = now;
     }
-    if (reach->is_lost || now - reach->failing_since < CW_MS(CW_STORE_LOST_MS)) {
+    if (availability->is_lost || now - availability->failing_since < CW_MS(CW_STORE_LOST_MS)) {
         return CW_STORE_UNCHANGED;
     }
-    reach->is_lost = true;
+    availability->is_lost = true;
     return CW_STORE_LOST;
 }
 
-cw_time_us_t cw_store_availability_failing_for(const cw_store_availability_t *reach, cw_time_us_t now)
+cw_time_us_t cw_store_availability_failing_for(const cw_store_availability_t *availability, cw_time_us_t now)
 {
-    return reach->failing_since == 0 ? 0 : now - reach->failing_since;
+    return availability->failing_since == 0 ? 0 : now - availability->failing_since;
 }
--- a/src/router/store_availability.h
+++ b/src/router/store_availability.h
@@ -22,7 +22,11 @@
 };
 
 /** Change of the state that the outcome of a call has caused. */
-typedef enum cw_store_change { CW_STORE_UNCHANGED, CW_STORE_LOST, CW_STORE_BACK } cw_store_change_t;
+typedef enum cw_store_availability_change {
+    CW_STORE_UNCHANGED,
+    CW_STORE_LOST,
+    CW_STORE_BACK
+} cw_store_availability_change_t;
 
 /** Outcomes of the calls so far. All zeros: no call has failed yet. */
 typedef struct cw_store_availability {
@@ -32,8 +36,9 @@
 } cw_store_availability_t;
 
 /** Records the outcome of a call. Each change of the state is returned once, so that the caller can log it. */
-cw_store_change_t cw_store_availability_note(cw_store_availability_t *reach, bool is_answered, cw_time_us_t now);
+cw_store_availability_change_t cw_store_availability_record(cw_store_availability_t *availability, bool is_answered,
+                                                            cw_time_us_t now);
 /** Time since the first failure after the last answer; 0: no call has failed since then. */
-cw_time_us_t cw_store_availability_failing_for(const cw_store_availability_t *reach, cw_time_us_t now);
+cw_time_us_t cw_store_availability_failing_for(const cw_store_availability_t *availability, cw_time_us_t now);
 
 #endif
--- a/src/router/store_reader.h
+++ b/src/router/store_reader.h
@@ -8,7 +8,7 @@
  *    first. Nodes that are stopping, that have not been received from recently, or that report that the store does
  *    not answer them are skipped.
  *  - Each node computes this from what it knows. Two nodes with different knowledge may both read, or both not read
- *    for a short time: a node that receives from no reader and no leader for CW_READER_SILENCE_MS reads for itself.
+ *    for a short time: a node that receives from no reader and no leader for CW_READER_TIMEOUT_MS reads for itself.
  *  - A leader always reads.
  *
  * No I/O, no clock.
@@ -22,7 +22,7 @@
 
 enum {
     CW_READER_NOTICE_MS = 400,  /**< interval between the notices of a reader to its zone */
-    CW_READER_SILENCE_MS = 1500 /**< a reader not received from for so long is skipped; three notices may be lost */
+    CW_READER_TIMEOUT_MS = 1500 /**< a reader not received from for so long is skipped; three notices may be lost */
 };
 
 /** A node that may read for its zone. */
--- a/src/router/table_pages.c
+++ b/src/router/table_pages.c
@@ -42,7 +42,7 @@
     }
 }
 
-void cw_table_page_take(cw_key_tables_t *tables, const Cwp__TablePage *page)
+void cw_table_page_apply(cw_key_tables_t *tables, const Cwp__TablePage *page)
 {
     cw_key_table_t *table = page->n_ranges == 0 ? NULL : cw_key_tables_service(tables, page->service);
     size_t          index;
--- a/src/router/table_pages.h
+++ b/src/router/table_pages.h
@@ -28,6 +28,6 @@
 void cw_table_page_fill(Cwp__TablePage *page, cw_table_page_room_t *room, const cw_table_entry_t *entries, size_t count,
                         uint32_t part);
 /** Adds the page's ranges to its service's table. */
-void cw_table_page_take(cw_key_tables_t *tables, const Cwp__TablePage *page);
+void cw_table_page_apply(cw_key_tables_t *tables, const Cwp__TablePage *page);
 
 #endif
--- a/src/router/table_publication.c
+++ b/src/router/table_publication.c
@@ -4,7 +4,7 @@
  */
 #include "router/table_publication.h"
 
-void cw_table_publication_note_change(cw_table_publication_t *publication, cw_time_us_t now)
+void cw_table_publication_record_change(cw_table_publication_t *publication, cw_time_us_t now)
 {
     if (!publication->is_due) {
         publication->is_due = true;
--- a/src/router/table_publication.h
+++ b/src/router/table_publication.h
@@ -28,7 +28,7 @@
 } cw_table_publication_t;
 
 /** Records that an assignment has changed. */
-void cw_table_publication_note_change(cw_table_publication_t *publication, cw_time_us_t now);
+void cw_table_publication_record_change(cw_table_publication_t *publication, cw_time_us_t now);
 /** True if tables are to be published now. targets: number of nodes to send to; datagrams_per_second: how many the
  * leader may send. */
 bool cw_table_publication_is_due(const cw_table_publication_t *publication, size_t targets, double datagrams_per_second,
--- a/src/router/view_assembly.c
+++ b/src/router/view_assembly.c
@@ -9,7 +9,7 @@
 static bool matches(const cw_view_assembly_t *assembly, const cw_page_position_t *position)
 {
     return assembly->pages == position->pages && assembly->term == position->term &&
-           assembly->number == position->number && assembly->base == position->base;
+           assembly->version == position->version && assembly->base == position->base;
 }
 
 /* True if a new update replaces `assembly` rather than `other`: it is unused, or its last page is older. */
@@ -47,12 +47,12 @@
 {
     memset(assembly, 0, sizeof(*assembly));
     assembly->term = position->term;
-    assembly->number = position->number;
+    assembly->version = position->version;
     assembly->base = position->base;
     assembly->pages = position->pages;
 }
 
-bool cw_view_assembly_note(cw_view_assembly_t *assembly, uint32_t page, cw_time_us_t now)
+bool cw_view_assembly_record(cw_view_assembly_t *assembly, uint32_t page, cw_time_us_t now)
 {
     if (assembly->received[page]) {
         return false;
--- a/src/router/view_assembly.h
+++ b/src/router/view_assembly.h
@@ -24,7 +24,7 @@
 /** The pages of one update that have been received. All zeros: no update. */
 typedef struct cw_view_assembly {
     uint64_t     term;
-    uint64_t     number;
+    uint64_t     version;
     uint64_t     base;
     uint32_t     pages;                  /**< 0: no update */
     uint32_t     received_count;         /**< pages received */
@@ -39,7 +39,7 @@
 /** Starts assembling this update, without any page. */
 void cw_view_assembly_begin(cw_view_assembly_t *assembly, const cw_page_position_t *position);
 /** Records a page of the update. Returns false if it had been received before. */
-bool cw_view_assembly_note(cw_view_assembly_t *assembly, uint32_t page, cw_time_us_t now);
+bool cw_view_assembly_record(cw_view_assembly_t *assembly, uint32_t page, cw_time_us_t now);
 /** True if all pages have been received. */
 bool cw_view_assembly_is_whole(const cw_view_assembly_t *assembly);
 /** First page that has not been received; the number of pages when none is missing. */
--- a/src/router/view_check.c
+++ b/src/router/view_check.c
@@ -4,7 +4,7 @@
  */
 #include "router/view_check.h"
 
-bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *patience, cw_time_us_t now)
+bool cw_view_check_record(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *delays, cw_time_us_t now)
 {
     if (is_equal) {
         check->unequal_since = 0;
@@ -13,8 +13,7 @@
     if (check->unequal_since == 0) {
         check->unequal_since = now;
     }
-    if (now - check->unequal_since < patience->first ||
-        (check->asked_at != 0 && now - check->asked_at < patience->again)) {
+    if (now - check->unequal_since < delays->first || (check->asked_at != 0 && now - check->asked_at < delays->again)) {
         return false;
     }
     check->asked_at = now;
--- a/src/router/view_check.h
+++ b/src/router/view_check.h
@@ -30,7 +30,7 @@
 
 /** Records a heartbeat with the number that this node has. Returns true if the caller is to request the whole content.
  */
-bool cw_view_check_note(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *patience,
-                        cw_time_us_t now);
+bool cw_view_check_record(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *delays,
+                          cw_time_us_t now);
 
 #endif
--- a/src/router/view_order.c
+++ b/src/router/view_order.c
@@ -10,9 +10,9 @@
         return false;
     }
     if (position->base != 0) {
-        return position->term == term && has >= position->base && position->number > has;
+        return position->term == term && has >= position->base && position->version > has;
     }
-    return position->term > term || position->number > has;
+    return position->term > term || position->version > has;
 }
 
 bool cw_record_is_usable(uint64_t record_term, uint64_t term)
--- a/src/router/view_order.h
+++ b/src/router/view_order.h
@@ -15,7 +15,7 @@
 /** Which update a page is part of: pages of the same term, number and base form one list, or one set of tables. */
 typedef struct cw_page_position {
     uint64_t term;
-    uint64_t number;
+    uint64_t version;
     uint64_t base; /**< 0: the whole content; else only what changed since this number */
     uint32_t page;
     uint32_t pages;
--- a/src/router/view_updates.c
+++ b/src/router/view_updates.c
@@ -99,12 +99,13 @@
     return &updates->lists[index];
 }
 
-cw_list_update_t *cw_view_updates_take_list(cw_view_updates_t *updates, const Cwp__ServersPage *page, cw_time_us_t now)
+cw_list_update_t *cw_view_updates_add_list_page(cw_view_updates_t *updates, const Cwp__ServersPage *page,
+                                                cw_time_us_t now)
 {
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
     cw_list_update_t  *update = find_list_update(updates, &position);
 
-    if (update == NULL || !cw_view_assembly_note(&update->assembly, page->page, now)) {
+    if (update == NULL || !cw_view_assembly_record(&update->assembly, page->page, now)) {
         return NULL;
     }
     add_list_page(update, page, now);
@@ -162,14 +163,15 @@
     return &updates->tables[index];
 }
 
-cw_table_update_t *cw_view_updates_take_tables(cw_view_updates_t *updates, const Cwp__TablePage *page, cw_time_us_t now)
+cw_table_update_t *cw_view_updates_add_table_page(cw_view_updates_t *updates, const Cwp__TablePage *page,
+                                                  cw_time_us_t now)
 {
     cw_page_position_t position = {page->term, page->number, page->since, page->page, page->pages};
     cw_table_update_t *tables = find_table_update(updates, &position);
 
-    if (tables == NULL || !cw_view_assembly_note(&tables->assembly, page->page, now)) {
+    if (tables == NULL || !cw_view_assembly_record(&tables->assembly, page->page, now)) {
         return NULL;
     }
-    cw_table_page_take(&tables->tables, page);
+    cw_table_page_apply(&tables->tables, page);
     return tables;
 }
--- a/src/router/view_updates.h
+++ b/src/router/view_updates.h
@@ -38,13 +38,14 @@
 void cw_view_updates_free(cw_view_updates_t *updates);
 
 /** Adds a page to its update and returns that; NULL: the page was received before, or is invalid. */
-cw_list_update_t *cw_view_updates_take_list(cw_view_updates_t *updates, const Cwp__ServersPage *page, cw_time_us_t now);
+cw_list_update_t *cw_view_updates_add_list_page(cw_view_updates_t *updates, const Cwp__ServersPage *page,
+                                                cw_time_us_t now);
 /** The list that results from a complete update, applied to the known list (NULL: none). Empties the update. */
 cw_server_list_t *cw_list_update_finish(cw_list_update_t *update, const cw_server_list_t *known);
 
 /** The same for a page of tables. */
-cw_table_update_t *cw_view_updates_take_tables(cw_view_updates_t *updates, const Cwp__TablePage *page,
-                                               cw_time_us_t now);
+cw_table_update_t *cw_view_updates_add_table_page(cw_view_updates_t *updates, const Cwp__TablePage *page,
+                                                  cw_time_us_t now);
 /** Frees the collected tables; the update is unused afterwards. */
 void cw_table_update_clear(cw_table_update_t *tables);
 
--- a/src/router/zone_links.c
+++ b/src/router/zone_links.c
@@ -55,7 +55,7 @@
     return sender;
 }
 
-bool cw_zone_links_note(cw_zone_links_t *links, const cw_summary_header_t *header, cw_time_us_t now)
+bool cw_zone_links_record(cw_zone_links_t *links, const cw_summary_header_t *header, cw_time_us_t now)
 {
     cw_zone_link_t      *link = header->relay == 0 ? NULL : find_or_add_link(links, header->zone);
     cw_summary_sender_t *sender;
--- a/src/router/zone_links.h
+++ b/src/router/zone_links.h
@@ -61,7 +61,7 @@
 
 /** Notes a received summary. False: it is to be ignored, since it is not newer than the last one of its relay or there
  * is no room for its zone. */
-bool cw_zone_links_note(cw_zone_links_t *links, const cw_summary_header_t *header, cw_time_us_t now);
+bool cw_zone_links_record(cw_zone_links_t *links, const cw_summary_header_t *header, cw_time_us_t now);
 /** Whether relays currently exchange summaries between this node's zone and that zone, in both directions. */
 bool cw_zone_links_is_covered(const cw_zone_links_t *links, const char *zone, cw_time_us_t now);
 /** Whether a summary of that zone was received recently. If so, the requests of its nodes are included in its sums, and
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -242,7 +242,7 @@
     cw_router_detours_init(router);
     cw_router_slots_init(router);
     cw_router_push_init(router);
-    cw_router_pass_on_init(router);
+    cw_router_forward_init(router);
     router->view_updates = cw_view_updates_create();
     cw_router_relay_init(router);
     cw_router_list_exchange_init(router);
@@ -287,7 +287,7 @@
     cw_peer_link_close(node->router.link);
     cw_http_listener_close(node->router.callers);
     uv_run(&node->router.loop, UV_RUN_NOWAIT);
-    cw_pass_on_queue_free(node->router.pass_on);
+    cw_forward_queue_free(node->router.forward_queue);
     cw_server_pool_free(node->router.pool);
     cw_router_list_exchange_free(&node->router);
     cw_server_view_clear(&node->router.server_view);
@@ -313,7 +313,7 @@
     cw_router_peers_tick(router, now);
     cw_router_zones_tick(router, now);
     cw_router_slots_tick(router, now);
-    cw_router_pass_on_tick(router, now);
+    cw_router_forward_tick(router, now);
     cw_router_crashes_tick(router, now);
     cw_router_list_exchange_tick(router, now);
 }
--- a/tests/test_configuration_exchange.c
+++ b/tests/test_configuration_exchange.c
@@ -49,9 +49,9 @@
 
     if (datagram->content_case == CWP__DATAGRAM__CONTENT_CONFIGURATION) {
         routes_sent += (uint32_t)datagram->configuration->n_routes;
-        cw_configuration_exchange_take_page(to->exchange, from_address, datagram->configuration, wire_now);
+        cw_configuration_exchange_handle_page(to->exchange, from_address, datagram->configuration, wire_now);
     } else {
-        cw_configuration_exchange_take_request(to->exchange, from_address, datagram->configuration_request, wire_now);
+        cw_configuration_exchange_handle_request(to->exchange, from_address, datagram->configuration_request, wire_now);
     }
 }
 
@@ -173,7 +173,7 @@
 
 static void note_answering_node(uint64_t version, bool is_same_zone, cw_time_us_t now)
 {
-    cw_configuration_exchange_note_holder(nodes[ASKING].exchange, ANSWERING + 1, version, is_same_zone, now);
+    cw_configuration_exchange_record_holder(nodes[ASKING].exchange, ANSWERING + 1, version, is_same_zone, now);
 }
 
 START_TEST(a_node_without_a_configuration_receives_the_whole)
@@ -310,7 +310,7 @@
         cw_configuration_exchange_owner_t owner = {&others[index], on_send, on_received, on_too_large, 200000};
 
         others[index].exchange = cw_configuration_exchange_create(&owner);
-        cw_configuration_exchange_note_holder(others[index].exchange, ANSWERING + 1, 7, true, wire_now);
+        cw_configuration_exchange_record_holder(others[index].exchange, ANSWERING + 1, 7, true, wire_now);
     }
     while (wire_now < CW_SECONDS(12) && holder_count < MANY) {
         wire_now += CW_MS(20);
@@ -347,7 +347,7 @@
 {
     set_up();
     use(&nodes[ANSWERING], configuration_of(7, 10, -1, -1));
-    cw_configuration_exchange_note_holder(nodes[ASKING].exchange, 99, 7, false, 0);
+    cw_configuration_exchange_record_holder(nodes[ASKING].exchange, 99, 7, false, 0);
     ck_assert_uint_eq(sent, 0); /* a node of the same zone may still be found */
     note_answering_node(7, true, CW_MS(10));
     ck_assert_uint_eq(sent, 2);
@@ -359,7 +359,7 @@
 {
     set_up();
     use(&nodes[ANSWERING], configuration_of(7, 10, -1, -1));
-    cw_configuration_exchange_note_holder(nodes[ASKING].exchange, 99, 7, true, 0); /* no node has this address */
+    cw_configuration_exchange_record_holder(nodes[ASKING].exchange, 99, 7, true, 0); /* no node has this address */
     ck_assert_uint_eq(last_receiver, 99);
     note_answering_node(7, false, CW_MS(50));
     cw_configuration_exchange_tick(nodes[ASKING].exchange, CW_MS(200));
@@ -377,7 +377,7 @@
     note_answering_node(7, true, 0);
     ck_assert_uint_eq(sent, 0);
     request.has = 9;
-    cw_configuration_exchange_take_request(nodes[ANSWERING].exchange, ASKING + 1, &request, 0);
+    cw_configuration_exchange_handle_request(nodes[ANSWERING].exchange, ASKING + 1, &request, 0);
     ck_assert_uint_eq(sent, 0);
     ck_assert_uint_eq(nodes[ASKING].in_force->version, 9);
 }
@@ -392,7 +392,7 @@
     page.version = 9;
     page.since = 8;
     page.pages = 1;
-    cw_configuration_exchange_take_page(nodes[ASKING].exchange, ANSWERING + 1, &page, 0);
+    cw_configuration_exchange_handle_page(nodes[ASKING].exchange, ANSWERING + 1, &page, 0);
     ck_assert_uint_eq(nodes[ASKING].in_force->version, 7);
 }
 END_TEST
--- a/tests/test_configuration_newest.c
+++ b/tests/test_configuration_newest.c
@@ -20,7 +20,7 @@
     cw_time_us_t              now = CW_SECONDS(START_S);
 
     ck_assert(!is_overdue(&newest, 0, now));
-    cw_configuration_newest_note(&newest, OWN, OWN, now);
+    cw_configuration_newest_record(&newest, OWN, OWN, now);
     ck_assert(!is_overdue(&newest, OWN, now + CW_SECONDS(1)));
 }
 END_TEST
@@ -30,7 +30,7 @@
     cw_configuration_newest_t newest = {0};
     cw_time_us_t              now = CW_SECONDS(START_S);
 
-    cw_configuration_newest_note(&newest, OWN + 1, OWN, now);
+    cw_configuration_newest_record(&newest, OWN + 1, OWN, now);
     ck_assert(!is_overdue(&newest, OWN, now + CW_MS(MAX_WAIT_MS) - 1));
     ck_assert(is_overdue(&newest, OWN, now + CW_MS(MAX_WAIT_MS)));
     ck_assert(!is_overdue(&newest, OWN + 1, now + CW_MS(MAX_WAIT_MS)));
@@ -42,10 +42,10 @@
     cw_configuration_newest_t newest = {0};
     cw_time_us_t              now = CW_SECONDS(START_S);
 
-    cw_configuration_newest_note(&newest, OWN + 1, OWN, now);
-    cw_configuration_newest_note(&newest, OWN + 2, OWN, now + CW_MS(MAX_WAIT_MS) / 2);
-    cw_configuration_newest_note(&newest, OWN + 1, OWN,
-                                 now + CW_MS(MAX_WAIT_MS) / 2); /* an older version is reported afterwards */
+    cw_configuration_newest_record(&newest, OWN + 1, OWN, now);
+    cw_configuration_newest_record(&newest, OWN + 2, OWN, now + CW_MS(MAX_WAIT_MS) / 2);
+    cw_configuration_newest_record(&newest, OWN + 1, OWN,
+                                   now + CW_MS(MAX_WAIT_MS) / 2); /* an older version is reported afterwards */
     ck_assert_uint_eq(newest.version, OWN + 2);
     ck_assert(is_overdue(&newest, OWN, now + CW_MS(MAX_WAIT_MS)));
 }
@@ -57,8 +57,8 @@
     cw_time_us_t              now = CW_SECONDS(START_S);
     cw_time_us_t              later = now + CW_SECONDS(10);
 
-    cw_configuration_newest_note(&newest, OWN + 1, OWN, now);
-    cw_configuration_newest_note(&newest, OWN + 2, OWN + 1, later);
+    cw_configuration_newest_record(&newest, OWN + 1, OWN, now);
+    cw_configuration_newest_record(&newest, OWN + 2, OWN + 1, later);
     ck_assert(!is_overdue(&newest, OWN + 1, later + CW_MS(MAX_WAIT_MS) - 1));
     ck_assert(is_overdue(&newest, OWN + 1, later + CW_MS(MAX_WAIT_MS)));
 }
@@ -70,7 +70,7 @@
     cw_time_us_t              now = CW_SECONDS(START_S);
     cw_time_us_t              read_at = now + CW_MS(MAX_WAIT_MS);
 
-    cw_configuration_newest_note(&newest, OWN + 1, OWN, now);
+    cw_configuration_newest_record(&newest, OWN + 1, OWN, now);
     cw_configuration_newest_start_read(&newest, read_at);
     ck_assert(!is_overdue(&newest, OWN, read_at + CW_MS(MAX_WAIT_MS) - 1));
     ck_assert(is_overdue(&newest, OWN, read_at + CW_MS(MAX_WAIT_MS)));
--- a/tests/test_fleet_scale.c
+++ b/tests/test_fleet_scale.c
@@ -21,7 +21,7 @@
     ORDERS_UNDER_WAY_MAX = 512,
     TICKS_MAX = 400,
     RENEWAL_S = 20,
-    RENEWALS_A_SECOND_MAX = 2000 * 11 / 10, /* the budget of half a core, and a tenth for renewals due at both ends */
+    RENEWALS_PER_SECOND_MAX = 2000 * 11 / 10, /* the budget of half a core, and a tenth for renewals due at both ends */
     FEW = 1500,
     MANY = 4 * FEW,
     REPEATS = 7
@@ -84,7 +84,7 @@
 END_TEST
 
 /* Returns the number of renewals a second over RENEWAL_S seconds. check_holds shows afterwards that no hold ran out. */
-static double renewals_a_second(node_fixture_t *node)
+static double measured_renewals_per_second(node_fixture_t *node)
 {
     uint64_t before = 0;
     uint64_t sent = 0;
@@ -122,7 +122,7 @@
     node_fixture_t *node = new_leader(owners);
 
     (void)tick_until_held(node, owners);
-    ck_assert_double_le(renewals_a_second(node), RENEWALS_A_SECOND_MAX);
+    ck_assert_double_le(measured_renewals_per_second(node), RENEWALS_PER_SECOND_MAX);
     check_holds(node);
     node_fixture_free(node);
 }
--- a/tests/test_leader_tenure.c
+++ b/tests/test_leader_tenure.c
@@ -21,11 +21,11 @@
 {
     cw_leader_tenure_t tenure = {0};
 
-    ck_assert_int_eq(cw_leader_tenure_deference(&tenure), 0);
-    cw_leader_tenure_note_rival(&tenure, true, CW_SECONDS(START_S));
-    ck_assert_int_eq(cw_leader_tenure_deference(&tenure), CW_MS(CW_LEADER_DEFERENCE_MS));
-    cw_leader_tenure_note_rival(&tenure, false, CW_SECONDS(START_S) + 1);
-    ck_assert_int_eq(cw_leader_tenure_deference(&tenure), 0);
+    ck_assert_int_eq(cw_leader_tenure_take_delay(&tenure), 0);
+    cw_leader_tenure_record_rival(&tenure, true, CW_SECONDS(START_S));
+    ck_assert_int_eq(cw_leader_tenure_take_delay(&tenure), CW_MS(CW_LEADER_TAKE_DELAY_MS));
+    cw_leader_tenure_record_rival(&tenure, false, CW_SECONDS(START_S) + 1);
+    ck_assert_int_eq(cw_leader_tenure_take_delay(&tenure), 0);
 }
 END_TEST
 
@@ -37,11 +37,11 @@
 
     cw_leader_tenure_begin(&tenure, CW_SECONDS(1));
     ck_assert(!cw_leader_tenure_should_hand_over(&tenure, seen_at));
-    cw_leader_tenure_note_rival(&tenure, true, seen_at);
-    cw_leader_tenure_note_rival(&tenure, true, seen_at + 1); /* seen again: the time counts from the first sighting */
+    cw_leader_tenure_record_rival(&tenure, true, seen_at);
+    cw_leader_tenure_record_rival(&tenure, true, seen_at + 1); /* seen again: the time counts from the first sighting */
     ck_assert(!cw_leader_tenure_should_hand_over(&tenure, due_at));
     ck_assert(cw_leader_tenure_should_hand_over(&tenure, due_at + 1));
-    cw_leader_tenure_note_rival(&tenure, false, due_at + 1);
+    cw_leader_tenure_record_rival(&tenure, false, due_at + 1);
     ck_assert(!cw_leader_tenure_should_hand_over(&tenure, due_at + 2));
 }
 END_TEST
@@ -51,7 +51,7 @@
     cw_leader_tenure_t tenure = {0};
     cw_time_us_t       taken_at = CW_SECONDS(START_S);
 
-    cw_leader_tenure_note_rival(&tenure, true, CW_SECONDS(1));
+    cw_leader_tenure_record_rival(&tenure, true, CW_SECONDS(1));
     cw_leader_tenure_begin(&tenure, taken_at);
     ck_assert(!cw_leader_tenure_should_hand_over(&tenure, taken_at + CW_SECONDS(CW_LEADER_HAND_OVER_S)));
     ck_assert(cw_leader_tenure_should_hand_over(&tenure, taken_at + CW_SECONDS(CW_LEADER_HAND_OVER_S) + 1));
--- a/tests/test_list_exchange.c
+++ b/tests/test_list_exchange.c
@@ -23,12 +23,12 @@
     EVENTS_MAX = 4096
 };
 
-static const cw_list_version_t newest = {.term = 5, .number = 40};
-static const double            third_of_10_mbps = 10e6 / 8 / 3;
+static const cw_list_id_t newest = {.term = 5, .version = 40};
+static const double       third_of_10_mbps = 10e6 / 8 / 3;
 
 typedef struct zone_node {
     cw_list_exchange_t *exchange;
-    cw_list_version_t   has;
+    cw_list_id_t        has;
     bool                received[PAGES];
     bool                is_dead;
     bool                is_frozen;
@@ -92,7 +92,7 @@
     uint32_t     page;
     size_t       bytes = 0;
 
-    if (node->has.term != window->of.term || node->has.number != window->of.number) {
+    if (node->has.term != window->of.term || node->has.version != window->of.version) {
         return 0;
     }
     for (page = window->first; page < PAGES && page < window->first + window->count; page++) {
@@ -111,7 +111,7 @@
     return bytes;
 }
 
-static void on_redirect(void *context, uint32_t address, cw_list_version_t of, uint32_t other_holder)
+static void on_redirect(void *context, uint32_t address, cw_list_id_t of, uint32_t other_holder)
 {
     put_event((wire_event_t){.at = now + CW_MS(STEP_MS * DELAY_STEPS),
                              .kind = EVENT_REDIRECT,
@@ -155,7 +155,7 @@
     return page;
 }
 
-static void take_page(zone_node_t *node, const wire_event_t *event)
+static void receive_page(zone_node_t *node, const wire_event_t *event)
 {
     uint32_t missing;
 
@@ -178,10 +178,10 @@
     switch (event->kind) {
     case EVENT_REQUEST:
         node->requests_taken++;
-        cw_list_exchange_take_request(node->exchange, event->from, &event->window, now);
+        cw_list_exchange_handle_request(node->exchange, event->from, &event->window, now);
         break;
     case EVENT_PAGE:
-        take_page(node, event);
+        receive_page(node, event);
         break;
     case EVENT_REDIRECT:
         cw_list_exchange_redirected(node->exchange, event->window.of, event->other_holder, now);
@@ -217,7 +217,7 @@
 
     for (index = 0; index < node_count; index++) {
         if (&nodes[index] != node && !nodes[index].is_dead && !nodes[index].is_frozen) {
-            cw_list_exchange_note_holder(nodes[index].exchange, address_of(node), node->has, now);
+            cw_list_exchange_record_holder(nodes[index].exchange, address_of(node), node->has, now);
         }
     }
 }
@@ -255,7 +255,7 @@
 
 static bool has_newest(const zone_node_t *node)
 {
-    return node->has.term == newest.term && node->has.number == newest.number;
+    return node->has.term == newest.term && node->has.version == newest.version;
 }
 
 static uint32_t count_with_list(void)
@@ -297,7 +297,7 @@
 {
     set_up_zone(2, 0);
     give_list(&nodes[0]);
-    nodes[1].has = (cw_list_version_t){.term = newest.term, .number = newest.number - 3};
+    nodes[1].has = (cw_list_id_t){.term = newest.term, .version = newest.version - 3};
     run(2000);
     ck_assert_uint_eq(nodes[0].requests_taken, 0);
 }
@@ -363,7 +363,7 @@
 
     set_up_two_holders();
     asked = run_into_transfer();
-    asked->has.number = newest.number - 1; /* it has started over with an earlier list */
+    asked->has.version = newest.version - 1; /* it has started over with an earlier list */
     run(2000);
     ck_assert(has_newest(&nodes[2]));
 }
@@ -405,7 +405,7 @@
 
 START_TEST(a_late_page_of_an_earlier_term_changes_nothing)
 {
-    cw_list_version_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
+    cw_list_id_t earlier = {.term = newest.term - 1, .version = newest.version + 9};
 
     set_up_two_holders();
     (void)run_into_transfer();
@@ -418,11 +418,11 @@
 
 START_TEST(a_heartbeat_of_an_earlier_term_is_ignored)
 {
-    cw_list_version_t earlier = {.term = newest.term - 1, .number = newest.number + 9};
+    cw_list_id_t earlier = {.term = newest.term - 1, .version = newest.version + 9};
 
     set_up_two_holders();
     (void)run_into_transfer();
-    cw_list_exchange_set_wanted(nodes[2].exchange, earlier, (cw_list_version_t){0}, now);
+    cw_list_exchange_set_wanted(nodes[2].exchange, earlier, (cw_list_id_t){0}, now);
     run(2000);
     ck_assert(has_newest(&nodes[2]));
     ck_assert_uint_eq(nodes[2].pages_received, PAGES);
@@ -431,7 +431,7 @@
 
 START_TEST(a_transfer_continues_while_a_newer_list_is_named)
 {
-    cw_list_version_t newer = {.term = newest.term, .number = newest.number + 1};
+    cw_list_id_t newer = {.term = newest.term, .version = newest.version + 1};
 
     set_up_two_holders();
     (void)run_into_transfer();
@@ -451,7 +451,7 @@
     give_list(&nodes[0]);
     run(2000);
     requests_taken = nodes[0].requests_taken;
-    nodes[1].has = (cw_list_version_t){0}; /* it rejected the list, since it had read a later one */
+    nodes[1].has = (cw_list_id_t){0}; /* it rejected the list, since it had read a later one */
     run(5000);
     ck_assert_uint_eq(nodes[0].requests_taken, requests_taken);
 }
@@ -480,7 +480,7 @@
     give_list(&nodes[0]);
     give_list(&nodes[1]); /* so that it sends no requests of its own */
     for (steps = 0; steps < seconds * 1000 / STEP_MS; steps++) {
-        cw_list_exchange_take_request(nodes[0].exchange, address_of(&nodes[1]), &window, now);
+        cw_list_exchange_handle_request(nodes[0].exchange, address_of(&nodes[1]), &window, now);
         run(STEP_MS);
     }
     ck_assert_uint_le(nodes[0].bytes, (size_t)(third_of_10_mbps * (seconds + 0.2) + window_bytes));
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -382,7 +382,7 @@
     static Cwp__ServerLoad   loads[MANY_LOADS];
     static Cwp__ServerLoad  *load_pointers[MANY_LOADS];
     static Cwp__ServerPace   paces[MANY_LOADS];
-    static Cwp__ServerPace  *pace_pointers[MANY_LOADS];
+    static Cwp__ServerPace  *latency_pointers[MANY_LOADS];
     static Cwp__QueueLength  queues[MANY_LOADS];
     static Cwp__QueueLength *queue_pointers[MANY_LOADS];
     node_fixture_t          *node = node_fixture_create();
@@ -398,7 +398,7 @@
         paces[index] = (Cwp__ServerPace)CWP__SERVER_PACE__INIT;
         paces[index].server = index;
         paces[index].served = 3;
-        pace_pointers[index] = &paces[index];
+        latency_pointers[index] = &paces[index];
         queues[index] = (Cwp__QueueLength)CWP__QUEUE_LENGTH__INIT;
         queues[index].service = index;
         queues[index].queued = 1;
@@ -407,7 +407,7 @@
     report.incarnation = 5;
     report.loads = load_pointers;
     report.n_loads = MANY_LOADS;
-    report.paces = pace_pointers;
+    report.paces = latency_pointers;
     report.n_paces = MANY_LOADS;
     report.queues = queue_pointers;
     report.n_queues = MANY_LOADS;
@@ -620,7 +620,7 @@
 /* ---- lists that become old at all nodes at the same time ---- */
 
 /* Age of the list of a node with this name when the node begins to read it again. */
-static cw_time_us_t age_when_read(const char *name, bool hears_leader)
+static cw_time_us_t age_when_read(const char *name, bool is_leader_received)
 {
     node_fixture_t *node = node_fixture_create();
     cw_router_t    *router = &node->router;
@@ -636,7 +636,7 @@
     while (node->list_reads == reads) {
         ck_assert_int_lt(cw_router_now(router) - begun, router->settings.drain);
         router->loop.time += CW_TICK_MS;
-        router->leader_heartbeat_at = hears_leader ? cw_router_now(router) : 0;
+        router->leader_heartbeat_at = is_leader_received ? cw_router_now(router) : 0;
         router->is_reader = false;
         cw_router_view_tick(router, cw_router_now(router));
     }
@@ -645,7 +645,7 @@
     return begun;
 }
 
-START_TEST(nodes_that_hear_the_leader_do_not_all_read_at_once)
+START_TEST(nodes_that_receive_heartbeats_do_not_all_read_at_once)
 {
     enum { NODES = 40, AT_ONCE_MAX = NODES / 4 };
     cw_time_us_t drain = CW_SECONDS(2);
@@ -667,7 +667,7 @@
 }
 END_TEST
 
-START_TEST(a_node_that_does_not_hear_the_leader_does_not_wait_for_it)
+START_TEST(a_node_that_receives_no_heartbeat_does_not_wait_for_one)
 {
     ck_assert_int_le(age_when_read("n-1", false), CW_SECONDS(2) * 60 / 100 + CW_MS(CW_TICK_MS));
 }
@@ -675,29 +675,29 @@
 
 /* ---- the leader's number, but other contents ---- */
 
-static void receive_list(node_fixture_t *node, uint64_t number)
+static void receive_list(node_fixture_t *node, uint64_t version)
 {
     Cwp__ServersPage page = CWP__SERVERS_PAGE__INIT;
 
     page.term = TERM;
-    page.number = number;
+    page.number = version;
     page.pages = 1;
     page.revision = 1;
     receive_servers(node, &page, "i-1");
 }
 
 /* Delivers heartbeats that name the number of the list, with a hash that differs from that of the list in force. */
-static void receive_heartbeats(node_fixture_t *node, uint64_t number, int milliseconds)
+static void receive_heartbeats(node_fixture_t *node, uint64_t version, int milliseconds)
 {
     int passed;
 
     for (passed = 0; passed < milliseconds; passed += 200) {
         tick_during(node, 200);
-        receive_heartbeat(node, TERM, number, 0);
+        receive_heartbeat(node, TERM, version, 0);
     }
 }
 
-START_TEST(list_that_has_long_differed_under_the_leaders_number_is_requested_again)
+START_TEST(list_that_has_long_differed_under_the_leaders_version_is_requested_again)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -725,7 +725,7 @@
 }
 END_TEST
 
-START_TEST(tables_that_have_long_differed_under_the_leaders_number_are_requested_again)
+START_TEST(tables_that_have_long_differed_under_the_leaders_version_are_requested_again)
 {
     node_fixture_t *node = node_fixture_create();
     int             beats;
@@ -778,11 +778,11 @@
     tcase_add_test(cases, a_node_that_sees_a_leader_waits_for_its_list_and_does_not_read);
     tcase_add_test(cases, a_list_that_does_not_come_is_read);
     tcase_add_test(cases, a_node_that_sees_no_leader_reads_soon);
-    tcase_add_test(cases, nodes_that_hear_the_leader_do_not_all_read_at_once);
-    tcase_add_test(cases, a_node_that_does_not_hear_the_leader_does_not_wait_for_it);
-    tcase_add_test(cases, list_that_has_long_differed_under_the_leaders_number_is_requested_again);
+    tcase_add_test(cases, nodes_that_receive_heartbeats_do_not_all_read_at_once);
+    tcase_add_test(cases, a_node_that_receives_no_heartbeat_does_not_wait_for_one);
+    tcase_add_test(cases, list_that_has_long_differed_under_the_leaders_version_is_requested_again);
     tcase_add_test(cases, list_that_keeps_differing_is_requested_rarely);
-    tcase_add_test(cases, tables_that_have_long_differed_under_the_leaders_number_are_requested_again);
+    tcase_add_test(cases, tables_that_have_long_differed_under_the_leaders_version_are_requested_again);
     tcase_add_test(cases, loop_is_initialised_completely_or_not_at_all);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_pass_on.c
+++ b/tests/test_pass_on.c
@@ -7,7 +7,7 @@
 #include "loop_fixture.h"
 #include "node_fixture.h"
 
-enum { TERM = 5, SERVERS_NUMBER = 3, TABLES_NUMBER = 4, STEPS = 60 };
+enum { TERM = 5, LIST_VERSION = 3, TABLES_NUMBER = 4, STEPS = 60 };
 
 static uint64_t sent_to_zone(const node_fixture_t *node, Cwp__Datagram__ContentCase kind)
 {
@@ -45,7 +45,7 @@
     Cwp__LeaderHeartbeat heartbeat = CWP__LEADER_HEARTBEAT__INIT;
 
     heartbeat.term = TERM;
-    heartbeat.servers = SERVERS_NUMBER;
+    heartbeat.servers = LIST_VERSION;
     heartbeat.servers_hash = node->router.server_view.hash;
     cw_router_list_exchange_heartbeat(&node->router, &heartbeat, cw_router_now(&node->router));
 }
@@ -56,7 +56,7 @@
     Cwp__Datagram    datagram = CWP__DATAGRAM__INIT;
 
     request.term = TERM;
-    request.number = SERVERS_NUMBER;
+    request.number = LIST_VERSION;
     datagram.content_case = CWP__DATAGRAM__CONTENT_LIST_REQUEST;
     datagram.list_request = &request;
     node_fixture_receive(node, "10.0.0.10", &datagram);
@@ -71,7 +71,7 @@
     (void)add_reader(node);
     node->router.settings.link_mbps = 100;
     node->router.view_term = TERM;
-    node->router.view_list_version = SERVERS_NUMBER;
+    node->router.view_list_version = LIST_VERSION;
     set_tables(node);
     receive_heartbeat(node);
     for (step = 0; step < STEPS; step++) {
@@ -89,7 +89,7 @@
 END_TEST
 
 /* Receives a page of changes that the leader sends to this relay. Returns the length of the page as it is passed on. */
-static size_t receive_page_to_pass_on(node_fixture_t *node)
+static size_t receive_page_to_forward(node_fixture_t *node)
 {
     Cwp__ServersPage page = CWP__SERVERS_PAGE__INIT;
     Cwp__ViewServer  server = CWP__VIEW_SERVER__INIT;
@@ -101,7 +101,7 @@
     server.address = "10.0.1.1:80";
     server.zone = "z1";
     page.term = TERM;
-    page.number = SERVERS_NUMBER;
+    page.number = LIST_VERSION;
     page.pages = 1;
     page.servers = servers;
     page.n_servers = 1;
@@ -113,7 +113,7 @@
     return cwp__datagram__get_packed_size(&datagram);
 }
 
-START_TEST(passed_on_pages_are_taken_from_the_allowance)
+START_TEST(forwarded_pages_are_taken_from_the_allowance)
 {
     const double    before = 10000;
     node_fixture_t *node = node_fixture_create();
@@ -122,7 +122,7 @@
     (void)add_reader(node);
     node->router.push_allowance = (cw_send_allowance_t){
         .bytes_per_s = before, .burst = CW_SECONDS(1), .bytes = before, .filled_at = cw_router_now(&node->router)};
-    length = receive_page_to_pass_on(node);
+    length = receive_page_to_forward(node);
     ck_assert_uint_eq(sent_to_zone(node, CWP__DATAGRAM__CONTENT_SERVERS), 1);
     ck_assert_double_eq(node->router.push_allowance.bytes, before - (double)length);
     node_fixture_free(node);
@@ -135,7 +135,7 @@
     TCase *cases = tcase_create("pass on");
 
     tcase_add_test(cases, whole_lists_are_sent_on_request_and_whole_tables_never);
-    tcase_add_test(cases, passed_on_pages_are_taken_from_the_allowance);
+    tcase_add_test(cases, forwarded_pages_are_taken_from_the_allowance);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_pass_on_queue.c
+++ b/tests/test_pass_on_queue.c
@@ -28,7 +28,7 @@
     return NODES;
 }
 
-static bool is_wanted(void *context, uint32_t address, const cw_pass_on_update_t *update)
+static bool is_wanted(void *context, uint32_t address, const cw_forwarded_update_t *update)
 {
     (void)context;
     (void)update;
@@ -40,47 +40,47 @@
     (void)context;
     (void)pages;
     ck_assert_uint_eq(first, pages_sent[address]);
-    ck_assert_uint_le(count, CW_PASS_ON_PAGES_PER_TURN);
+    ck_assert_uint_le(count, CW_FORWARD_PAGES_PER_TURN);
     pages_sent[address] += (uint32_t)count;
     sent_bytes += count * PAGE_BYTES;
     return count * PAGE_BYTES;
 }
 
-static cw_pass_on_queue_t *new_queue(void)
+static cw_forward_queue_t *new_queue(void)
 {
-    cw_pass_on_owner_t owner = {.list_nodes = list_nodes, .is_wanted = is_wanted, .send = send_pages};
+    cw_forward_queue_owner_t owner = {.list_nodes = list_nodes, .is_wanted = is_wanted, .send = send_pages};
 
     memset(pages_sent, 0, sizeof(pages_sent));
     memset(has_update, 0, sizeof(has_update));
     sent_bytes = 0;
-    return cw_pass_on_queue_create(&owner);
+    return cw_forward_queue_create(&owner);
 }
 
-static cw_pass_on_update_t update_of(uint64_t number)
+static cw_forwarded_update_t update_of(uint64_t version)
 {
-    return (cw_pass_on_update_t){.is_list = true, .term = 1, .base = number - 1, .number = number, .pages = PAGES};
+    return (cw_forwarded_update_t){.is_list = true, .term = 1, .base = version - 1, .version = version, .pages = PAGES};
 }
 
-static bool add(cw_pass_on_queue_t *queue, uint64_t number, uint32_t page, cw_time_us_t now)
+static bool add(cw_forward_queue_t *queue, uint64_t version, uint32_t page, cw_time_us_t now)
 {
-    static uint8_t      bytes[PAGE_BYTES];
-    cw_datagram_batch_t packed = {0};
-    cw_pass_on_update_t update = update_of(number);
-    bool                added;
+    static uint8_t        bytes[PAGE_BYTES];
+    cw_datagram_batch_t   packed = {0};
+    cw_forwarded_update_t update = update_of(version);
+    bool                  added;
 
     cw_datagram_batch_add(&packed, 2, bytes, sizeof(bytes));
-    added = cw_pass_on_queue_add(queue, &update, page, &packed, now);
+    added = cw_forward_queue_add(queue, &update, page, &packed, now);
     cw_bytes_clear(&packed.bytes);
     free(packed.lengths);
     return added;
 }
 
-static void add_all(cw_pass_on_queue_t *queue, uint64_t number, cw_time_us_t now)
+static void add_all(cw_forward_queue_t *queue, uint64_t version, cw_time_us_t now)
 {
     uint32_t page;
 
     for (page = 0; page < PAGES; page++) {
-        ck_assert(add(queue, number, page, now));
+        ck_assert(add(queue, version, page, now));
     }
 }
 
@@ -94,30 +94,30 @@
     return allowance;
 }
 
-START_TEST(nothing_is_passed_on_before_all_pages_are_received)
+START_TEST(nothing_is_forwarded_before_all_pages_are_received)
 {
-    cw_pass_on_queue_t *queue = new_queue();
+    cw_forward_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = new_allowance(0);
 
     ck_assert(add(queue, 2, 0, 0));
     ck_assert(add(queue, 2, 2, 0));
     ck_assert(add(queue, 2, 2, 0)); /* repeated */
-    cw_pass_on_queue_send(queue, &allowance, CW_SECONDS(1));
+    cw_forward_queue_send(queue, &allowance, CW_SECONDS(1));
     ck_assert_uint_eq(sent_bytes, 0);
-    cw_pass_on_queue_free(queue);
+    cw_forward_queue_free(queue);
 }
 END_TEST
 
 START_TEST(each_node_gets_each_page_once_within_the_allowance)
 {
-    cw_pass_on_queue_t *queue = new_queue();
+    cw_forward_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = new_allowance(0);
     cw_time_us_t        now = 0;
     uint32_t            address;
 
     add_all(queue, 2, now);
-    while (cw_pass_on_queue_waiting(queue) > 0) {
-        cw_pass_on_queue_send(queue, &allowance, now);
+    while (cw_forward_queue_waiting(queue) > 0) {
+        cw_forward_queue_send(queue, &allowance, now);
         /* at most a burst above the rate, and the pages of one node that were begun within it */
         ck_assert_uint_le(sent_bytes, (uint64_t)(now * BYTES_PER_S / 1000000) + BYTES_PER_S / 5 + PAGES * PAGE_BYTES);
         now += CW_MS(20);
@@ -126,51 +126,51 @@
     for (address = 1; address <= NODES; address++) {
         ck_assert_uint_eq(pages_sent[address], PAGES);
     }
-    cw_pass_on_queue_free(queue);
+    cw_forward_queue_free(queue);
 }
 END_TEST
 
 START_TEST(a_node_gets_a_few_pages_in_a_turn_however_large_the_allowance_is)
 {
-    cw_pass_on_queue_t *queue = new_queue();
-    cw_send_allowance_t allowance = {.bytes = 1e9, .bytes_per_s = 1e9, .burst = CW_SECONDS(1)};
-    cw_datagram_batch_t pages = {0};
-    cw_pass_on_update_t update = update_of(2);
-    static uint8_t      bytes[PAGE_BYTES];
-    int                 page;
+    cw_forward_queue_t   *queue = new_queue();
+    cw_send_allowance_t   allowance = {.bytes = 1e9, .bytes_per_s = 1e9, .burst = CW_SECONDS(1)};
+    cw_datagram_batch_t   pages = {0};
+    cw_forwarded_update_t update = update_of(2);
+    static uint8_t        bytes[PAGE_BYTES];
+    int                   page;
 
     for (page = 0; page < PAGES; page++) {
         cw_datagram_batch_add(&pages, 2, bytes, sizeof(bytes));
     }
-    ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 3, 0));
-    ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 9, 0));
-    ck_assert(cw_pass_on_queue_add_receiver(queue, &update, &pages, 3, 0)); /* the node is being sent them already */
-    cw_pass_on_queue_send(queue, &allowance, 1);
-    ck_assert_uint_eq(pages_sent[3], CW_PASS_ON_PAGES_PER_TURN);
-    ck_assert_uint_eq(pages_sent[9], CW_PASS_ON_PAGES_PER_TURN);
-    cw_pass_on_queue_send(queue, &allowance, 2);
-    cw_pass_on_queue_send(queue, &allowance, 3);
+    ck_assert(cw_forward_queue_add_receiver(queue, &update, &pages, 3, 0));
+    ck_assert(cw_forward_queue_add_receiver(queue, &update, &pages, 9, 0));
+    ck_assert(cw_forward_queue_add_receiver(queue, &update, &pages, 3, 0)); /* the node is being sent them already */
+    cw_forward_queue_send(queue, &allowance, 1);
+    ck_assert_uint_eq(pages_sent[3], CW_FORWARD_PAGES_PER_TURN);
+    ck_assert_uint_eq(pages_sent[9], CW_FORWARD_PAGES_PER_TURN);
+    cw_forward_queue_send(queue, &allowance, 2);
+    cw_forward_queue_send(queue, &allowance, 3);
     ck_assert_uint_eq(pages_sent[3], PAGES);
     ck_assert_uint_eq(pages_sent[4], 0);
-    ck_assert_uint_eq(cw_pass_on_queue_waiting(queue), 0);
+    ck_assert_uint_eq(cw_forward_queue_waiting(queue), 0);
     cw_bytes_clear(&pages.bytes);
     free(pages.lengths);
-    cw_pass_on_queue_free(queue);
+    cw_forward_queue_free(queue);
 }
 END_TEST
 
 START_TEST(a_node_that_has_the_update_meanwhile_is_skipped)
 {
-    cw_pass_on_queue_t *queue = new_queue();
+    cw_forward_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = new_allowance(0);
 
     add_all(queue, 2, 0);
-    cw_pass_on_queue_send(queue, &allowance, CW_MS(20));
+    cw_forward_queue_send(queue, &allowance, CW_MS(20));
     memset(has_update, 1, sizeof(has_update)); /* the other relay has sent it */
-    cw_pass_on_queue_send(queue, &allowance, CW_SECONDS(1));
-    ck_assert_uint_eq(cw_pass_on_queue_waiting(queue), 0);
+    cw_forward_queue_send(queue, &allowance, CW_SECONDS(1));
+    ck_assert_uint_eq(cw_forward_queue_waiting(queue), 0);
     ck_assert_uint_lt(pages_sent[NODES], PAGES);
-    cw_pass_on_queue_free(queue);
+    cw_forward_queue_free(queue);
 }
 END_TEST
 
@@ -178,63 +178,63 @@
  * could get the update completely from the other relay first. */
 START_TEST(few_nodes_have_an_incomplete_update)
 {
-    cw_pass_on_queue_t *queue = new_queue();
+    cw_forward_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = {.bytes = 1e9, .bytes_per_s = 1e9, .burst = CW_SECONDS(1)};
     uint32_t            address;
     size_t              begun = 0;
 
     add_all(queue, 2, 0);
-    cw_pass_on_queue_send(queue, &allowance, 1);
+    cw_forward_queue_send(queue, &allowance, 1);
     for (address = 1; address <= NODES; address++) {
         begun += pages_sent[address] > 0 ? 1 : 0;
     }
-    ck_assert_uint_eq(begun, CW_PASS_ON_INCOMPLETE_MAX);
-    cw_pass_on_queue_free(queue);
+    ck_assert_uint_eq(begun, CW_FORWARD_INCOMPLETE_MAX);
+    cw_forward_queue_free(queue);
 }
 END_TEST
 
 START_TEST(a_short_update_is_sent_to_all_nodes_in_one_turn)
 {
-    cw_pass_on_queue_t *queue = new_queue();
-    cw_send_allowance_t allowance = {.bytes = 1e9, .bytes_per_s = 1e9, .burst = CW_SECONDS(1)};
-    cw_pass_on_update_t update = {.is_list = true, .term = 1, .base = 1, .number = 2, .pages = 1};
-    static uint8_t      bytes[PAGE_BYTES];
-    cw_datagram_batch_t packed = {0};
+    cw_forward_queue_t   *queue = new_queue();
+    cw_send_allowance_t   allowance = {.bytes = 1e9, .bytes_per_s = 1e9, .burst = CW_SECONDS(1)};
+    cw_forwarded_update_t update = {.is_list = true, .term = 1, .base = 1, .version = 2, .pages = 1};
+    static uint8_t        bytes[PAGE_BYTES];
+    cw_datagram_batch_t   packed = {0};
 
     cw_datagram_batch_add(&packed, 2, bytes, sizeof(bytes));
-    ck_assert(cw_pass_on_queue_add(queue, &update, 0, &packed, 0));
-    cw_pass_on_queue_send(queue, &allowance, 1);
+    ck_assert(cw_forward_queue_add(queue, &update, 0, &packed, 0));
+    cw_forward_queue_send(queue, &allowance, 1);
     ck_assert_uint_eq(sent_bytes, NODES * PAGE_BYTES);
-    ck_assert_uint_eq(cw_pass_on_queue_waiting(queue), 0);
+    ck_assert_uint_eq(cw_forward_queue_waiting(queue), 0);
     cw_bytes_clear(&packed.bytes);
     free(packed.lengths);
-    cw_pass_on_queue_free(queue);
+    cw_forward_queue_free(queue);
 }
 END_TEST
 
 START_TEST(an_update_that_waits_too_long_is_dropped)
 {
-    cw_pass_on_queue_t *queue = new_queue();
+    cw_forward_queue_t *queue = new_queue();
     cw_send_allowance_t allowance = new_allowance(0);
 
     ck_assert(add(queue, 2, 0, 0)); /* its other pages were lost */
-    cw_pass_on_queue_send(queue, &allowance, CW_MS(CW_PASS_ON_WAIT_MAX_MS) + 1);
-    ck_assert_uint_eq(cw_pass_on_queue_waiting(queue), 0);
-    cw_pass_on_queue_free(queue);
+    cw_forward_queue_send(queue, &allowance, CW_MS(CW_FORWARD_WAIT_MAX_MS) + 1);
+    ck_assert_uint_eq(cw_forward_queue_waiting(queue), 0);
+    cw_forward_queue_free(queue);
 }
 END_TEST
 
 START_TEST(the_number_of_waiting_updates_is_bounded)
 {
-    cw_pass_on_queue_t *queue = new_queue();
-    uint64_t            number;
+    cw_forward_queue_t *queue = new_queue();
+    uint64_t            version;
 
-    for (number = 2; number < 2 + CW_PASS_ON_UPDATES_MAX; number++) {
-        ck_assert(add(queue, number, 0, 0));
+    for (version = 2; version < 2 + CW_FORWARD_UPDATES_MAX; version++) {
+        ck_assert(add(queue, version, 0, 0));
     }
-    ck_assert(!add(queue, number, 0, 0));
+    ck_assert(!add(queue, version, 0, 0));
     ck_assert(!add(queue, 2, PAGES, 0)); /* no such page */
-    cw_pass_on_queue_free(queue);
+    cw_forward_queue_free(queue);
 }
 END_TEST
 
@@ -243,7 +243,7 @@
     Suite *suite = suite_create("pass_on_queue");
     TCase *cases = tcase_create("pass_on_queue");
 
-    tcase_add_test(cases, nothing_is_passed_on_before_all_pages_are_received);
+    tcase_add_test(cases, nothing_is_forwarded_before_all_pages_are_received);
     tcase_add_test(cases, each_node_gets_each_page_once_within_the_allowance);
     tcase_add_test(cases, a_node_gets_a_few_pages_in_a_turn_however_large_the_allowance_is);
     tcase_add_test(cases, a_node_that_has_the_update_meanwhile_is_skipped);
--- a/tests/test_push.c
+++ b/tests/test_push.c
@@ -82,7 +82,7 @@
         cw_router_push_tables(&node->router, cw_router_now(&node->router));
     }
     for (index = 0; index < TURNS; index++) { /* many pages are sent over several turns */
-        cw_router_pass_on_tick(&node->router, cw_router_now(&node->router));
+        cw_router_forward_tick(&node->router, cw_router_now(&node->router));
     }
     return bytes_of(node, kind) - before;
 }
--- a/tests/test_relay_summaries.c
+++ b/tests/test_relay_summaries.c
@@ -89,7 +89,7 @@
     return node;
 }
 
-START_TEST(a_summary_is_taken_and_passed_on)
+START_TEST(a_summary_is_applied_and_forwarded)
 {
     node_fixture_t *node = begin();
 
@@ -102,7 +102,7 @@
 }
 END_TEST
 
-START_TEST(summaries_that_arrived_during_a_stall_are_neither_taken_nor_passed_on)
+START_TEST(summaries_that_arrived_during_a_stall_are_neither_applied_nor_forwarded)
 {
     node_fixture_t *node = begin();
 
@@ -116,7 +116,7 @@
 }
 END_TEST
 
-START_TEST(after_a_stall_summaries_are_taken_again)
+START_TEST(after_a_stall_summaries_are_applied_again)
 {
     node_fixture_t *node = begin();
     int             ticks;
@@ -267,9 +267,9 @@
     Suite *suite = suite_create("relay summaries");
     TCase *cases = tcase_create("relay summaries");
 
-    tcase_add_test(cases, a_summary_is_taken_and_passed_on);
-    tcase_add_test(cases, summaries_that_arrived_during_a_stall_are_neither_taken_nor_passed_on);
-    tcase_add_test(cases, after_a_stall_summaries_are_taken_again);
+    tcase_add_test(cases, a_summary_is_applied_and_forwarded);
+    tcase_add_test(cases, summaries_that_arrived_during_a_stall_are_neither_applied_nor_forwarded);
+    tcase_add_test(cases, after_a_stall_summaries_are_applied_again);
     tcase_add_test(cases, a_delayed_detail_of_a_former_incarnation_changes_nothing);
     tcase_add_test(cases, an_incarnation_that_is_listed_for_long_is_the_present_one);
     tcase_add_test(cases, a_delayed_report_of_a_former_incarnation_changes_nothing);
--- a/tests/test_relays.c
+++ b/tests/test_relays.c
@@ -101,7 +101,7 @@
                                     .acknowledges = received[zone]};
 
         if (world->nodes[node].stopped_at == 0) {
-            (void)cw_zone_links_note(&world->nodes[node].links, &head, world->now);
+            (void)cw_zone_links_record(&world->nodes[node].links, &head, world->now);
         }
     }
 }
@@ -334,13 +334,13 @@
     cw_summary_header_t newer = {.zone = "z2", .relay = 5, .incarnation = 1, .sequence = 30, .acknowledges = false};
     cw_summary_header_t restarted = {.zone = "z2", .relay = 5, .incarnation = 2, .sequence = 1, .acknowledges = true};
 
-    ck_assert(cw_zone_links_note(&links, &newer, CW_SECONDS(10)));
-    ck_assert(!cw_zone_links_note(&links, &delayed, CW_SECONDS(11)));
+    ck_assert(cw_zone_links_record(&links, &newer, CW_SECONDS(10)));
+    ck_assert(!cw_zone_links_record(&links, &delayed, CW_SECONDS(11)));
     ck_assert(!cw_zone_links_is_covered(&links, "z2", CW_SECONDS(11)));
     ck_assert(!cw_zone_links_is_summarized(&links, "z2", CW_SECONDS(11)));
-    ck_assert(!cw_zone_links_note(&links, &newer,
-                                  CW_SECONDS(11))); /* the same summary, passed on by the other relay of this zone */
-    ck_assert(cw_zone_links_note(&links, &restarted, CW_SECONDS(12)));
+    ck_assert(!cw_zone_links_record(&links, &newer,
+                                    CW_SECONDS(11))); /* the same summary, passed on by the other relay of this zone */
+    ck_assert(cw_zone_links_record(&links, &restarted, CW_SECONDS(12)));
     ck_assert(cw_zone_links_is_covered(&links, "z2", CW_SECONDS(12)));
 }
 END_TEST
@@ -354,10 +354,10 @@
 
     for (index = 0; index < CW_ZONES_MAX; index++) {
         snprintf(zone, sizeof(zone), "z%d", index);
-        ck_assert(cw_zone_links_note(&links, &head, CW_SECONDS(1)));
+        ck_assert(cw_zone_links_record(&links, &head, CW_SECONDS(1)));
     }
     snprintf(zone, sizeof(zone), "more");
-    ck_assert(!cw_zone_links_note(&links, &head, CW_SECONDS(1)));
+    ck_assert(!cw_zone_links_record(&links, &head, CW_SECONDS(1)));
     ck_assert(!cw_zone_links_is_covered(&links, "more", CW_SECONDS(1)));
 }
 END_TEST
--- a/tests/test_router_quota.c
+++ b/tests/test_router_quota.c
@@ -109,7 +109,7 @@
 }
 END_TEST
 
-START_TEST(report_with_later_configuration_version_is_told_unknown_tenants)
+START_TEST(reply_to_report_with_later_configuration_version_names_unknown_tenants)
 {
     node_fixture_t           *node = create();
     cw_router_quota_t        *quota = node->router.quota;
@@ -200,9 +200,9 @@
     cw_fleet_size_init(&node->router.fleet_size, CW_SECONDS(10), cw_router_now(&node->router));
     cw_router_quota_tick(&node->router, cw_router_now(&node->router));
     ck_assert_uint_ge(node->router.quota->nodes, MANY_NODES);
-    cw_router_note_nodes(&node->router, 81);
+    cw_router_record_nodes(&node->router, 81);
     ck_assert_uint_eq(node->router.quota->nodes, 81);
-    cw_router_note_nodes(&node->router, 0);
+    cw_router_record_nodes(&node->router, 0);
     ck_assert_uint_eq(node->router.quota->nodes, 81);
     node_fixture_free(node);
 }
@@ -280,7 +280,7 @@
     tcase_add_test(cases, all_nodes_are_candidates_however_many);
     tcase_add_test(cases, status_names_the_counting_node_among_many);
     tcase_add_test(cases, ask_with_later_configuration_version_is_not_granted);
-    tcase_add_test(cases, report_with_later_configuration_version_is_told_unknown_tenants);
+    tcase_add_test(cases, reply_to_report_with_later_configuration_version_names_unknown_tenants);
     tcase_add_test(cases, node_that_would_ask_another_one_redirects_and_grants_nothing);
     tcase_add_test(cases, counting_node_goes_on_while_others_decline);
     tcase_add_test(cases, stated_number_of_nodes_is_applied_at_once);
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -186,7 +186,7 @@
     return sum;
 }
 
-START_TEST(the_whole_list_includes_all_servers_even_without_change_numbers)
+START_TEST(the_whole_list_includes_all_servers_even_without_versions_of_changes)
 {
     cw_server_list_t *at_follower = list_of(150, 0);
     cw_server_list_t *at_leader = list_of(150, 7);
@@ -202,10 +202,10 @@
 }
 END_TEST
 
-START_TEST(pages_and_records_are_ordered_by_term_and_number)
+START_TEST(pages_and_records_are_ordered_by_term_and_version)
 {
-    cw_page_position_t whole = {.term = 2, .number = 7, .pages = 1};
-    cw_page_position_t change = {.term = 2, .number = 7, .base = 5, .pages = 1};
+    cw_page_position_t whole = {.term = 2, .version = 7, .pages = 1};
+    cw_page_position_t change = {.term = 2, .version = 7, .base = 5, .pages = 1};
 
     ck_assert(cw_page_is_usable(&whole, 1, 90));
     ck_assert(cw_page_is_usable(&whole, 2, 6));
@@ -453,7 +453,7 @@
     ck_assert(cw_key_tables_update(&leader_tables, "docks", &list, 1));
     for (part = cw_table_page_count(list.count); part > 0; part--) {
         cw_table_page_fill(&page, &room, leader_tables.items[0].entries, leader_tables.items[0].count, part - 1);
-        cw_table_page_take(&received, &page);
+        cw_table_page_apply(&received, &page);
     }
     cw_key_tables_seal(&received);
     ck_assert_uint_eq(cw_key_tables_hash(&received), cw_key_tables_hash(&leader_tables));
@@ -475,20 +475,20 @@
  * the newest tables. */
 START_TEST(applying_changes_to_an_older_table_yields_the_newest)
 {
-    enum { NUMBERS = 120, FOLLOWERS = 4 };
+    enum { VERSIONS = 120, FOLLOWERS = 4 };
     static cw_table_page_room_t room;
     static cw_table_entry_t     changes[CW_KEY_LAST + 1];
     cw_range_list_t             list;
     cw_key_tables_t             leader_tables = {0};
     cw_key_tables_t             follower_tables[FOLLOWERS];
-    uint64_t                    number_of[FOLLOWERS] = {0};
+    uint64_t                    version_of[FOLLOWERS] = {0};
     uint64_t                    random = 12345;
-    uint64_t                    number;
+    uint64_t                    version;
     size_t                      follower;
 
     memset(follower_tables, 0, sizeof(follower_tables));
     fill_ranges(&list, 20);
-    for (number = 1; number <= NUMBERS; number++) {
+    for (version = 1; version <= VERSIONS; version++) {
         size_t index;
 
         random = random * 6364136223846793005ULL + 1442695040888963407ULL;
@@ -501,27 +501,27 @@
             (void)cw_range_list_cut(&list, index,
                                     list.items[index].low + (list.items[index].last - list.items[index].low) / 2 + 1);
         }
-        list.items[index].owner.fence = 1000 + number;
+        list.items[index].owner.fence = 1000 + version;
         snprintf(list.items[index].owner.id, sizeof(list.items[index].owner.id), "i-%d", (int)((random >> 20) % 9));
-        ck_assert(cw_key_tables_update(&leader_tables, "docks", &list, number));
-        ck_assert(!cw_key_tables_update(&leader_tables, "docks", &list, number + 1));
+        ck_assert(cw_key_tables_update(&leader_tables, "docks", &list, version));
+        ck_assert(!cw_key_tables_update(&leader_tables, "docks", &list, version + 1));
         for (follower = 0; follower < FOLLOWERS; follower++) {
             Cwp__TablePage  page = CWP__TABLE_PAGE__INIT;
             cw_key_tables_t partial = {0};
             size_t          count;
 
-            if ((random >> (10 + follower)) % (follower + 1) != 0 && number != NUMBERS) {
+            if ((random >> (10 + follower)) % (follower + 1) != 0 && version != VERSIONS) {
                 continue; /* this follower stays behind for now */
             }
-            count = cw_table_changes(&leader_tables.items[0], number_of[follower], changes, CW_KEY_LAST + 1);
-            ck_assert(number < 2 || number_of[follower] + 1 < number || count < 4);
+            count = cw_table_changes(&leader_tables.items[0], version_of[follower], changes, CW_KEY_LAST + 1);
+            ck_assert(version < 2 || version_of[follower] + 1 < version || count < 4);
             page.service = (char *)"docks";
             cw_table_page_fill(&page, &room, changes, count, 0);
-            cw_table_page_take(&partial, &page);
+            cw_table_page_apply(&partial, &page);
             cw_key_tables_seal(&partial);
             cw_key_tables_apply_changes(&follower_tables[follower], &partial);
             cw_key_tables_clear(&partial);
-            number_of[follower] = number;
+            version_of[follower] = version;
             ck_assert_uint_eq(cw_key_tables_hash(&follower_tables[follower]), cw_key_tables_hash(&leader_tables));
         }
     }
@@ -546,7 +546,7 @@
     cw_server_list_seal(list);
 }
 
-START_TEST(changes_of_the_list_are_found_by_number)
+START_TEST(changes_of_the_list_are_found_by_version)
 {
     static cw_list_history_t history;
     cw_server_list_t        *first = cw_server_list_create();
@@ -589,16 +589,16 @@
     static cw_list_history_t history;
     cw_server_list_t        *with = cw_server_list_create();
     cw_server_list_t        *without = cw_server_list_create();
-    uint64_t                 number;
+    uint64_t                 version;
 
     add_named(with, "a", false);
     cw_list_history_begin(&history, with, 1);
-    for (number = 2; number < 2 + 2 * (CW_REMOVED_MAX + 1); number += 2) {
-        cw_list_history_add(&history, with, without, number);
-        cw_list_history_add(&history, without, with, number + 1);
+    for (version = 2; version < 2 + 2 * (CW_REMOVED_MAX + 1); version += 2) {
+        cw_list_history_add(&history, with, without, version);
+        cw_list_history_add(&history, without, with, version + 1);
     }
     ck_assert(!cw_list_history_covers(&history, 1));
-    ck_assert(cw_list_history_covers(&history, number - 1));
+    ck_assert(cw_list_history_covers(&history, version - 1));
     cw_server_list_release(with);
     cw_server_list_release(without);
 }
@@ -622,8 +622,8 @@
     tcase_add_test(cases, spent_retries_count_for_a_whole_window);
     tcase_add_test(cases, the_near_server_first_then_the_far_one_then_none);
     tcase_add_test(cases, requests_of_other_nodes_take_slots_until_their_reports_expire);
-    tcase_add_test(cases, the_whole_list_includes_all_servers_even_without_change_numbers);
-    tcase_add_test(cases, pages_and_records_are_ordered_by_term_and_number);
+    tcase_add_test(cases, the_whole_list_includes_all_servers_even_without_versions_of_changes);
+    tcase_add_test(cases, pages_and_records_are_ordered_by_term_and_version);
     tcase_add_test(cases, requests_waiting_at_other_nodes_are_known_until_the_reports_expire);
     tcase_add_test(cases, a_zone_sum_covers_only_the_nodes_and_servers_of_its_filter);
     tcase_add_test(cases, an_unreachable_server_is_skipped_for_a_while);
@@ -635,7 +635,7 @@
     tcase_add_test(cases, a_removed_server_is_freed_after_its_last_request);
     tcase_add_test(cases, a_table_of_many_ranges_arrives_whole_in_any_order_of_pages);
     tcase_add_test(cases, applying_changes_to_an_older_table_yields_the_newest);
-    tcase_add_test(cases, changes_of_the_list_are_found_by_number);
+    tcase_add_test(cases, changes_of_the_list_are_found_by_version);
     tcase_add_test(cases, a_list_older_than_the_history_cannot_be_updated_by_changes);
     tcase_add_test(cases, an_empty_table_takes_one_page);
     suite_add_tcase(suite, cases);
--- a/tests/test_signal_notices.c
+++ b/tests/test_signal_notices.c
@@ -25,7 +25,7 @@
     cw_signal_notices_t *notices = cw_signal_notices_create();
     uint32_t             servers[CW_SIGNAL_NOTICES_MAX];
 
-    cw_signal_notices_note(notices, 7, CW_LIMIT_BEGUN, start);
+    cw_signal_notices_record_limit(notices, 7, CW_LIMIT_BEGUN, start);
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), 1);
     ck_assert_uint_eq(servers[0], 7);
     ck_assert_uint_eq(sent_until(notices, start, start + CW_SECONDS(2)), 2);
@@ -39,11 +39,11 @@
     size_t               sent = 0;
     int                  round;
 
-    cw_signal_notices_note(notices, 7, CW_LIMIT_BEGUN, start);
+    cw_signal_notices_record_limit(notices, 7, CW_LIMIT_BEGUN, start);
     for (round = 0; round < 1000; round++) { /* a hundred answers a second */
         cw_time_us_t now = start + round * CW_MS(10);
 
-        cw_signal_notices_note(notices, 7, CW_LIMIT_UNCHANGED, now);
+        cw_signal_notices_record_limit(notices, 7, CW_LIMIT_UNCHANGED, now);
         sent += sent_until(notices, now, now + CW_MS(10));
     }
     ck_assert_uint_eq(sent, 4 * 3); /* at 0, 3, 6 and 9 s */
@@ -60,7 +60,7 @@
     for (round = 0; round < 1000; round++) {
         cw_time_us_t now = start + round * CW_MS(10);
 
-        cw_signal_notices_note(notices, 7, CW_LIMIT_CHANGED, now);
+        cw_signal_notices_record_limit(notices, 7, CW_LIMIT_CHANGED, now);
         sent += sent_until(notices, now, now + CW_MS(10));
     }
     ck_assert_uint_le(sent, 3 * 20);
@@ -73,8 +73,8 @@
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
 
-    cw_signal_notices_note_received(notices, 7, start);
-    cw_signal_notices_note(notices, 7, CW_LIMIT_ENDED, start + CW_MS(10)); /* no further answer will state it */
+    cw_signal_notices_record_received(notices, 7, start);
+    cw_signal_notices_record_limit(notices, 7, CW_LIMIT_ENDED, start + CW_MS(10)); /* no further answer will state it */
     ck_assert_uint_eq(sent_until(notices, start, start + CW_MS(400)), 0);
     ck_assert_uint_eq(sent_until(notices, start + CW_MS(400), start + CW_SECONDS(2)), 3);
     cw_signal_notices_free(notices);
@@ -85,10 +85,11 @@
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
 
-    cw_signal_notices_note_received(notices, 7, start);
-    cw_signal_notices_note(notices, 7, CW_LIMIT_UNCHANGED, start + CW_MS(10));
+    cw_signal_notices_record_received(notices, 7, start);
+    cw_signal_notices_record_limit(notices, 7, CW_LIMIT_UNCHANGED, start + CW_MS(10));
     ck_assert_uint_eq(sent_until(notices, start, start + CW_SECONDS(1)), 0);
-    cw_signal_notices_note(notices, 7, CW_LIMIT_UNCHANGED, start + CW_SECONDS(3)); /* no node has sent one for long */
+    cw_signal_notices_record_limit(notices, 7, CW_LIMIT_UNCHANGED,
+                                   start + CW_SECONDS(3)); /* no node has sent one for long */
     ck_assert_uint_eq(sent_until(notices, start + CW_SECONDS(3), start + CW_SECONDS(4)), 3);
     cw_signal_notices_free(notices);
 }
@@ -101,7 +102,7 @@
     uint32_t             server;
 
     for (server = 1; server <= 2 * CW_SIGNAL_NOTICES_MAX; server++) {
-        cw_signal_notices_note(notices, server, CW_LIMIT_BEGUN, start);
+        cw_signal_notices_record_limit(notices, server, CW_LIMIT_BEGUN, start);
     }
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), CW_SIGNAL_NOTICES_MAX);
     ck_assert_uint_eq(cw_signal_notices_due(notices, servers, start), 0); /* one datagram at a time */
@@ -115,7 +116,7 @@
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
 
-    cw_signal_notices_note_leave(notices, 7, start);
+    cw_signal_notices_record_leave(notices, 7, start);
     ck_assert_uint_eq(sent_until(notices, start, start + CW_SECONDS(2)), 3);
     ck_assert_uint_eq(sent_until(notices, start + CW_SECONDS(2), start + CW_SECONDS(14)), 4); /* at 3, 6, 9 and 12 s */
     cw_signal_notices_end_leave(notices, 7);
@@ -130,7 +131,7 @@
     uint32_t             server;
 
     for (server = 1; server <= 1000; server++) {
-        cw_signal_notices_note_received(notices, server, start);
+        cw_signal_notices_record_received(notices, server, start);
     }
     (void)sent_until(notices, start, start + CW_SECONDS(11));
     ck_assert_uint_eq(cw_signal_notices_servers(notices), 0);
@@ -142,9 +143,9 @@
 {
     cw_signal_notices_t *notices = cw_signal_notices_create();
 
-    cw_signal_notices_note(notices, 7, CW_LIMIT_BEGUN, start);
+    cw_signal_notices_record_limit(notices, 7, CW_LIMIT_BEGUN, start);
     (void)sent_until(notices, start, start + CW_SECONDS(2));
-    cw_signal_notices_note(notices, 8, CW_LIMIT_BEGUN, start + CW_SECONDS(20));
+    cw_signal_notices_record_limit(notices, 8, CW_LIMIT_BEGUN, start + CW_SECONDS(20));
     (void)sent_until(notices, start + CW_SECONDS(20), start + CW_SECONDS(21));
     ck_assert_uint_eq(cw_signal_notices_servers(notices), 1);
     cw_signal_notices_free(notices);
--- a/tests/test_table_publication.c
+++ b/tests/test_table_publication.c
@@ -8,28 +8,28 @@
 
 enum { NODES = 200, DATAGRAMS_PER_SECOND = 1000, SERVERS = 6 };
 
-START_TEST(the_first_change_is_published_at_once_and_the_next_after_a_pause)
+START_TEST(the_first_change_is_published_at_once_and_the_next_after_an_interval)
 {
     cw_table_publication_t publication = {0};
     cw_time_us_t           now = CW_SECONDS(10);
 
     ck_assert(!cw_table_publication_is_due(&publication, NODES, DATAGRAMS_PER_SECOND, now));
-    cw_table_publication_note_change(&publication, now);
+    cw_table_publication_record_change(&publication, now);
     ck_assert(cw_table_publication_is_due(&publication, NODES, DATAGRAMS_PER_SECOND, now));
     cw_table_publication_done(&publication, now);
-    cw_table_publication_note_change(&publication, now + 1);
-    cw_table_publication_note_change(&publication, now + CW_MS(50));
+    cw_table_publication_record_change(&publication, now + 1);
+    cw_table_publication_record_change(&publication, now + CW_MS(50));
     ck_assert_int_eq(publication.changed_at, now + 1); /* the published tables are outdated from the first change on */
     ck_assert(!cw_table_publication_is_due(&publication, NODES, DATAGRAMS_PER_SECOND, now + CW_MS(199)));
     ck_assert(cw_table_publication_is_due(&publication, NODES, DATAGRAMS_PER_SECOND, now + CW_MS(200)));
 }
 END_TEST
 
-START_TEST(the_pause_is_the_time_that_sending_to_all_nodes_takes)
+START_TEST(the_interval_is_the_time_that_sending_to_all_nodes_takes)
 {
     cw_table_publication_t publication = {.published_at = CW_SECONDS(10)};
 
-    cw_table_publication_note_change(&publication, CW_SECONDS(10));
+    cw_table_publication_record_change(&publication, CW_SECONDS(10));
     ck_assert(cw_table_publication_is_due(&publication, 2, DATAGRAMS_PER_SECOND, CW_SECONDS(10) + CW_MS(2)));
 }
 END_TEST
@@ -59,7 +59,7 @@
     node_fixture_lead(node);
     tables = router->leader_tables_version;
     cw_table_publication_done(&router->table_publication, cw_router_now(router));
-    cw_table_publication_note_change(&router->table_publication, cw_router_now(router));
+    cw_table_publication_record_change(&router->table_publication, cw_router_now(router));
     router->loop.time += 70;
     datagram = heartbeat_of(node, packed);
     heartbeat = datagram->report->leader;
@@ -76,8 +76,8 @@
     Suite *suite = suite_create("table_publication");
     TCase *cases = tcase_create("table_publication");
 
-    tcase_add_test(cases, the_first_change_is_published_at_once_and_the_next_after_a_pause);
-    tcase_add_test(cases, the_pause_is_the_time_that_sending_to_all_nodes_takes);
+    tcase_add_test(cases, the_first_change_is_published_at_once_and_the_next_after_an_interval);
+    tcase_add_test(cases, the_interval_is_the_time_that_sending_to_all_nodes_takes);
     tcase_add_test(cases, while_a_change_is_pending_the_heartbeat_dates_the_last_tables_before_it);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_view_updates.c
+++ b/tests/test_view_updates.c
@@ -12,8 +12,8 @@
 
 enum { PAGES = 6 };
 
-static cw_list_update_t *take(cw_view_updates_t *updates, uint64_t base, uint64_t number, uint32_t page,
-                              cw_time_us_t now)
+static cw_list_update_t *add_page(cw_view_updates_t *updates, uint64_t base, uint64_t version, uint32_t page,
+                                  cw_time_us_t now)
 {
     char             id[32];
     char             removed[32];
@@ -28,9 +28,9 @@
     server.service = "carts";
     server.address = "10.0.0.1:80";
     server.zone = "z1";
-    server.capacity = (uint32_t)number;
+    server.capacity = (uint32_t)version;
     message.term = 1;
-    message.number = number;
+    message.number = version;
     message.since = base;
     message.page = page;
     message.pages = PAGES;
@@ -38,7 +38,7 @@
     message.n_servers = 1;
     message.removed = removals;
     message.n_removed = page == 0 && base != 0 ? 1 : 0;
-    return cw_view_updates_take_list(updates, &message, now);
+    return cw_view_updates_add_list_page(updates, &message, now);
 }
 
 static cw_server_list_t *known_list(void)
@@ -62,9 +62,9 @@
     uint32_t           page;
 
     for (page = 0; page < PAGES; page++) {
-        ck_assert_ptr_nonnull(take(updates, 0, 9, page, page));
-        ck_assert_ptr_nonnull(take(updates, 4, 9, PAGES - 1 - page, page));
-        last = take(updates, 5, 9, page, page);
+        ck_assert_ptr_nonnull(add_page(updates, 0, 9, page, page));
+        ck_assert_ptr_nonnull(add_page(updates, 4, 9, PAGES - 1 - page, page));
+        last = add_page(updates, 5, 9, page, page);
         ck_assert_int_eq(cw_view_assembly_is_whole(&last->assembly), page == PAGES - 1);
     }
     list = cw_list_update_finish(last, NULL);
@@ -83,7 +83,7 @@
     uint32_t           page;
 
     for (page = PAGES; page > 0; page--) {
-        last = take(updates, 8, 9, page - 1, page); /* the page with the removals arrives last */
+        last = add_page(updates, 8, 9, page - 1, page); /* the page with the removals arrives last */
     }
     list = cw_list_update_finish(last, known);
     ck_assert_uint_eq(list->count, PAGES + 1);
@@ -99,11 +99,11 @@
 START_TEST(a_repeated_or_invalid_page_is_ignored)
 {
     cw_view_updates_t *updates = cw_view_updates_create();
-    cw_list_update_t  *list = take(updates, 0, 9, 0, 0);
+    cw_list_update_t  *list = add_page(updates, 0, 9, 0, 0);
 
     ck_assert_uint_eq(cw_view_assembly_first_missing(&list->assembly), 1);
-    ck_assert_ptr_null(take(updates, 0, 9, 0, 1));
-    ck_assert_ptr_null(take(updates, 0, 9, PAGES, 1)); /* no such page */
+    ck_assert_ptr_null(add_page(updates, 0, 9, 0, 1));
+    ck_assert_ptr_null(add_page(updates, 0, 9, PAGES, 1)); /* no such page */
     cw_view_updates_free(updates);
 }
 END_TEST
@@ -114,12 +114,12 @@
     uint64_t           base;
 
     for (base = 1; base <= CW_VIEW_ASSEMBLIES_MAX; base++) {
-        ck_assert_ptr_nonnull(take(updates, base, 9, 0, CW_MS((int64_t)base)));
+        ck_assert_ptr_nonnull(add_page(updates, base, 9, 0, CW_MS((int64_t)base)));
     }
-    ck_assert_ptr_nonnull(take(updates, 1, 9, 1, CW_MS(100))); /* the oldest update receives a further page */
-    ck_assert_ptr_nonnull(take(updates, base, 9, 0, CW_MS(200)));
-    ck_assert_ptr_null(take(updates, 1, 9, 0, CW_MS(300)));    /* has been kept */
-    ck_assert_ptr_nonnull(take(updates, 2, 9, 0, CW_MS(300))); /* was replaced and starts over */
+    ck_assert_ptr_nonnull(add_page(updates, 1, 9, 1, CW_MS(100))); /* the oldest update receives a further page */
+    ck_assert_ptr_nonnull(add_page(updates, base, 9, 0, CW_MS(200)));
+    ck_assert_ptr_null(add_page(updates, 1, 9, 0, CW_MS(300)));    /* has been kept */
+    ck_assert_ptr_nonnull(add_page(updates, 2, 9, 0, CW_MS(300))); /* was replaced and starts over */
     cw_view_updates_free(updates);
 }
 END_TEST
