--- a/src/router/adapter.h
+++ b/src/router/adapter.h
@@ -13,7 +13,8 @@
 #include "proxy/engine.h"
 #include "store/store.h"
 
-/** Called once with the outcome of an order. handover: what the former owner of the keys handed over; NULL: nothing. */
+/** Called once with the outcome of an order. handover: the state that the former owner of the keys handed over; NULL:
+ * none. */
 typedef void (*cw_order_done_t)(void *context, uint64_t order, cw_order_result_t result, const char *handover);
 
 /** Result of reading the accepted configuration. */
@@ -21,12 +22,13 @@
     cw_store_result_t   result;
     uint64_t            revision;      /**< of the object in the store */
     cw_configuration_t *configuration; /**< reference passes to the callee; NULL: there is none, or it is unreadable */
-    const char         *problem;       /**< why it is unreadable, and where; NULL: it is not, or there is none */
+    const char *problem; /**< why the configuration is unreadable, and where; NULL: it is readable, or there is none */
 } cw_accepted_t;
 
+/** Called once with the result of read_accepted. */
 typedef void (*cw_accepted_read_t)(void *context, const cw_accepted_t *accepted);
 
-/** Functions of an adapter. `adapter`: what create() returned. */
+/** Functions of an adapter. `adapter`: the state that create() returned. */
 typedef struct cw_adapter {
     /** Names of the header fields of requests and answers. */
     const cw_header_names_t *header_names;
--- a/src/router/configuration_exchange.c
+++ b/src/router/configuration_exchange.c
@@ -10,13 +10,14 @@
 #include "base/send_allowance.h"
 
 enum {
-    KEPT_VERSIONS = 8,      /* changes are sent against these; under frequent changes about four a second come */
+    KEPT_VERSIONS = 8, /* changes are sent relative to these; frequent changes produce about four versions a second */
     SAME_ZONE_WAIT_MS = 80, /* two ticks and a datagram's delay: mostly enough to find a node of the same zone */
     RETRY_MS = 150,         /* delay of a page and of a busy small machine; a lost datagram costs this much time */
     REDIRECT_MS = 40,       /* two ticks, in which the last pages reach the node that was named */
     WINDOW_PAGES = 8,       /* pages of one request: about 32 KB, a small part of a socket's buffer */
     BURST_MS = 200,         /* part of the allowance that may be sent at once */
-    TRANSFERS_MAX = 4,      /* at a time: these end soon and their receivers serve others; many would all end late */
+    /* Simultaneous transfers: a few end soon and their receivers serve others; many would all end late. */
+    TRANSFERS_MAX = 4,
     TRANSFER_IDLE_MS = 2 * RETRY_MS, /* a node that sends no request for so long has left, or asks another node */
     SERVED_MAX = 16 /* kept addresses of nodes that received the version from this one; each can serve as many */
 };
@@ -31,10 +32,10 @@
     cw_configuration_exchange_owner_t owner;
     cw_configuration_t *kept_versions[KEPT_VERSIONS]; /**< newest first; the first one is in force; NULL: none */
     cw_configuration_assembly_t assembly;
-    uint64_t                    newest;            /**< highest version that another node has */
-    uint32_t                    holder;            /**< a node that has it, which is asked for it */
-    uint32_t                    next_holder;       /**< another node that has it, in another zone; 0: none */
-    bool                        is_same_zone;      /**< `holder` is in this node's zone */
+    uint64_t                    newest;       /**< highest version that another node has */
+    uint32_t                    holder;       /**< a node that has the newest version and is asked for it */
+    uint32_t                    next_holder;  /**< another node that has the newest version, in another zone; 0: none */
+    bool                        is_same_zone; /**< `holder` is in this node's zone */
     bool                        is_awaiting_reply; /**< `holder` was asked and has sent nothing since */
     uint32_t                    window_end;        /**< pages below this one have been requested */
     cw_time_us_t                received_at;       /**< when a missing page was last received; 0: never */
--- a/src/router/configuration_exchange.h
+++ b/src/router/configuration_exchange.h
@@ -7,12 +7,12 @@
  *    in its own zone, otherwise after a short delay in which one of its own zone may be found. It repeats the request
  *    until the version is in force, each time to the node that it learned of last.
  *  - The reply contains what changed since the version that the requesting node has, if the replying node still keeps
- *    that one; otherwise the whole configuration. It is sent in windows of a few pages. The requesting node requests
- *    the next window when it has received one, and pages that are missing after a pause. It continues with the same
- *    version while newer ones appear.
- *  - So the store is loaded only by the reads of its few readers, whatever the size of a change. Each node sends on
- *    what it has, and the number of nodes that have a version doubles with each transfer. A node sends no more than
- *    its allowance, a part of its link. Beyond that its reply names a node that has received the version from it,
+ *    that version; otherwise the whole configuration. The reply is sent in windows of a few pages. The requesting node
+ *    requests the next window when it has received one, and requests missing pages again after a retry interval. It
+ *    continues with the same version while newer ones appear.
+ *  - So the store is loaded only by the reads of its few readers, whatever the size of a change. Each node forwards the
+ *    version that it has, and the number of nodes that have a version doubles with each transfer. A node sends no more
+ *    than its allowance, a part of its link. Beyond that its reply names a node that has received the version from it,
  *    each of them in turn.
  *  - A received version is only offered to the owner, who decides whether it comes into force (never a lower one).
  *
--- a/src/router/configuration_freshness.c
+++ b/src/router/configuration_freshness.c
@@ -9,7 +9,7 @@
 enum {
     IDLE_WATCH_WAIT_S = 25, /* the store holds a call for 30 s at most; a longer wait saves calls */
     CHECK_PERCENT = 30,     /* wait of a check: one node makes about two calls a second if a change may take 2 s */
-    READER_PERCENT = 55,    /* usual age at a follower: wait and slack of a check (50) and a heartbeat's delay */
+    READER_PERCENT = 55,    /* usual age at a follower: wait and slack of a check (50 %) and a heartbeat's delay */
     FOLLOWER_PERCENT = 70   /* tolerates a lost heartbeat; a read and its answer from a slow store still come in time */
 };
 
--- a/src/router/configuration_freshness.h
+++ b/src/router/configuration_freshness.h
@@ -3,12 +3,12 @@
  * @brief Evidence that the configuration in force at a node is the newest one, and when the node checks it itself.
  *
  * Rules:
- *  - A piece of evidence states that no configuration above version V had been acknowledged by the store at time T.
- *    It comes from a response of the store to this node's own call, or from another node that has such evidence and
- *    sends its age.
+ *  - A piece of evidence states that no configuration above version V had been acknowledged by the store at time T. It
+ *    comes from a response of the store to this node's own call, or from another node that has such evidence and sends
+ *    its age.
  *  - Evidence counts as soon as a version at least as high as V is in force here. `complete_at` is the latest T that
- *    counts: all that was acknowledged before it is in force.
- *  - It is no evidence that another node is alive, that it leads or reads, or that the store answers other calls.
+ *    counts: every version that the store acknowledged before that time is in force.
+ *  - Evidence does not prove that another node is alive, that it leads or reads, or that the store answers other calls.
  *  - A node asks the store when its evidence grows old. The leader (or the readers, while there is no leader) asks
  *    continuously with short watches, a zone's reader when its evidence is older than usual, and any other node a
  *    little later.
@@ -26,16 +26,17 @@
 
 /** The part that a node has in distributing the configuration. */
 typedef enum cw_configuration_role {
-    CW_CONFIGURATION_FOLLOWER, /**< receives it from other nodes */
-    CW_CONFIGURATION_READER,   /**< watches it for its zone while the leader checks it */
-    CW_CONFIGURATION_CHECKER   /**< checks it continuously: the leader, or the readers while there is no leader */
+    CW_CONFIGURATION_FOLLOWER, /**< receives the configuration from other nodes */
+    CW_CONFIGURATION_READER,   /**< watches the configuration for its zone while the leader checks it */
+    CW_CONFIGURATION_CHECKER   /**< checks the configuration continuously: the leader, or the readers while there is no
+                                  leader */
 } cw_configuration_role_t;
 
 /** The version in force at a node, and the evidence for it. */
 typedef struct cw_configuration_freshness {
     cw_time_us_t within;          /**< time within which a change has to be in force */
     uint64_t     version;         /**< version in force; 0: none */
-    cw_time_us_t complete_at;     /**< what was acknowledged before this time is in force; 0: unknown */
+    cw_time_us_t complete_at;     /**< every version acknowledged before this time is in force; 0: unknown */
     uint64_t     pending_version; /**< version of evidence that does not count yet, since it is not in force */
     cw_time_us_t pending_at;      /**< time of that evidence */
 } cw_configuration_freshness_t;
--- a/src/router/fleet_size.c
+++ b/src/router/fleet_size.c
@@ -1,6 +1,6 @@
 /**
  * @file fleet_size.c
- * @brief The stated number of nodes, and when this process's own count replaces it.
+ * @brief The announced number of nodes, and when this process's own count replaces it.
  */
 #include "router/fleet_size.h"
 
@@ -27,32 +27,32 @@
     return stated > counted ? stated : counted;
 }
 
-/* Updates the number that this node states: it rises at once and falls by at most half at a time. */
-static void update_own_stated(cw_fleet_size_t *fleet, uint32_t nodes, cw_time_us_t now)
+/* Updates the number that this node announces: it rises at once and falls by at most half at a time. */
+static void update_own_announced(cw_fleet_size_t *fleet, uint32_t nodes, cw_time_us_t now)
 {
-    if (nodes < fleet->own_stated) {
+    if (nodes < fleet->own_announced) {
         if (now < fleet->may_fall_at) {
             return;
         }
-        nodes = nodes > fleet->own_stated / 2 ? nodes : fleet->own_stated / 2;
+        nodes = nodes > fleet->own_announced / 2 ? nodes : fleet->own_announced / 2;
     }
-    fleet->own_stated = nodes;
+    fleet->own_announced = nodes;
     fleet->may_fall_at = now + CW_MS(CW_FLEET_HALVING_MS);
 }
 
-uint32_t cw_fleet_size_to_state(cw_fleet_size_t *fleet, uint32_t counted, cw_time_us_t now)
+uint32_t cw_fleet_size_to_announce(cw_fleet_size_t *fleet, uint32_t counted, cw_time_us_t now)
 {
     if (fleet->stated == 0 && now < fleet->count_reliable_at) {
         return 0;
     }
-    update_own_stated(fleet, cw_fleet_size_nodes(fleet, counted, now), now);
-    return fleet->own_stated;
+    update_own_announced(fleet, cw_fleet_size_nodes(fleet, counted, now), now);
+    return fleet->own_announced;
 }
 
-bool cw_fleet_size_is_reached(const cw_fleet_size_t *fleet, uint32_t in_reach, cw_time_us_t now)
+bool cw_fleet_size_is_reached(const cw_fleet_size_t *fleet, uint32_t reachable, cw_time_us_t now)
 {
     if (now - fleet->started_at >= CW_MS(CW_FLEET_DISCOVERY_MS)) {
         return true;
     }
-    return fleet->stated > 0 && (uint64_t)in_reach * 100 >= (uint64_t)fleet->stated * CW_FLEET_REACHED_PERCENT;
+    return fleet->stated > 0 && (uint64_t)reachable * 100 >= (uint64_t)fleet->stated * CW_FLEET_REACHED_PERCENT;
 }
--- a/src/router/key_tables.h
+++ b/src/router/key_tables.h
@@ -2,9 +2,9 @@
  * @file key_tables.h
  * @brief Tables of keys as nodes send them to each other: the key ranges of each service and the hash of their owners.
  *
- * The leader builds the tables from its assignments and keeps the number in which each entry changed last, so that it
- * can send a node only what changed since the tables that the node has. Applying the entries that changed after number
- * n to tables of number n or later yields the newest ones, since unchanged entries are in both.
+ * The leader builds the tables from its assignments and keeps the version in which each entry changed last, so that it
+ * can send a node only what changed since the tables that the node has. Applying the entries that changed after version
+ * n to tables of version n or later yields the newest ones, since unchanged entries are in both.
  */
 #ifndef CEDARWINCH_ROUTER_KEY_TABLES_H
 #define CEDARWINCH_ROUTER_KEY_TABLES_H
@@ -24,7 +24,7 @@
     uint32_t server;     /**< hash of the owner's id (cw_name_hash) */
     uint64_t fence;      /**< fencing number of the owner */
     bool     routable;   /**< the owner holds the keys now */
-    uint64_t changed_in; /**< number of the tables in which it changed last; 0 at nodes that do not lead */
+    uint64_t changed_in; /**< version of the tables in which the entry changed last; 0 at nodes that do not lead */
 } cw_table_entry_t;
 
 /** The table of one service. */
@@ -50,7 +50,7 @@
 void cw_key_table_add(cw_key_table_t *table, const cw_table_entry_t *entries, size_t count);
 /** Sorts the entries of all tables by key. */
 void cw_key_tables_seal(cw_key_tables_t *tables);
-/** Replaces a service's table by its assignments; entries that differ are marked with `number`. Returns true if any
+/** Replaces a service's table by its assignments; entries that differ are marked with `version`. Returns true if any
  * does. */
 bool cw_key_tables_update(cw_key_tables_t *tables, const char *service, const cw_range_list_t *ranges,
                           uint64_t version);
--- a/src/router/leader_tenure.c
+++ b/src/router/leader_tenure.c
@@ -25,9 +25,9 @@
     return capability >= CW_LEADER_RIVAL_FACTOR * own;
 }
 
-void cw_leader_tenure_record_rival(cw_leader_tenure_t *tenure, bool in_reach, cw_time_us_t now)
+void cw_leader_tenure_record_rival(cw_leader_tenure_t *tenure, bool is_reachable, cw_time_us_t now)
 {
-    if (!in_reach) {
+    if (!is_reachable) {
         tenure->rival_since = 0;
     } else if (tenure->rival_since == 0) {
         tenure->rival_since = now;
--- a/src/router/list_exchange.c
+++ b/src/router/list_exchange.c
@@ -10,11 +10,12 @@
 
 enum {
     RETRY_MS = 300,       /* a window takes 0.1 s if the sending node serves one node at a time, and 0.3 s with three */
-    SLOW_RETRY_MS = 2000, /* the leader sends the list after WHOLE_WAIT_MS and WHOLE_WAIT_NODE_MS (router_push.c) */
+    SLOW_RETRY_MS = 2000, /* the leader sends the list after WHOLE_WAIT_MS and WHOLE_WAIT_PER_NODE_MS (router_push.c) */
     UNANSWERED_MAX = 2,   /* nodes asked one after the other before the slow retry */
     REDIRECT_MS = 20,     /* the named node may not have received the last page itself yet */
-    HEARTBEAT_TIMEOUT_MS = 1000, /* three intervals of the leader's heartbeats, LEADER_PAUSE_MS each */
-    HOLDERS_MAX = 64,            /* nodes of the zone known to have a list: more than are asked during one transfer */
+    /* Three intervals of the leader's heartbeats, IDLE_INTERVAL_MS each (router_peers.c). */
+    HEARTBEAT_TIMEOUT_MS = 1000,
+    HOLDERS_MAX = 64,   /* nodes of the zone known to have a list: more than are asked during one transfer */
     TRANSFERS_MAX = 10, /* simultaneous transfers: as many as small links fit into this node's link, so that each
                          * ends soon and its receiver serves others */
     TRANSFER_BYTES_PER_S = 800000, /* a third of 20 Mbit/s */
@@ -48,14 +49,15 @@
     cw_list_exchange_owner_t owner;
 
     /* requests */
-    cw_list_id_t wanted;    /**< newest list that the leader named; number 0: none */
+    cw_list_id_t wanted;    /**< newest list that the leader named; version 0: none */
     cw_time_us_t wanted_at; /**< last heartbeat that named a list */
-    cw_list_id_t target; /**< the list being requested: the wanted one, or an earlier one of its term; number 0: none */
-    cw_list_id_t rejected;         /**< it was received whole, but has not come into force */
+    /** The list being requested: the wanted one, or an earlier one of its term; version 0: none. */
+    cw_list_id_t target;
+    cw_list_id_t rejected;         /**< list that was received whole, but has not come into force */
     uint32_t     missing;          /**< first page of the target that has not been received */
     uint32_t     window_end;       /**< pages below this one have been requested */
     uint32_t     unanswered;       /**< requests since the last page was received */
-    cw_time_us_t next_request_at;  /**< no request is sent before */
+    cw_time_us_t next_request_at;  /**< no request is sent before this time */
     uint32_t     redirect_address; /**< node that a redirect named; 0: holders are asked in rotation */
     uint32_t     round_robin;      /**< rotation through the holders */
     uint32_t     last_asked;       /**< node to which the last request was sent */
@@ -324,7 +326,8 @@
     exchange->waiting_count = kept;
 }
 
-/* Keeps a request until a transfer ends. It is dropped if it is too old then: its node has asked another one. */
+/* Keeps a request until a transfer ends. A request that is too old by that time is dropped, since its sender has asked
+ * another node. */
 static void enqueue_waiting(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
                             cw_time_us_t now)
 {
--- a/src/router/list_exchange.h
+++ b/src/router/list_exchange.h
@@ -3,16 +3,16 @@
  * @brief How nodes of a zone get the whole list of servers from each other.
  *
  * Rules:
- *  - A node requests the list that the leader's heartbeat names if it has another one, and none of the leader's term
- *    to which changes could be applied. It asks a node of its zone that has reported that list. If no page arrives
- *    within a pause, it asks the next node for the pages that are missing. After two such nodes it asks rarely, since
- *    the leader sends the list by then.
- *  - It sends requests only while heartbeats arrive: a zone that is cut off from the leader requests nothing.
- *  - A transfer continues with its list number while newer lists appear. The changes since then are few and are
- *    applied afterwards.
- *  - The number of nodes that have the list doubles with each transfer. A node serves as many nodes at a time as
- *    small links fit into its own link, so that these soon serve others. It sends no more than its allowance, a part
- *    of its link. Further requests wait, and their nodes are told of a node that has already been served.
+ *  - A node requests the list that the leader's heartbeat names if it has another one, and none of the leader's term to
+ *    which changes could be applied. It asks a node of its zone that has reported that list. If no page arrives within
+ *    a timeout, it asks the next node for the pages that are missing. After two such nodes it sends requests rarely,
+ *    since the leader then sends the list itself.
+ *  - A node sends requests only while heartbeats arrive: a zone that is cut off from the leader requests nothing.
+ *  - A transfer continues with its version of the list while newer versions appear. The changes since then are few and
+ *    are applied afterwards.
+ *  - The number of nodes that have the list doubles with each transfer. A node serves as many nodes at a time as small
+ *    links fit into its own link, so that these soon serve others. It sends no more than its allowance, a part of its
+ *    link. Further requests wait, and their senders receive a redirect to a node that has already been served.
  *  - A received list is offered to the owner, who decides by the store's revision whether it replaces the list in
  *    force.
  *
@@ -34,7 +34,7 @@
 /** Requests and replies of one node. */
 typedef struct cw_list_exchange cw_list_exchange_t;
 
-/** Identifies a list by the number that the leader gave it. */
+/** Identifies a list of servers by the term of the leader that published it, and its version. */
 typedef struct cw_list_id {
     uint64_t term;
     uint64_t version; /**< within the term; 0: none */
@@ -55,7 +55,7 @@
     /** Sends these pages. Returns the bytes sent; 0: this node does not have that list. is_last: set to true if the
      * last page of the list was among them. */
     size_t (*send_pages)(void *context, uint32_t address, const cw_list_window_t *window, bool *is_last);
-    /** Tells the node at `address` of another node, which has received the list from this one. */
+    /** Sends a redirect to the node at `address`: another node has received the list from this one. */
     void (*redirect)(void *context, uint32_t address, cw_list_id_t of, uint32_t other_holder);
     double   bytes_per_s; /**< bytes of pages that may be sent per second; 0: no limit */
     uint32_t own_address; /**< start of the rotation, so that nodes that start together ask different ones */
@@ -63,7 +63,8 @@
 
 /** Creates an exchange that neither wants nor sends a list yet. The owner's settings are copied. */
 cw_list_exchange_t *cw_list_exchange_create(const cw_list_exchange_owner_t *owner);
-void                cw_list_exchange_destroy(cw_list_exchange_t *exchange);
+/** Frees the exchange. */
+void cw_list_exchange_destroy(cw_list_exchange_t *exchange);
 
 /** Records that the leader's heartbeat names the list `wanted`, while `has` is in force here. If both are of the same
  * term, nothing is requested, since the leader sends the changes. */
@@ -73,7 +74,7 @@
 /** Records that a page of a whole list was received. next_missing: first page that is missing; `pages`: none is. */
 void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_id_t of, uint32_t next_missing,
                                     uint32_t pages, cw_time_us_t now);
-/** Records that the node that was asked cannot serve this one now, and names another one. */
+/** Records a redirect: the node that was asked cannot serve this one now, and names another one. */
 void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_id_t of, uint32_t other_holder,
                                  cw_time_us_t now);
 /** Sends a request if one is due, and pages that were waiting for the allowance. Called at each tick. */
--- a/src/router/list_history.c
+++ b/src/router/list_history.c
@@ -1,6 +1,6 @@
 /**
  * @file list_history.c
- * @brief Changes of the list of servers by number; see list_history.h.
+ * @brief Changes of the list of servers by version; see list_history.h.
  */
 #include "router/list_history.h"
 
--- a/src/router/list_read_delay.h
+++ b/src/router/list_read_delay.h
@@ -21,8 +21,8 @@
 
 enum {
     CW_LIST_ENTRY_BYTES = 350, /**< size of a server's entry in the store's response */
-    CW_LIST_READ_BYTES_PER_SECOND =
-        50000000 /**< of all nodes together; leaves more than half of 1 Gbit/s to the leader and the readers */
+    /** Rate of all nodes together; leaves more than half of 1 Gbit/s to the leader and the readers. */
+    CW_LIST_READ_BYTES_PER_SECOND = 50000000
 };
 
 /** Time that so many nodes take to read a list of so many servers at CW_LIST_READ_BYTES_PER_SECOND. */
--- a/src/router/loop_start.c
+++ b/src/router/loop_start.c
@@ -29,13 +29,13 @@
 
 int cw_loop_start(uv_loop_t *loop)
 {
-    const struct timespec pause = {.tv_nsec = CW_LOOP_RETRY_INTERVAL_MS * 1000000L};
+    const struct timespec interval = {.tv_nsec = CW_LOOP_RETRY_INTERVAL_MS * 1000000L};
     int                   error = UV_EMFILE;
     int                   tries;
 
     for (tries = 0; tries < CW_LOOP_TRIES; tries++) {
         if (tries > 0) {
-            (void)nanosleep(&pause, NULL);
+            (void)nanosleep(&interval, NULL);
         }
         memset(loop, 0, sizeof(*loop));
         error = has_descriptors() ? uv_loop_init(loop) : UV_EMFILE;
--- a/src/router/loop_start.h
+++ b/src/router/loop_start.h
@@ -12,11 +12,11 @@
 #include <uv.h>
 
 enum {
-    CW_LOOP_DESCRIPTORS = 8, /**< that must be free; a loop needs six: one for epoll, one for wake-ups, two pipes for
-                                  signals */
+    /** File descriptors that must be free; a loop needs six: one for epoll, one for wake-ups, two pipes for signals. */
+    CW_LOOP_DESCRIPTORS = 8,
     CW_LOOP_TRIES = 10,
-    CW_LOOP_RETRY_INTERVAL_MS = 100 /**< between tries; a second in all, the shortest time after which a supervisor
-                                restarts the process */
+    /** Interval between tries; a second in all, the shortest time after which a supervisor restarts the process. */
+    CW_LOOP_RETRY_INTERVAL_MS = 100
 };
 
 /** Initialises the loop, which blocks for up to a second. Returns 0, or libuv's error of the last try. */
--- a/src/router/pass_on_queue.c
+++ b/src/router/pass_on_queue.c
@@ -15,7 +15,7 @@
     uint32_t sent; /* number of pages sent so far */
 } receiver_t;
 
-/** An update and the progress of passing it on. */
+/** An update and the progress of forwarding it. */
 typedef struct waiting_update {
     cw_forwarded_update_t update;
     cw_datagram_batch_t   pages;     /* in the order in which they were received */
--- a/src/router/pass_on_queue.h
+++ b/src/router/pass_on_queue.h
@@ -1,10 +1,10 @@
 /**
  * @file pass_on_queue.h
- * @brief Queue of the leader's updates that a relay passes on to the nodes of its zone, a few nodes at a time.
+ * @brief Queue of the leader's updates that a relay forwards to the nodes of its zone, a few nodes at a time.
  *
  * A change of the list may be many pages, and a zone may have hundreds of nodes. If all of it were sent at once, the
  * socket would drop datagrams. Rules:
- *  - An update is passed on once all of its pages have been received, to each node that does not have it yet.
+ *  - An update is forwarded once all of its pages have been received, to each node that does not have it yet.
  *  - The bytes sent are taken from an allowance; the remaining pages are sent as the allowance is refilled.
  *  - The two relays of a zone begin at opposite ends of its list of nodes, and each sends to a few nodes at once. An
  *    update that a node has acknowledged to one relay, or received from the leader, is not sent by the other relay.
@@ -28,14 +28,15 @@
     CW_FORWARD_WAIT_MAX_MS = 10000  /**< an update that has waited for longer is dropped */
 };
 
+/** Updates that wait until they have been forwarded. */
 typedef struct cw_forward_queue cw_forward_queue_t;
 
 /** Identifies the update that a page belongs to. */
 typedef struct cw_forwarded_update {
     bool     is_list;    /**< true: list of servers; false: tables of keys */
-    bool     is_relayed; /**< its receivers are relays, which pass it on */
+    bool     is_relayed; /**< its receivers are relays, which forward it */
     uint64_t term;       /**< of the leader that made it */
-    uint64_t base;       /**< number that the changes apply to; 0: the whole list or tables */
+    uint64_t base;       /**< version that the changes apply to; 0: the whole list or tables */
     uint64_t version;    /**< of the list or the tables that result */
     uint32_t pages;
 } cw_forwarded_update_t;
@@ -54,7 +55,8 @@
 
 /** Creates an empty queue. owner: copied. */
 cw_forward_queue_t *cw_forward_queue_create(const cw_forward_queue_owner_t *owner);
-void                cw_forward_queue_free(cw_forward_queue_t *queue);
+/** Frees the queue with its updates. */
+void cw_forward_queue_free(cw_forward_queue_t *queue);
 /** Adds a packed page that this relay has received. False: the page is invalid, or is dropped because too many updates
  * wait. */
 bool cw_forward_queue_add(cw_forward_queue_t *queue, const cw_forwarded_update_t *update, uint32_t page,
@@ -65,7 +67,7 @@
                                    const cw_datagram_batch_t *pages, uint32_t address, cw_time_us_t now);
 /** Sends as many pages as the allowance permits. Called once a turn of the loop. */
 void cw_forward_queue_send(cw_forward_queue_t *queue, cw_send_allowance_t *allowance, cw_time_us_t now);
-/** Number of updates that have not been passed on completely yet. */
+/** Number of updates that have not been forwarded completely yet. */
 size_t cw_forward_queue_waiting(const cw_forward_queue_t *queue);
 
 #endif
--- a/src/router/relay_choice.c
+++ b/src/router/relay_choice.c
@@ -8,8 +8,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-static const uint64_t relay_seed =
-    0x72656c6179; /* differs from the seed for slots, so that both kinds of work are spread over nodes */
+/* Differs from the seed for slots, so that both kinds of work are spread over nodes. */
+static const uint64_t relay_seed = 0x72656c6179;
 
 static uint64_t rank_of(const cw_broker_candidate_t *candidate)
 {
--- a/src/router/replaced_versions.c
+++ b/src/router/replaced_versions.c
@@ -1,6 +1,6 @@
 /**
  * @file replaced_versions.c
- * @brief Ring buffer of the last numbers that were replaced.
+ * @brief Ring buffer of the last versions that were replaced.
  */
 #include "router/replaced_versions.h"
 
--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -40,7 +40,8 @@
     return false;
 }
 
-/* Tells the register of doubted servers whether the server answered. A refused or fenced order has been answered. */
+/* Records in the register of doubted servers whether the server answered. A refused or fenced order has been
+ * answered. */
 static void record_outcome(const pending_order_t *order, cw_order_result_t result)
 {
     cw_router_t       *router = order->router;
--- a/src/router/router_crashes.c
+++ b/src/router/router_crashes.c
@@ -203,7 +203,7 @@
                         .lost_at = now - CW_MS(sighting->lost_age_ms)};
 
     if (sighting->is_clearance) {
-        /* It is not reported again: the sender has told the other nodes. */
+        /* The clearance is not reported again, since the sender has sent it to the other nodes. */
         (void)cw_crash_suspects_clear(crashes->suspects, crash.request, crash.lost_at);
     } else {
         cw_crash_suspects_note_reported(crashes->suspects, &crash, now);
--- a/src/router/router_detours.c
+++ b/src/router/router_detours.c
@@ -1,7 +1,7 @@
 /**
  * @file router_detours.c
- * @brief Connects detours (peer/detours.h) to the node: which peers are probed by way of other nodes, which nodes pass
- * probes on, and which datagrams are sent by way of another node.
+ * @brief Connects detours (peer/detours.h) to the node: which peers are probed by way of other nodes, which nodes
+ * forward probes, and which datagrams are sent by way of another node.
  *
  * Only datagrams about tenants' limits and servers' slots are sent by detours, because all nodes have to agree on the
  * one node that counts these. Reports are not: a node that is reached only by a detour still counts as lost for all
@@ -15,7 +15,8 @@
 
 enum {
     SUSPECT_MS = 500, /* the longest interval between reports among few nodes is 300 ms (router_peers.c) */
-    DISCOVERY_MS = CW_FLEET_DISCOVERY_MS /* after it a process has received from all nodes whose datagrams reach it */
+    /* After this time a process has received from all nodes whose datagrams reach it. */
+    DISCOVERY_MS = CW_FLEET_DISCOVERY_MS
 };
 
 void cw_router_detours_init(cw_router_t *router)
@@ -66,8 +67,8 @@
     return is_known || cw_detours_via(router->detours, peer->address, now) != 0;
 }
 
-/* False earlier than a silent node counts as lost: while other nodes give out limits and slots in its place, the silent
- * node may still be giving them out as well. */
+/* Returns false before an unresponsive node counts as lost: while other nodes give out limits and slots in its place,
+ * the unresponsive node may still give them out as well. */
 bool cw_router_is_reachable(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
     bool is_direct = is_received_lately(router, peer, now) && !misses_this_node(router, peer, now);
@@ -137,8 +138,8 @@
     return peer->last_received_at != 0 && !peer->is_lost && !is_suspect(router, peer, now);
 }
 
-/* The node at this place among those that may pass a probe on; places beyond the last wrap around. NULL: there is none.
- */
+/* The node at this place among those that may forward a probe; places beyond the last wrap around. NULL: there is
+ * none. */
 static const cw_peer_t *intermediate_at(const cw_router_t *router, uint32_t place, cw_time_us_t now)
 {
     const cw_peer_t *peer;
@@ -194,7 +195,7 @@
 
 /* ---- receiving ---- */
 
-/* Takes the name, zone and capability of an origin that this node has never received from directly. */
+/* Applies the name, zone and capability of an origin that this node has never received from directly. */
 static void apply_identity(const cw_router_t *router, cw_peer_t *origin, const Cwp__Detour *detour)
 {
     if (origin->last_received_at != 0) {
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -36,15 +36,19 @@
 #include "router/view_updates.h"
 #include "tenancy/credential_evidence.h"
 
+/** Times and limits that several parts of a node use. */
 enum {
     CW_TICK_MS = 20,
-    CW_PEER_SILENCE_MS = 1000, /**< shortest silence after which a peer counts as lost; longer in large fleets, whose
-                                    nodes report rarely */
-    CW_LARGE_FLEET_DATAGRAMS_PER_SECOND = 60, /**< limit of a node's report datagrams in a large fleet, where handling
-                                          reports is most of the work of all nodes */
-    CW_LEADER_DATAGRAMS_PER_SECOND = 1000,    /**< limit of the leader's reports, and likewise of its table updates */
+    /** Shortest time without a datagram after which a peer counts as lost; longer in large fleets, whose nodes report
+     * rarely. */
+    CW_PEER_SILENCE_MS = 1000,
+    /** Limit of a node's report datagrams in a large fleet, where handling reports is most of the work of all nodes. */
+    CW_LARGE_FLEET_DATAGRAMS_PER_SECOND = 60,
+    /** Limit of the leader's reports, and likewise of its table updates. */
+    CW_LEADER_DATAGRAMS_PER_SECOND = 1000,
     CW_KEYED_SERVICES_MAX = CW_TABLE_SERVICES_MAX,
-    CW_TABLES_VALID_PERCENT = 80 /**< of a grant's hold: how long tables are used without a fresh leader heartbeat */
+    /** Part of a grant's lease duration for which tables are used without a fresh heartbeat of the leader. */
+    CW_TABLES_VALID_PERCENT = 80
 };
 
 /** The leader's state for one service whose keys are divided among its servers. */
@@ -54,12 +58,12 @@
     cw_load_window_t        window;
     cw_ownership_measures_t measures;
     cw_time_us_t            measured_load_at; /**< last measurement of the load's imbalance */
-    cw_time_us_t            next_plan;        /**< no plan is made before then */
+    cw_time_us_t            next_plan;        /**< no plan is made before this time */
     cw_plan_timing_t        timing;
 } cw_service_assignment_t;
 
-/** Estimated time for the relays to forward the leader's latest update to all nodes of their zones. The leader adds
- * it to the time that it gives them before it sends the update to a node by itself. */
+/** Estimated time for the relays to forward the leader's latest update to all nodes of their zones. The leader waits
+ * for the relays for this time in addition before it sends the update to a node itself. */
 typedef struct cw_relay_delays {
     cw_time_us_t servers; /**< of the list of servers */
     cw_time_us_t tables;  /**< of the tables of keys */
@@ -107,28 +111,30 @@
     cw_signal_notices_t *signal_notices;
     cw_configuration_t  *configuration;
     cw_time_us_t         started_at;
-    cw_time_us_t         stopping_at;   /**< when the planned stop began; 0: not stopping */
-    cw_time_us_t         stop_deadline; /**< the process ends by then; fixed when the stop begins, so later changes of
-                                             the settings do not move it */
-    cw_time_us_t    checked_file_at;    /**< last check whether the settings file has changed */
+    cw_time_us_t         stopping_at; /**< when the planned stop began; 0: not stopping */
+    /** Latest time at which the process ends; fixed when the stop begins, so later changes of the settings do not move
+     * it. */
+    cw_time_us_t    stop_deadline;
+    cw_time_us_t    checked_file_at; /**< last check whether the settings file has changed */
     cw_fleet_size_t fleet_size;
     uint32_t        peak_nodes;       /**< most nodes alive at once within the retry budget's window */
-    cw_time_us_t    peak_nodes_at;    /**< when that number was seen */
+    cw_time_us_t    peak_nodes_at;    /**< when peak_nodes was reached */
     int64_t         file_fingerprint; /**< of the settings file when it was read last; see
                                            cw_router_file_fingerprint */
 
     /* reports */
     uint32_t     sequence;            /**< of this node's last report */
-    cw_time_us_t silence;             /**< a node that has not been heard from for so long counts as lost */
+    cw_time_us_t silence;             /**< a node from which nothing is received for so long counts as lost */
     cw_time_us_t reported_zone_at;    /**< last report to the nodes of this zone */
     cw_time_us_t reported_all_at;     /**< last report to nodes of all zones */
-    cw_time_us_t reported_full_at;    /**< last report that held names and paces */
+    cw_time_us_t reported_full_at;    /**< last report that contained names and latencies */
     cw_time_us_t reported_leader_at;  /**< last report to the leader */
     cw_time_us_t key_samples_sent_at; /**< last time that key samples were sent to the leader */
-    cw_time_us_t send_names_until;    /**< reports hold this node's name until then: a node was heard first or again */
-    bool         zone_report_due;     /**< something has changed that the nodes of this zone are to learn */
-    bool         all_report_due;      /**< something has changed that all nodes are to learn */
-    cw_queue_lengths_t queue_lengths; /**< of other nodes */
+    /** Reports contain this node's name until this time, since another node is new or back. */
+    cw_time_us_t       send_names_until;
+    bool               zone_report_due; /**< something has changed that the nodes of this zone are to learn */
+    bool               all_report_due;  /**< something has changed that all nodes are to learn */
+    cw_queue_lengths_t queue_lengths;   /**< of other nodes */
 
     /* reading the store on behalf of other nodes */
     bool         is_reader;
@@ -138,24 +144,24 @@
     /* the configuration */
     cw_configuration_exchange_t *exchange;
     cw_configuration_freshness_t freshness;
-    cw_credential_evidence_t     credential_evidence; /**< greatest age of `freshness` to accept callers' keys by */
-    cw_configuration_newest_t    configuration_newest;
+    cw_credential_evidence_t  credential_evidence; /**< bound on the age of `freshness` for accepting callers' keys */
+    cw_configuration_newest_t configuration_newest;
 
     cw_router_list_exchange_t *list_exchange;
 
     /* the view: the list of servers and the tables of keys that this node routes by */
     cw_server_view_t   server_view;                /**< the list of servers in force */
     cw_zone_service_t *zones;                      /**< zones out of service according to that list */
-    cw_cold_rate_t    *cold_rate;                  /**< which nodes send to cold servers */
-    cw_time_us_t       cold_rate_nodes_updated_at; /**< last update of those nodes */
+    cw_cold_rate_t    *cold_rate;                  /**< which nodes share the sending to cold servers */
+    cw_time_us_t       cold_rate_nodes_updated_at; /**< last update of the nodes of `cold_rate` */
     bool               reading_servers;            /**< a read of the list by this node is in progress */
     bool               reading_copy;               /**< that read is from a copy, which may be seconds old */
     cw_time_us_t       servers_read_at;            /**< when the last read of the list was sent */
     cw_time_us_t       servers_lag;         /**< the last read may lack changes made within this time before it */
-    uint64_t           view_term;           /**< term of the leader that numbered this node's view */
-    uint64_t           view_list_version;   /**< number of this node's list in that term; 0: none */
-    uint64_t           view_tables_version; /**< number of this node's tables in that term; 0: none */
-    cw_time_us_t       tables_valid_at;     /**< last time that the tables were known to be true; 0: never */
+    uint64_t           view_term;           /**< term of the leader that published this node's view */
+    uint64_t           view_list_version;   /**< version of this node's list in that term; 0: none */
+    uint64_t           view_tables_version; /**< version of this node's tables in that term; 0: none */
+    cw_time_us_t       tables_valid_at;     /**< last time at which the tables were known to be valid; 0: never */
     cw_time_us_t       leader_heartbeat_at;
     uint64_t           leader_term;
     bool               leader_overdue;                /**< the leader's heartbeat is overdue, which has been logged */
@@ -169,18 +175,18 @@
     cw_store_availability_t store_availability;
 
     /* leading */
-    cw_leadership_t        leadership;
-    cw_leader_tenure_t     tenure;
-    uint64_t               leader_list_version;   /**< number of the list that this leader sends to the others */
-    uint64_t               leader_tables_version; /**< number of its tables; 0: it has not published any in this term */
-    cw_table_publication_t table_publication;
-    cw_replaced_versions_t replaced_servers;
-    cw_replaced_versions_t replaced_tables;
-    cw_list_history_t      list_history;
-    cw_send_allowance_t    push_allowance; /**< bytes that may be sent to bring other nodes up to date */
-    cw_relay_delays_t      relay_delays;
-    cw_forward_queue_t    *forward_queue; /**< updates that this node, as a relay, forwards to its zone */
-    cw_order_trust_t      *order_trust;   /**< servers that this leader's orders have not reached lately */
+    cw_leadership_t         leadership;
+    cw_leader_tenure_t      tenure;
+    uint64_t                leader_list_version;   /**< version of the list that this leader sends to the other nodes */
+    uint64_t                leader_tables_version; /**< version of its tables; 0: none published in this term */
+    cw_table_publication_t  table_publication;
+    cw_replaced_versions_t  replaced_servers;
+    cw_replaced_versions_t  replaced_tables;
+    cw_list_history_t       list_history;
+    cw_send_allowance_t     push_allowance; /**< bytes that may be sent to bring other nodes up to date */
+    cw_relay_delays_t       relay_delays;
+    cw_forward_queue_t     *forward_queue; /**< updates that this node, as a relay, forwards to its zone */
+    cw_order_trust_t       *order_trust;   /**< servers that this leader's orders have not reached lately */
     cw_service_assignment_t keyed[CW_KEYED_SERVICES_MAX]; /**< services divided by key that this node leads */
     size_t                  keyed_count;
 } cw_router_t;
@@ -201,7 +207,7 @@
 int64_t cw_router_file_fingerprint(const char *file_name);
 /** Reads the settings file again and applies the settings that may change while the process runs. */
 void cw_router_reload(cw_router_t *router);
-/** Does the same if the file has changed. Called with each tick; checks the file twice a second. */
+/** Reads the settings file again if it has changed. Called with each tick; checks the file twice a second. */
 void cw_router_check_file(cw_router_t *router, cw_time_us_t now);
 
 /* ---- router_stop.c ---- */
@@ -215,9 +221,9 @@
 void cw_router_peers_init(cw_router_t *router);
 /** Sends the reports that are due, and detects lost peers. */
 void cw_router_peers_tick(cw_router_t *router, cw_time_us_t now);
-/** How long the last report of a node that sends no further ones is used. */
+/** Time for which the last report of a node is used if no further report arrives. */
 cw_time_us_t cw_router_report_lifetime(const cw_router_t *router);
-/** Logs that a peer was lost or is back. silent: for how long it had not been heard from. */
+/** Logs that a peer was lost or is back. since_received: time since the last datagram from the peer. */
 void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t since_received);
 
 /* ---- router_report.c ---- */
@@ -240,7 +246,7 @@
 void cw_router_relay_tick(cw_router_t *router, cw_time_us_t now);
 /** Handles a summary of another zone. */
 void cw_router_handle_zone_summary(cw_router_t *router, const Cwp__Datagram *datagram, cw_time_us_t now);
-/** Whether relays keep this node and the nodes of the peer's zone informed of one another. */
+/** Whether relays exchange the state of this node's zone and of the peer's zone in both directions. */
 bool cw_router_is_covered(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Whether the peer's requests are counted in sums of its zone that this node receives. */
 bool cw_router_is_summarized(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
@@ -253,8 +259,8 @@
 /** Whether this node was stalled a moment ago: a datagram that is read now may have waited in the socket meanwhile, so
  * its age is not known. */
 bool cw_router_reads_backlog(const cw_router_t *router, cw_time_us_t now);
-/** Requests the whole list, or the tables, if this node's copy has the number of the leader's but has differed from it
- * (by hash) for long. */
+/** Requests the whole list, or the tables, if this node's copy has the leader's version but has differed from the
+ * leader's (by hash) for long. */
 void cw_router_check_view(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now);
 /** Number of nodes of the largest zone, as far as this node knows. */
 uint32_t cw_router_largest_zone(const cw_router_t *router);
@@ -279,12 +285,12 @@
 void cw_router_list_exchange_free(cw_router_t *router);
 /** Requests missing pages, and sends the pages that others have requested. */
 void cw_router_list_exchange_tick(cw_router_t *router, cw_time_us_t now);
-/** Notes the number of the newest list, which the leader's heartbeat names. */
+/** Records the version of the newest list, which the leader's heartbeat contains. */
 void cw_router_list_exchange_heartbeat(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now);
-/** Notes which list the peer has according to its report. */
+/** Records which list the peer has according to its report. */
 void cw_router_list_exchange_record_holder(cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
-/** Notes that a page of a whole list has arrived. next_missing: the first page still missing; page->pages if none is.
- */
+/** Records that a page of a whole list was received. next_missing: the first page that is still missing; page->pages if
+ * none is missing. */
 void cw_router_list_exchange_page_received(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page,
                                            uint32_t next_missing);
 /** Handles a reply that holds no pages, but names another node that has the list. */
@@ -297,7 +303,7 @@
 /* ---- router_push.c ---- */
 /** What an update for a peer contains. */
 typedef struct cw_push_scope {
-    uint64_t base;    /**< the changes since the list (or tables) of this number; 0: the whole */
+    uint64_t base;    /**< the changes since the list (or tables) of this version; 0: the whole list (or tables) */
     bool     forward; /**< the peer is a relay and forwards the update to its zone */
 } cw_push_scope_t;
 /** Pages packed for one peer, reused for others that need the same ones. Valid within one iteration of the event loop.
@@ -317,12 +323,12 @@
 bool cw_router_is_updated_by_relay(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Sets up the send allowance for updates to other nodes. */
 void cw_router_push_init(cw_router_t *router);
-/** Notes that an update was sent just now; returns when to send it again. */
+/** Records that an update was sent just now; returns when to send it again. */
 cw_time_us_t cw_router_next_push(cw_push_state_t *push, cw_time_us_t now);
 /** Begins a term of this leader: nothing is sent until the others have had time to find, by hashes, that what they
  * have is the same. */
 void cw_router_push_begin_term(cw_router_t *router, cw_time_us_t now);
-/** A list with a new number is in force: it is sent at once to the peers that had the one before. */
+/** Called when a list of a new version is in force: sends it at once to the peers that had the version before. */
 void cw_router_servers_changed(cw_router_t *router, cw_time_us_t now);
 /** The same for the tables. */
 void cw_router_tables_changed(cw_router_t *router);
@@ -339,7 +345,7 @@
 /** Callback of the store adapter: a configuration was read, whose reference passes to the callee. problem: why it
  * cannot be used; NULL: it can. */
 void cw_router_on_configuration(void *context, cw_configuration_t *configuration, const char *problem);
-/** Notes that another node has this version in force; a newer one is requested from it. */
+/** Records that another node has this configuration version in force; a newer version is requested from that node. */
 void cw_router_record_configuration(cw_router_t *router, const cw_peer_t *peer, uint64_t version, cw_time_us_t now);
 /** Callback of the store adapter: an answer of the store shows that no configuration above this version had been
  * acknowledged at that time. */
@@ -358,8 +364,8 @@
 void cw_router_share_init(cw_router_t *router);
 /** Decides whether this node reads the store for its zone and, if it does, sends the notices that are due. */
 void cw_router_share_tick(cw_router_t *router, cw_time_us_t now);
-/** Notes that a configuration came into force here; a reader or leader announces it to all nodes if it is first-hand.
- * is_from_store: it was read from the store, not received from another node. */
+/** Records that a configuration came into force here. is_from_store: it was read from the store, not received from
+ * another node; a reader or leader then announces it to all nodes. */
 void cw_router_share_configuration(cw_router_t *router, bool is_from_store, cw_time_us_t now);
 /** Handles a reader's notice of what it has read from the store. */
 void cw_router_handle_notice(cw_router_t *router, cw_peer_t *peer, const Cwp__StoreNotice *notice, cw_time_us_t now);
@@ -385,8 +391,8 @@
 void cw_router_view_tick(cw_router_t *router, cw_time_us_t now);
 /** Callback of the store adapter: the list of servers was read, or could not be. */
 void cw_router_on_servers(void *context, const cw_servers_read_t *read);
-/** Notes that the tables in force were still true at this time, as a node with the same tables has read in the store.
- */
+/** Records that the tables in force were still valid at this time, as a node with the same tables has read in the
+ * store. */
 void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t true_at);
 /** Whether this node has read or received tables of keys; true also if no service is divided by key. */
 bool cw_router_tables_known(const cw_router_t *router);
@@ -395,7 +401,7 @@
 /** Creates the state of zones out of service and of the rate of cold servers. */
 void cw_router_zones_init(cw_router_t *router);
 /** Applies the servers and the zones out of service of a list that has just come into force. before_true_at: last time
- * that the previous list was known to be true; 0: not known. */
+ * at which the previous list was known to be valid; 0: not known. */
 void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now);
 /** Applies the configured warm-up of each service's servers. */
 void cw_router_apply_warm_ups(cw_router_t *router);
@@ -438,7 +444,7 @@
 void cw_router_crashes_init(cw_router_t *router);
 /** Expires suspects, and reports crashes to the other nodes. */
 void cw_router_crashes_tick(cw_router_t *router, cw_time_us_t now);
-/** Notes that an entry is no longer in the list of servers. */
+/** Records that an entry is no longer in the list of servers. */
 void cw_router_crashes_record_gone(cw_router_t *router, const cw_server_entry_t *entry);
 /** Handles crashes that another node reports, and forwards the report if this node is a relay that has to. */
 void cw_router_handle_crash_report(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
@@ -451,7 +457,7 @@
 void cw_router_signals_tick(cw_router_t *router, cw_time_us_t now);
 /** Fills in the rate limit of the server with this hash; false: it has none now. */
 bool cw_router_pack_limit(const cw_router_t *router, uint32_t hash, Cwp__ServerLimit *message);
-/** Handles a server's rate limit that another node states. */
+/** Applies a server's rate limit that was received from another node. */
 void cw_router_apply_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now);
 /** Handles a broadcast notice of servers' rate limits, and forwards it if this node is a relay that has to. */
 void cw_router_handle_signal_notice(cw_router_t *router, const cw_peer_t *sender, const Cwp__Datagram *datagram,
@@ -464,7 +470,7 @@
 /* ---- router_traffic.c ---- */
 /** Appends the metrics of datagrams sent to other nodes, as Prometheus text. */
 void cw_router_traffic_metrics(const cw_router_t *router, cw_bytes_t *text);
-/** Logs the same as one line. */
+/** Logs the datagrams sent to other nodes as one line. */
 void cw_router_log_traffic(const cw_router_t *router);
 
 /* ---- router_detours.c ---- */
@@ -474,7 +480,7 @@
 void cw_router_detours_tick(cw_router_t *router, cw_time_us_t now);
 /** Handles a datagram that another node has forwarded, or that this node is to forward. */
 void cw_router_handle_detour(cw_router_t *router, const cw_peer_t *sender, const Cwp__Detour *detour);
-/** Whether this node, or another one on its behalf, has received from the peer lately. */
+/** Whether this node, or another one on its behalf, has recently received from the peer. */
 bool cw_router_is_alive(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
 /** Whether datagrams pass in both directions between this node and the peer, directly or by way of another node. */
 bool cw_router_is_reachable(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now);
@@ -487,7 +493,7 @@
 void cw_router_quota_init(cw_router_t *router);
 /** Applies changed limits, updates the candidates for counting, and sends the reports that are due. */
 void cw_router_quota_tick(cw_router_t *router, cw_time_us_t now);
-/** Notes how many nodes there are according to a leader's lock or heartbeat; 0: the leader does not know. Limits are
+/** Records how many nodes there are according to a leader's lock or heartbeat; 0: the leader does not know. Limits are
  * divided by the new number at once. */
 void cw_router_record_nodes(cw_router_t *router, uint32_t nodes);
 /** Fraction of a shared limit that this node may give out: the fraction of all nodes that it reaches. */
@@ -504,7 +510,8 @@
 void cw_router_handle_quota_return(cw_router_t *router, const cw_peer_t *peer, const Cwp__QuotaReturn *returned);
 
 /* ---- router_view_pages.c ---- */
-/** Moves this node's view to the term if it is a later one than the view's; nothing numbered in it is known yet. */
+/** Moves this node's view to the term if it is a later one than the view's; no list or tables of the new term are known
+ * yet. */
 void cw_router_begin_term(cw_router_t *router, uint64_t term);
 /** Handles a page of the list of servers. */
 void cw_router_handle_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page);
@@ -512,7 +519,7 @@
 void cw_router_handle_table_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__TablePage *page);
 /** Handles a peer's acknowledgement of the list and tables that it has. */
 void cw_router_handle_ack(cw_router_t *router, cw_peer_t *peer, const Cwp__ViewAck *ack);
-/** Adopts the leader's numbers for the list and the tables where this node's copies have the same hash. */
+/** Adopts the leader's versions for the list and the tables where this node's copies have the same hash. */
 void cw_router_adopt_versions(cw_router_t *router, const cw_peer_t *leader, const Cwp__LeaderHeartbeat *heartbeat);
 
 /* ---- router_plan.c ---- */
@@ -549,9 +556,9 @@
 uint32_t cw_router_capability(const cw_router_t *router);
 /** Whether this node leads and its lock has not run out. */
 bool cw_router_has_authority(const cw_router_t *router, cw_time_us_t now);
-/** Notes whether the store answered a call of this node, and logs when the store is lost or back. */
+/** Records whether the store answered a call of this node, and logs when the store is lost or back. */
 void cw_router_store_result(cw_router_t *router, bool answered, cw_time_us_t now);
-/** Callback of the store adapter: the same for the calls of its standing readers. */
+/** Callback of the store adapter: records whether the store answered a call of its standing readers. */
 void cw_router_on_answered(void *context, bool is_answered);
 
 #endif
--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -12,16 +12,21 @@
     HEARTBEAT_TIMEOUT_MS = 900,
     READ_EVERY_MS = 400,
     CAPABILITY_PER_CORE = 1000,
-    FIRST_READ_DIVISOR = 4,      /* equally capable nodes spread first looks over first_look_within / 4 */
-    STORE_UNRESPONSIVE_MS = 700, /* a renewal of the lock without an answer for so long: grants get the long hold */
+    /* Equally capable nodes spread their first reads of the lock over first_look_within / FIRST_READ_DIVISOR. */
+    FIRST_READ_DIVISOR = 4,
+    /* While a renewal of the lock has had no answer for so long, grants get the long lease (hold_long). */
+    STORE_UNRESPONSIVE_MS = 700,
     CUT_OFF_MS = 900,
-    CUT_OFF_RANGES = 2,  /* a leader steps down if at least so many owners are out of its reach alone, */
-    CUT_OFF_PERCENT = 5, /* and at least this part of all ranges: single orders go unanswered at any time, while the
-                            loss of a zone concerns a sixth of the ranges or more */
+    /* A leader steps down if it alone does not reach at least CUT_OFF_RANGES owners, and the owners of at least
+     * CUT_OFF_PERCENT of all ranges: single orders go unanswered at any time, while the loss of a zone concerns a sixth
+     * of the ranges or more. */
+    CUT_OFF_RANGES = 2,
+    CUT_OFF_PERCENT = 5,
     STEP_DOWN_DURATION_S = 6,
-    RENEWALS_PER_CORE_SECOND = 4000, /* that a leader with a whole core sends */
+    RENEWALS_PER_CORE_SECOND = 4000, /* renewals per second of a leader with a whole core */
     CAPABILITY_PER_MBPS = 5,         /* thousandths of a core that correspond to a Mbit/s of link */
-    ASSUMED_FOLLOWERS = 64 /* until a process knows the others: 64 nodes spread their looks at the lock over 400 ms */
+    /* Assumed until a process knows the others: 64 nodes spread their reads of the lock over 400 ms. */
+    ASSUMED_FOLLOWERS = 64
 };
 
 static const char leader_kind[] = "leaders";
@@ -29,8 +34,8 @@
 
 /* ---- leadership ---- */
 
-/* Time from the start to the first look at the lock. Nodes that start together do not know one another yet, so the more
- * capable a node is, the sooner it looks. */
+/* Time from the start to the first read of the lock. Nodes that start together do not know one another yet, so the more
+ * capable a node is, the sooner it reads the lock. */
 static cw_time_us_t first_look_after(const cw_router_t *router)
 {
     return router->settings.first_look_within * CAPABILITY_PER_CORE /
@@ -149,7 +154,8 @@
     cw_leadership_action_t action;
     json_t                *value;
 
-    cw_leadership_set_nodes(&router->leadership, cw_fleet_size_to_state(&router->fleet_size, router->peak_nodes, now));
+    cw_leadership_set_nodes(&router->leadership,
+                            cw_fleet_size_to_announce(&router->fleet_size, router->peak_nodes, now));
     action = cw_leadership_tick(&router->leadership, now);
     if (action == CW_LEADERSHIP_WAIT) {
         return;
@@ -267,7 +273,7 @@
     return (uint32_t)(by_cpu < by_link ? by_cpu : by_link);
 }
 
-static bool is_rival_in_reach(const cw_router_t *router)
+static bool is_rival_reachable(const cw_router_t *router)
 {
     uint32_t         own = cw_router_capability(router);
     const cw_peer_t *peer;
@@ -287,7 +293,7 @@
 {
     uint32_t followers;
 
-    cw_leader_tenure_record_rival(&router->tenure, is_rival_in_reach(router), now);
+    cw_leader_tenure_record_rival(&router->tenure, is_rival_reachable(router), now);
     followers = cw_peer_link_alive(router->link, router->silence, now);
     if (cw_router_is_new(router, now) && followers < ASSUMED_FOLLOWERS) {
         followers = ASSUMED_FOLLOWERS;
--- a/src/router/router_list_exchange.c
+++ b/src/router/router_list_exchange.c
@@ -2,9 +2,9 @@
  * @file router_list_exchange.c
  * @brief Whole lists of servers between the nodes of a zone: sends and handles requests, pages and redirects.
  *
- * A node sends its own list while that is the leader's by number and hash. It continues a transfer that has started
- * when a newer list has come into force here. Whether a received list replaces the one in force is decided as for lists
- * that the leader sends (router_view_pages.c): a lower revision of the store never replaces a higher one.
+ * A node sends its own list while the version and hash of that list are the leader's. It continues a transfer that has
+ * started when a newer list has come into force here. Whether a received list replaces the one in force is decided as
+ * for lists that the leader sends (router_view_pages.c): a lower revision of the store never replaces a higher one.
  */
 #include <stdlib.h>
 
@@ -153,7 +153,7 @@
     Cwp__Datagram    datagram = CWP__DATAGRAM__INIT;
 
     if (peer == NULL) {
-        return; /* there is no room for another peer; a different node is asked after a pause */
+        return; /* there is no room for another peer; a different node is asked after the retry interval */
     }
     request.term = window->of.term;
     request.number = window->of.version;
@@ -212,7 +212,7 @@
     cw_list_exchange_tick(router->list_exchange->exchange, now);
 }
 
-/* A node that has just started does not know the other nodes yet, but the leader's heartbeat states their number. */
+/* A node that has just started does not know the other nodes yet, but the leader's heartbeat announces their number. */
 static bool is_fleet_large(const cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat)
 {
     return heartbeat->nodes >= CW_FLEET_MANY_NODES || cw_router_nodes_are_many(router);
--- a/src/router/router_pass_on.c
+++ b/src/router/router_pass_on.c
@@ -1,17 +1,17 @@
 /**
  * @file router_pass_on.c
- * @brief How a relay passes the leader's changes and heartbeats on to the nodes of its zone.
+ * @brief How a relay forwards the leader's changes and heartbeats to the nodes of its zone.
  *
- * Pages are passed on unchanged to the nodes of the zone that lack them (pass_on_queue.h). A node to whose state the
+ * Pages are forwarded unchanged to the nodes of the zone that lack them (pass_on_queue.h). A node to whose state the
  * changes do not apply ignores them. Nodes acknowledge both to the relay and to the leader. Nodes request whole lists
  * from other nodes of their zone (router_list_exchange.c).
  *
- * Whole tables are passed on only to nodes that have no tables at all. A node that has read a later record of
- * assignments in the store has no number of the tables. A relay's tables, correct a moment ago, would replace those
- * that the node read and be used for as long as the record may be, so that keys could be routed to an owner whose hold
- * a later leader considers over. Lists are ordered by the store's revision, tables are not.
+ * Whole tables are forwarded only to nodes that have no tables at all. A node that has read a later record of
+ * assignments in the store has no version of the tables. A relay's tables, correct a moment ago, would replace those
+ * that the node read and be used for as long as the record may be, so that keys could be routed to an owner whose lease
+ * a later leader considers expired. Lists are ordered by the store's revision, tables are not.
  *
- * A heartbeat is passed on in the turn of the loop in which it was received, or not at all: its receivers treat it as
+ * A heartbeat is forwarded in the turn of the loop in which it was received, or not at all: its receivers treat it as
  * being as recent as when this node received it.
  */
 #include <stdlib.h>
@@ -142,7 +142,7 @@
     cw_datagram_batch_empty(&packed);
     cw_peer_link_pack_into(router->link, &packed, datagram);
     if (packed.count == 1 && !cw_forward_queue_add(router->forward_queue, &update, page, &packed, now)) {
-        cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, 1); /* the leader sends it to the nodes directly */
+        cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, 1); /* the leader sends the page to the nodes directly */
     }
     cw_router_forward_tick(router, now);
 }
@@ -182,8 +182,8 @@
     }
 }
 
-/* Takes the incarnation and sequence number of a heartbeat. False: it is delayed, repeated or of an earlier
- * incarnation. */
+/* Records the incarnation and sequence number of a heartbeat. False: the heartbeat is delayed, repeated or of an
+ * earlier incarnation. */
 static bool accept_sequence(cw_peer_t *leader, const Cwp__PassedHeartbeat *passed, cw_time_us_t now)
 {
     if (leader->incarnation == passed->incarnation && passed->sequence <= leader->sequence) {
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -66,7 +66,7 @@
     uint32_t in_zone;   /**< nodes of this zone */
     uint32_t uncovered; /**< nodes of other zones that relays do not inform */
     uint32_t covered;   /**< nodes of other zones that relays inform: they are sent only news for all nodes */
-    uint32_t relays;    /**< those of the covered nodes that are relays: they pass a leader's heartbeat on */
+    uint32_t relays;    /**< those of the covered nodes that are relays: they forward a leader's heartbeat */
 } report_targets_t;
 
 static report_targets_t count_targets(const cw_router_t *router, cw_time_us_t now)
@@ -252,7 +252,7 @@
     }
 }
 
-/* Sets the silence after which a peer counts as lost, by the interval of the node that reports least often. This node's
+/* Sets the timeout after which a peer counts as lost, by the interval of the node that reports least often. This node's
  * own interval does not matter. */
 static void update_peer_timeout(cw_router_t *router, const report_targets_t *targets)
 {
--- a/src/router/router_plan.c
+++ b/src/router/router_plan.c
@@ -24,7 +24,8 @@
 enum {
     PLAN_EVERY_MS = 300,
     MEASURE_LOAD_EVERY_MS = 1000,
-    RANGES_PER_TICK = 512, /* measured; with more, the pause between measurements grows in proportion */
+    /* Ranges measured per tick; with more ranges, the interval between measurements grows in proportion. */
+    RANGES_PER_TICK = 512,
     INITIAL_CAPACITY = 64,
     PARTS_PER_MILLION = 1000000
 };
--- a/src/router/router_push.c
+++ b/src/router/router_push.c
@@ -2,16 +2,17 @@
  * @file router_push.c
  * @brief How the leader sends its list of servers and its tables of keys, in pages, to nodes that have older ones.
  *
- * A node that has an earlier number of this term is sent only the changes since that number. Other nodes are sent
+ * A node that has an earlier version of this term is sent only the changes since that version. Other nodes are sent
  * everything, but only after they have had time to find that their own copy is equal (the leader's heartbeat carries
  * hashes). Each node acknowledges at once what it has received. The wait before pages are sent again doubles up to a
  * bound, and all pages together stay within a part of the link's bandwidth. Pages are packed once a turn for all nodes
  * that lack the same, since packing is most of the cost of a large list.
  *
- * In a zone that relays inform, each change is sent to the relays only, which pass it on. The whole list is sent at
+ * In a zone that relays inform, each change is sent to the relays only, which forward it. The whole list is sent at
  * once to the two relays of each zone; the other nodes request it inside their zone (router_list_exchange.c). Whole
- * tables come from the leader alone, for the reason that router_pass_on.c gives. To a node that still lacks them after
- * a while, the leader sends the pages directly: a relay that stops causes a delay, but no node depends on it.
+ * tables come from the leader alone, for the reason that router_pass_on.c gives. To a node that still lacks a change,
+ * the list or the tables after a while, the leader sends the pages directly: a relay that stops causes a delay, but no
+ * node depends on it.
  */
 #include <string.h>
 
@@ -22,7 +23,8 @@
     RESEND_MS = 250,
     RESEND_DOUBLINGS = 1, /* not more: a node that has read a later list itself accepts the leader's next list */
     ADOPT_MS = 250,       /* time in which a node may find that its copy equals the leader's */
-    /* Time for a relay to pass a change on and for the node's acknowledgement: about ten times what both take. */
+    /* Time for a relay to forward a change and for the node's acknowledgement: about ten times the usual duration of
+     * both. */
     RELAY_WAIT_MS = 300,
     /* Time for a node to get the whole list in its zone: a relay receives it, learns from the next heartbeat that its
      * copy is right, and is asked for it. WHOLE_WAIT_PER_NODE_MS is added for each node: with more nodes, the number of
@@ -30,8 +32,8 @@
     WHOLE_WAIT_MS = 800,
     WHOLE_WAIT_PER_NODE_MS = 5,
     NODES_PER_PAGE = 1024, /* 5 KB a page; a lost page is sent again with the next round */
-    /* Interval between rounds of nodes' addresses, until the peer has heard the nodes, which report at their own
-     * rate. */
+    /* Interval between rounds of nodes' addresses, until the peer has received from the nodes, which report at their
+     * own rate. */
     NODES_RESEND_MS = 500,
     /* The same where relays inform the peer of nodes of other zones. It may still not know nodes of its own zone. */
     NODES_RESEND_COVERED_MS = 3000,
@@ -96,8 +98,8 @@
     return false;
 }
 
-/* The whole and the changes, each with and without the mark to pass it on, are packed separately, since peers that need
- * different ones follow one another in any order. */
+/* The whole list and its changes, each with and without the mark to forward them, are packed separately, since peers
+ * that need different ones follow one another in any order. */
 enum { SCOPES = 4 };
 
 static cw_packed_pages_t *packed_for(cw_packed_pages_t packed[SCOPES], const cw_push_scope_t *scope)
@@ -131,7 +133,7 @@
            cw_router_is_covered(router, peer, now);
 }
 
-/* Time that the relays of the largest zone need to pass `bytes` on, each to half of the zone's nodes, if they are as
+/* Time that the relays of the largest zone need to forward `bytes`, each to half of the zone's nodes, if they are as
  * capable as this node. */
 static cw_time_us_t relay_delay(const cw_router_t *router, size_t bytes)
 {
@@ -161,7 +163,8 @@
     return cw_router_is_updated_by_relay(router, peer, now);
 }
 
-/* Whether the peer is to be sent what it lacks now. has, newest: numbers of its and of the leader's list or tables. */
+/* Whether the peer is to be sent what it lacks now. has, newest: versions of the peer's and of the leader's list or
+ * tables. */
 static bool is_due(const cw_router_t *router, const cw_peer_t *peer, cw_push_state_t *push, uint64_t has,
                    uint64_t newest, bool is_list, cw_time_us_t now)
 {
@@ -260,7 +263,7 @@
     send_batch(router, peer, &packed->batch, &update);
 }
 
-/* Whether the peer is to pass changes on to its zone. Nodes that have no list ask for the whole list themselves. */
+/* Whether the peer is to forward changes to its zone. Nodes that have no list request the whole list themselves. */
 static bool shall_forward(const cw_router_t *router, const cw_peer_t *peer)
 {
     return peer->distance != CW_DISTANCE_ZONE && cw_router_is_relay(router, peer);
@@ -306,9 +309,9 @@
 
 /* ---- nodes ----
  *
- * A node knows its seeds and, from the lock, the leader, so the leader hears every node. The leader sends the addresses
- * of all nodes to those that have heard fewer nodes. This is separate from the list of servers, since a node that has
- * read the list itself is sent no page of it.
+ * A node knows its seeds and, from the lock, the leader, so the leader receives from every node. The leader sends the
+ * addresses of all nodes to those that have received from fewer nodes. This is separate from the list of servers, since
+ * a node that has read the list itself is sent no page of it.
  */
 
 /* Sends one page of the known nodes, beginning at `known`. Returns the first node that did not fit; NULL: none. */
@@ -450,7 +453,7 @@
     router->relay_delays.tables = relay_delay(router, bytes_of_change(router));
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        bool had_newest = peer->tables + 1 >= router->leader_tables_version; /* the waits for other peers go on */
+        bool had_newest = peer->tables + 1 >= router->leader_tables_version; /* other peers continue to wait */
 
         if (peer->term == router->leadership.lock.term && peer->tables != 0 &&
             (had_newest || !cw_router_is_updated_by_relay(router, peer, now))) {
--- a/src/router/router_quota.c
+++ b/src/router/router_quota.c
@@ -44,8 +44,8 @@
     return cw_router_quota_cached_counter(quota, tenant) == own_address(quota);
 }
 
-/* Adds the node that counts the tenant to the reply. If there is none (0), the node that asked goes on serving its own
- * part of the limit until it is told otherwise. */
+/* Adds the node that counts the tenant to the reply. If there is none (0), the node that asked continues to give out
+ * its own part of the limit until it receives another reply. */
 static void redirect(cw_router_quota_t *quota, uint32_t tenant, cw_quota_message_t *status)
 {
     cw_metric_add(CW_METRIC_LIMIT_REDIRECTS, 1);
@@ -146,8 +146,8 @@
 
 /* ---- messages ---- */
 
-/* Whether this node declines to count. The decision is made on fresh data, since a node that is told so asks no node
- * for a while, and this one may have come to know the others since its last update. */
+/* Whether this node declines to count. The decision is made on fresh data, since a node that receives such a reply asks
+ * no node for a while, and this node may have received from the others since its last update. */
 static bool still_declines(cw_router_quota_t *quota, cw_time_us_t now)
 {
     if (cw_router_quota_declines(quota) && now - quota->gathered_at >= CW_MS(CW_TICK_MS)) {
--- a/src/router/router_quota.h
+++ b/src/router/router_quota.h
@@ -12,6 +12,7 @@
 
 enum { CW_QUOTA_USAGES_MAX = 64 /**< in one datagram; cw_quota_share_t reports fewer at once */ };
 
+/** Kinds of messages about tenants' limits. */
 typedef enum cw_quota_message_kind {
     CW_QUOTA_REPORT, /**< to a counting node: requests that were admitted */
     CW_QUOTA_STATUS, /**< from a counting node: reply to a report, or a notice that a tenant is metered */
@@ -48,27 +49,28 @@
     UT_hash_handle hh;
 } cw_quota_choice_t;
 
+/** State of tenants' limits at this node. */
 struct cw_router_quota {
     cw_router_t           *router;
     cw_quota_share_t      *share;
     cw_quota_counter_t    *counter;
     cw_broker_candidate_t *candidates; /**< nodes that may count */
-    cw_broker_candidate_t
-          *eligible; /**< scratch array of the same capacity: those of them that are neither silent nor declining */
-    size_t candidate_count;
-    size_t candidate_capacity;
-    cw_quota_choice_t  *choices;
-    uint64_t            candidates_fingerprint; /**< hash of all that choices depend on */
-    cw_time_us_t        changed_at;             /**< when that hash last changed */
-    cw_time_us_t        gathered_at;            /**< last update of the candidates */
-    cw_time_us_t        last_received_at;       /**< from any other node */
-    uint32_t            nodes;                  /**< number of nodes that share the limits */
-    uint32_t            in_reach;               /**< number of nodes heard from lately, including this one */
-    uint64_t            version;                /**< of the configuration whose limits the counter has */
-    uv_timer_t          deliver;
-    cw_quota_message_t *self_messages; /**< messages of this node to itself, to be delivered */
-    size_t              self_message_count;
-    size_t              self_message_capacity;
+    /** Scratch array of the same capacity: the candidates that are neither unresponsive nor declining. */
+    cw_broker_candidate_t *eligible;
+    size_t                 candidate_count;
+    size_t                 candidate_capacity;
+    cw_quota_choice_t     *choices;
+    uint64_t               candidates_fingerprint; /**< hash of all that choices depend on */
+    cw_time_us_t           changed_at;             /**< when that hash last changed */
+    cw_time_us_t           gathered_at;            /**< last update of the candidates */
+    cw_time_us_t           last_received_at;       /**< from any other node */
+    uint32_t               nodes;                  /**< number of nodes that share the limits */
+    uint32_t               in_reach;               /**< number of reachable nodes, including this one */
+    uint64_t               version;                /**< of the configuration whose limits the counter has */
+    uv_timer_t             deliver;
+    cw_quota_message_t    *self_messages; /**< messages of this node to itself, to be delivered */
+    size_t                 self_message_count;
+    size_t                 self_message_capacity;
 };
 
 /* ---- router_quota_choice.c ---- */
@@ -80,8 +82,9 @@
 bool cw_router_quota_declines(const cw_router_quota_t *quota);
 /** Address of the node that this one asks about a tenant now, of those that may count and do reply; 0: none. */
 uint32_t cw_router_quota_counting_node(cw_router_quota_t *quota, uint32_t tenant);
-/** The same as of the last update of the candidates, and also while several others have declined lately: a node that
- * asks this one is not to wait for that. It is cached, since it is called for each tenant that a datagram names. */
+/** Address of the node that counts a tenant as of the last update of the candidates. Unlike above, it is also returned
+ * while several other nodes have declined recently: a node that asks this one must not wait until they count. The
+ * result is cached, since the function is called for each tenant that a datagram names. */
 uint32_t cw_router_quota_cached_counter(cw_router_quota_t *quota, uint32_t tenant);
 
 /* ---- router_quota.c ---- */
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -8,8 +8,8 @@
  *  - A node also counts as alive if others reach it on behalf of this one (router_detours.c).
  *  - A node that is asked, although it would ask another one itself, names that one and does not count
  *    (router_quota.c).
- *  - A process that has just started does not count. Until a leader has stated the number of nodes, it assumes that the
- *    limits are shared by as many nodes as there may be at most.
+ *  - A process that has just started does not count. Until a leader has announced the number of nodes, it assumes that
+ *    the limits are shared by as many nodes as there may be at most.
  */
 #include <stdlib.h>
 #include <xxhash.h>
@@ -20,7 +20,7 @@
 enum {
     INITIAL_CANDIDATES = 64,   /* initial capacity of the arrays, which doubles */
     DECLINING_NODES_LIMIT = 2, /* if so many decline, no node counts yet; a single one may just have restarted */
-    ISOLATED_AFTER_MS = 500,   /* the slowest pause between reports of few nodes is 300 ms (router_peers.c) */
+    ISOLATED_AFTER_MS = 500,   /* the longest interval between reports of few nodes is 300 ms (router_peers.c) */
     CHOICE_EXPIRY_S = 10
 };
 
@@ -45,7 +45,7 @@
 
 /* ---- the node that counts a tenant ---- */
 
-/* Whether nothing has been received from any other node lately. The others may then be counting the tenants that this
+/* Whether nothing has been received from any other node recently. The others may then be counting the tenants that this
  * node would count. Peers count as lost only later than this. */
 static bool is_isolated(const cw_router_quota_t *quota)
 {
@@ -74,8 +74,8 @@
     return cw_broker_choose(quota->eligible, count, CW_BROKER_ANY_ZONE, tenant);
 }
 
-/* Chooses another node in place of one that does not reply. This node never takes its place, since the silent one may
- * still be counting for all others. */
+/* Chooses another node in place of one that does not reply. This node never takes its place, since the unresponsive
+ * node may still be counting for all others. */
 static uint32_t choose_counter(cw_router_quota_t *quota, uint32_t tenant)
 {
     uint32_t first = choose(quota, tenant, false);
@@ -206,7 +206,8 @@
 
 /* ---- the number of nodes that share the limits ---- */
 
-/* Number of nodes that share the limits: the most that this node, or any node in reach, has heard from lately. */
+/* Number of nodes that share the limits: the largest number that this node, or any node that reports to it, has
+ * recently received from. */
 static uint32_t count_sharing_nodes(const cw_router_quota_t *quota)
 {
     const cw_router_t *router = quota->router;
@@ -233,8 +234,8 @@
     return count;
 }
 
-/* Limits follow a changed number at once: until a leader states one, a process that has just started divides them by an
- * assumed number, and requests may be waiting already. */
+/* Limits follow a changed number at once: until a leader announces one, a process that has just started divides them by
+ * an assumed number, and requests may be waiting already. */
 void cw_router_record_nodes(cw_router_t *router, uint32_t nodes)
 {
     uint32_t before = router->fleet_size.stated;
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -1,6 +1,6 @@
 /**
  * @file router_receive.c
- * @brief Handles datagrams of other nodes: takes reports, and hands other kinds to the part of the node that handles
+ * @brief Handles datagrams of other nodes: applies reports, and passes other kinds to the part of the node that handles
  * them.
  */
 #include <string.h>
@@ -11,8 +11,8 @@
 
 enum {
     LOADS_MAX = 512,
-    SEND_NAMES_MS =
-        700, /* for so long after a node is heard for the first time or again, reports carry this node's name */
+    /* Reports contain this node's name for so long after a node is received from for the first time or again. */
+    SEND_NAMES_MS = 700,
 };
 
 static void apply_loads(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
@@ -60,7 +60,8 @@
     return false;
 }
 
-/* Takes what the peer reports about itself. False: the report is delayed or repeated, and is ignored. */
+/* Applies the fields in which the peer reports about itself. False: the report is delayed or repeated, and is
+ * ignored. */
 static bool apply_identity(cw_router_t *router, cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
 {
     if (peer->incarnation == received->incarnation && received->sequence <= peer->sequence &&
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -1,13 +1,14 @@
 /**
  * @file router_relay.c
- * @brief Connects relays to the node: sends summaries of this zone to other zones, and takes in the summaries of these.
+ * @brief Connects relays to the node: sends summaries of this zone to other zones, and applies the summaries of the
+ * other zones.
  *
  * In a large fleet, reports of each node to the nodes of other zones would be most of the traffic between zones.
  * Instead, a relay sends a summary of its zone to a relay of each other zone every CW_SUMMARY_INTERVAL_MS. The
- * receiving relay passes it on inside its zone unchanged. A summary carries a whole state: which nodes are alive and
- * how long ago each was received, and, every LOADS_INTERVAL_MS, sums over the zone of the requests at owners of keys
- * and of the waiting ones. Details that change rarely (names, incarnations) are included for DETAILS_CHANGED_MS after a
- * change, and for all nodes every DETAILS_INTERVAL_MS (router_summary.c).
+ * receiving relay forwards the summary unchanged inside its zone. A summary carries a whole state: which nodes are
+ * alive and how long ago each was last received from, and, every LOADS_INTERVAL_MS, sums over the zone of the requests
+ * at owners of keys and of the waiting ones. Details that change rarely (names, incarnations) are included for
+ * DETAILS_CHANGED_MS after a change, and for all nodes every DETAILS_INTERVAL_MS (router_summary.c).
  */
 #include <stdlib.h>
 #include <string.h>
@@ -23,11 +24,11 @@
     /* A node that has not ticked for longer has stalled. In a shorter time, what arrived meanwhile is read no later
      * than the summary that follows a lost one would be. */
     STALL_MS = CW_SUMMARY_INTERVAL_MS,
-    /* The list may differ from the leader's for this time before the whole list is asked for, since what a node has
-     * seen of a server's leaving may differ from what the leader has seen. */
+    /* The list may differ from the leader's for this time before the whole list is requested, since a node may have
+     * observed that a server leaves when the leader has not, or the reverse. */
     SERVERS_UNEQUAL_S = 10,
-    SERVERS_REPEAT_S = 60,    /* interval between requests: what was seen of a leave is forgotten within it (FORGET_S of
-                               * server_view.c) */
+    /* Interval between requests: an observed leave is forgotten within it (FORGET_S of server_view.c). */
+    SERVERS_REPEAT_S = 60,
     TABLES_UNEQUAL_MS = 1000, /* three heartbeats */
     TABLES_REPEAT_MS = 5000,
     /* Time after a stall in which datagrams of the backlog are read: the socket holds 212,992 bytes, and 32 datagrams
@@ -195,7 +196,8 @@
     }
 }
 
-/* Without a number, this node is sent the whole list. */
+/* Gives up this node's version of the list if its content has differed for long: a node without a version is sent the
+ * whole list. */
 static void check_servers(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
     static const cw_view_check_delays_t delays = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_REPEAT_S)};
@@ -233,7 +235,7 @@
     return relay->ticked_at != 0 && now - relay->ticked_at > CW_MS(STALL_MS);
 }
 
-static void note_tick(cw_router_relay_t *relay, cw_time_us_t now)
+static void record_tick(cw_router_relay_t *relay, cw_time_us_t now)
 {
     if (has_stalled(relay, now)) {
         relay->backlog_until = now + CW_MS(BACKLOG_MS);
@@ -246,7 +248,7 @@
     cw_router_relay_t *relay = router->relay;
     size_t             rank;
 
-    note_tick(relay, now);
+    record_tick(relay, now);
     if (now - relay->sent_at < CW_MS(CW_SUMMARY_INTERVAL_MS)) {
         return;
     }
@@ -261,8 +263,8 @@
 
 /* ---- receiving ---- */
 
-/* Passes a summary of another zone's relay on to this zone. It is marked as passed on, so that its receivers do not
- * pass it on again. */
+/* Forwards a summary of another zone's relay to this zone. The summary is marked as forwarded, so that its receivers do
+ * not forward it again. */
 static void forward_summary(cw_router_t *router, const Cwp__Datagram *datagram)
 {
     const cw_peer_t *peer;
@@ -290,8 +292,8 @@
     return false;
 }
 
-/* Takes the time at which a relay received from the node, if it is later than the time known here, and recent enough
- * for the node to count as alive. */
+/* Applies the time at which a relay received from the node, if that is later than the time known here, and recent
+ * enough for the node to count as alive. */
 static void apply_node(cw_router_t *router, const Cwp__ZoneSummary *summary, size_t index, cw_time_us_t now)
 {
     cw_time_us_t at = now - CW_MS(summary->ages_ms[index]);
@@ -311,7 +313,7 @@
     peer->last_received_at = at;
 }
 
-/* Takes the details of a node, unless a recent report of the node itself has newer ones. */
+/* Applies the details of a node, unless a recent report of the node itself has newer ones. */
 static void apply_detail(cw_router_t *router, const Cwp__ZoneNode *detail, cw_time_us_t now)
 {
     cw_peer_t *peer = cw_peer_link_find(router->link, detail->address);
--- a/src/router/router_reload.c
+++ b/src/router/router_reload.c
@@ -29,7 +29,8 @@
     cw_findings_init(&findings);
     is_valid = cw_router_settings_read(&settings, router->file_name, &findings) == 0;
     if (is_valid) {
-        /* Only these settings may change while the process runs; identity, addresses and holds stay as at the start. */
+        /* Only these settings may change while the process runs; identity, addresses and lease durations stay as at the
+         * start. */
         memcpy(router->settings.seeds, settings.seeds, sizeof(settings.seeds));
         router->settings.seed_count = settings.seed_count;
         router->settings.log_level = settings.log_level;
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -1,6 +1,6 @@
 /**
  * @file router_report.c
- * @brief Builds a report of this node: requests under way at each server, servers' service times, keys of recent
+ * @brief Builds a report of this node: requests in flight at each server, servers' service times, keys of recent
  * requests, and the leader's heartbeat.
  */
 #include <string.h>
@@ -122,8 +122,8 @@
     builder.sample_pointers[builder.sample_count++] = samples;
 }
 
-/* While changes wait to be published, the heartbeat states the next number, which no node has yet. It states that the
- * last tables were valid until the first of these changes. */
+/* While changes wait to be published, the heartbeat carries the next version, which no node has yet, and states that
+ * the last tables were valid until the first of these changes. */
 static void add_tables(const cw_router_t *router, cw_time_us_t now)
 {
     const cw_table_publication_t *publication = &router->table_publication;
@@ -150,7 +150,7 @@
     builder.leader.servers_hash = router->server_view.list == NULL ? 0 : router->server_view.hash;
     builder.leader.list_revision = router->server_view.revision;
     builder.leader.configuration_age_ms = cw_configuration_freshness_pack(&router->freshness, now);
-    builder.leader.nodes = cw_fleet_size_to_state(&router->fleet_size, router->peak_nodes, now);
+    builder.leader.nodes = cw_fleet_size_to_announce(&router->fleet_size, router->peak_nodes, now);
     builder.leader.servers_replaced_ms = builder.servers_replaced_ms;
     builder.leader.n_servers_replaced_ms =
         cw_replaced_versions_ages(&router->replaced_servers, now, builder.servers_replaced_ms);
--- a/src/router/router_slots.c
+++ b/src/router/router_slots.c
@@ -30,10 +30,11 @@
 struct cw_router_slots {
     cw_router_t      *router;
     cw_slot_broker_t *broker;
-    /* Nodes that may count slots: first those that this node hears directly, then those that it reaches by detours. */
+    /* Nodes that may count slots: first those that this node receives from directly, then those that it reaches by
+     * detours. */
     cw_broker_candidate_t *candidates;
     size_t                 candidate_count;
-    size_t                 direct_count; /* of those that this node hears directly */
+    size_t                 direct_count; /* number of candidates that this node receives from directly */
     size_t                 candidate_capacity;
     cw_time_us_t           candidates_updated_at;
     bool                   are_nodes_many;
--- a/src/router/router_status_callers.c
+++ b/src/router/router_status_callers.c
@@ -1,7 +1,7 @@
 /**
  * @file router_status_callers.c
- * @brief The parts of the status about callers and traffic: refusals by reason, the largest tenants' limit_refusals,
- * bytes sent by distance, pipelined requests.
+ * @brief The parts of the status about callers and traffic: refusals by reason, the largest tenants' limits, bytes sent
+ * by distance, pipelined requests.
  */
 #include <string.h>
 
@@ -46,8 +46,8 @@
 {
     json_t  *counts = json_object();
     uint64_t limit_refusals =
-        cw_metric_value(CW_METRIC_REFUSED_TENANT); /* refusals for either of a tenant's two limit_refusals: its rate,
-                                                      and its requests at once */
+        cw_metric_value(CW_METRIC_REFUSED_TENANT); /* refusals for either of a tenant's two limits: its rate, and its
+                                                      requests at once */
     uint64_t rate_refusals = cw_metric_value(CW_METRIC_REFUSED_LIMIT);
     size_t   index;
 
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -2,7 +2,7 @@
  * @file router_view.c
  * @brief The list of servers and the tables of keys by which this node routes, and their age.
  *
- * The leader sends both in pages, each under a number. For a node that has the newest number, each heartbeat of the
+ * The leader sends both in pages, each with a version. For a node that has the newest version, each heartbeat of the
  * leader confirms them. Without a fresh heartbeat a node reads the store itself: the list, and the records of
  * assignments, by whose owners it then routes. This is safe because the store is linearizable, and every change is
  * written there before servers are ordered to carry it out.
@@ -24,14 +24,15 @@
     LIST_SPREAD_PERCENT = 20,          /* of `drain`: additional spread at nodes that receive the leader's heartbeat */
     MIN_SERVERS_PER_NODE = 10,         /* servers that a list is assumed to have at least */
     FIRST_READ_RETRY_MS = 700,
-    LEADER_WAIT_MS = 100,       /* a starting node has the leader's heartbeat by then: seeds answer within 50 ms */
-    LEADER_LIST_WAIT_MS = 4000, /* by then the leader's list has come from nodes of the zone or from the leader */
+    LEADER_WAIT_MS = 100, /* a starting node receives the leader's heartbeat in this time: seeds answer within 50 ms */
+    LEADER_LIST_WAIT_MS = 4000, /* the leader's list arrives in this time, from nodes of the zone or from the leader */
     READER_TABLES_STALE_PERCENT = 25, /* of the tables' validity: age at which readers of a large fleet read them */
     TABLES_STALE_PERCENT = 50,        /* the same for other nodes, for which a reader mostly confirms them before */
     HEARTBEAT_STALE_PERCENT = 45,     /* of `drain`: after so long without the leader's heartbeat a node reads itself */
     TABLES_READ_INTERVAL_MS = 700,
-    STORE_LOST_INTERVAL_PERCENT = 80 /* of `drain`: see read_interval. The bounds apply to a machine again only when the
-                                      * store has been back for longer (contact-s of the sheets) */
+    /* Of `drain`, see read_interval. The time bounds apply to a machine again only when the store has been back for
+     * longer than this interval. */
+    STORE_LOST_INTERVAL_PERCENT = 80
 };
 
 /* ---- the list of servers ---- */
@@ -168,8 +169,8 @@
            cw_peer_link_alive(router->link, router->silence, now) >= CW_FLEET_MANY_NODES;
 }
 
-/* Pause between two reads. While the store does not answer, calls of many nodes would burden it, and each call has a
- * cost: so nodes of a large fleet pause for longer, except the readers. */
+/* Interval between two reads. While the store does not answer, calls of many nodes would burden it, and each call has a
+ * cost: so the interval is longer at the nodes of a large fleet, except the readers. */
 static cw_time_us_t read_interval(const cw_router_t *router, cw_time_us_t usual, cw_time_us_t now)
 {
     cw_time_us_t longer = router->settings.drain * STORE_LOST_INTERVAL_PERCENT / 100;
@@ -178,7 +179,7 @@
     return is_slowed && longer > usual ? longer : usual;
 }
 
-/* Pause between two reads of the list while the store answers. */
+/* Interval between two reads of the list while the store answers. */
 static cw_time_us_t usual_read_interval(const cw_router_t *router, cw_time_us_t now)
 {
     if (cw_router_has_authority(router, now)) {
@@ -190,11 +191,11 @@
 
 static void read_servers(cw_router_t *router, cw_time_us_t now)
 {
-    cw_time_us_t pause = usual_read_interval(router, now);
+    cw_time_us_t interval = usual_read_interval(router, now);
     bool         from_copy = router->server_view.list == NULL && !cw_router_has_authority(router, now);
 
-    pause = from_copy ? CW_MS(FIRST_READ_RETRY_MS) : read_interval(router, pause, now);
-    if (router->reading_servers || now - router->servers_read_at < pause) {
+    interval = from_copy ? CW_MS(FIRST_READ_RETRY_MS) : read_interval(router, interval, now);
+    if (router->reading_servers || now - router->servers_read_at < interval) {
         return;
     }
     router->reading_servers = true;
@@ -384,7 +385,7 @@
     cw_time_us_t           true_at = read->sent_at;
     cw_assignment_record_t record;
 
-    if (read->from_copy) { /* used for a shorter time; owners that no longer hold the keys say so */
+    if (read->from_copy) { /* used for a shorter time; owners that no longer hold the keys reply that they do not */
         true_at -= tables_validity(router) * TABLES_STALE_PERCENT / 100;
     }
     router->table_reads_pending--;
@@ -444,7 +445,7 @@
     return true;
 }
 
-/* Logs one line when the leader becomes silent, and one when the tables become too old for routing. */
+/* Logs one line when the leader's heartbeat is overdue, and one when the tables become too old for routing. */
 static void log_staleness(cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
     bool expired = router->tables_valid_at > 0 &&
@@ -479,7 +480,7 @@
 
 /* A starting node receives the leader's list from nodes of its zone. Reading the list takes a call for each page of the
  * store, and after reading a later revision the node rejects the pages that it receives. So it reads the list only if
- * that does not arrive in time. */
+ * the leader's list does not arrive in time. */
 static bool is_first_read_due(const cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
     cw_time_us_t wait = CW_MS(is_heartbeat_fresh ? LEADER_LIST_WAIT_MS : LEADER_WAIT_MS);
@@ -490,7 +491,7 @@
 
 /* Age of the list at which this node reads it. A list that the leader cannot renew for a moment becomes stale at all
  * nodes at the same time, so that their reads are spread (list_read_delay.h). In a small fleet without the leader's
- * heartbeat they are not, since the nodes read little. */
+ * heartbeat the reads are not spread, since the nodes read little. */
 static cw_time_us_t list_max_age(const cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
     cw_time_us_t window = read_window(router, now);
--- a/src/router/router_view_pages.c
+++ b/src/router/router_view_pages.c
@@ -2,9 +2,9 @@
  * @file router_view_pages.c
  * @brief Handles the leader's pages of the list and of the tables, and its hashes of what this node may already have.
  *
- * A page belongs to a term, a number and a base. All pages with the same ones together are the whole list (base 0), or
- * what changed since the list of number `base`. They are applied when the last one has been received, if what this node
- * has is not older than the base. The result is acknowledged to the leader at once.
+ * A page belongs to a term, a version and a base. All pages of the same term, version and base together are the whole
+ * list (base 0), or what changed since the list of version `base`. They are applied when the last one has been
+ * received, if what this node has is not older than the base. The result is acknowledged to the leader at once.
  */
 #include <string.h>
 
@@ -52,9 +52,9 @@
     return count;
 }
 
-/* Tells other nodes of the zone that they can request the list from this one. Without that they would learn it only
- * from the next report, and reports of a large zone are seconds apart. A relay is the first node of its zone to have
- * the list and tells all others; any other node tells a few, each node different ones. */
+/* Announces to other nodes of the zone that they can request the list from this one. Otherwise they would learn this
+ * only from the next report, and reports of a large zone are seconds apart. A relay is the first node of its zone to
+ * have the list and announces it to all others; any other node announces it to a few, each node to different ones. */
 static void announce_whole_list(cw_router_t *router)
 {
     size_t           count = count_zone_peers(router);
--- a/src/router/router_zones.c
+++ b/src/router/router_zones.c
@@ -7,7 +7,8 @@
 #include "router/router_internal.h"
 
 enum {
-    NODES_REFRESH_MS = 100 /* interval of updating the nodes that share cold servers; well below their silence */
+    /* Interval of updating the nodes that share cold servers; well below the timeout of a peer. */
+    NODES_REFRESH_MS = 100
 };
 
 void cw_router_zones_init(cw_router_t *router)
--- a/src/router/servers_pages.h
+++ b/src/router/servers_pages.h
@@ -20,7 +20,7 @@
     char            *removed[CW_REMOVED_MAX];
 } cw_servers_page_room_t;
 
-/** Number of pages for what changed after the list of number `base`, or for the whole list (0); at least one. */
+/** Number of pages for what changed after the list of version `base`, or for the whole list (0); at least one. */
 uint32_t cw_servers_page_count(const cw_server_list_t *list, uint64_t base);
 /** Sets the page's servers to the next ones from index `from` on; returns the index at which the next page starts. */
 size_t cw_servers_page_fill(Cwp__ServersPage *page, cw_servers_page_room_t *room, const cw_server_list_t *list,
--- a/src/router/signal_notices.c
+++ b/src/router/signal_notices.c
@@ -14,8 +14,8 @@
     RESEND_INTERVAL_MS = 200,  /* interval between these */
     DATAGRAM_INTERVAL_MS = 50, /* shortest interval between datagrams: servers that change all the time share them */
     CHANGE_INTERVAL_MS = 500,  /* shortest interval between notices of changes of one server */
-    RENEWAL_INTERVAL_MS =
-        3000, /* three renewals in the time after which a limit is forgotten (CW_LIMIT_FORGOTTEN_MS) */
+    /* Three renewals in the time after which a limit is forgotten (CW_LIMIT_FORGOTTEN_MS). */
+    RENEWAL_INTERVAL_MS = 3000,
 };
 
 /** State of the notices about one server. */
--- a/src/router/table_pages.h
+++ b/src/router/table_pages.h
@@ -21,7 +21,7 @@
 
 /** Number of pages for so many entries; at least one. */
 uint32_t cw_table_page_count(size_t entries);
-/** Copies the entries that changed after the tables of number `base` (0: all entries), at most `room`; returns how
+/** Copies the entries that changed after the tables of version `base` (0: all entries), at most `room`; returns how
  * many. */
 size_t cw_table_changes(const cw_key_table_t *table, uint64_t base, cw_table_entry_t *changes, size_t room);
 /** Sets the page's ranges to those of page number `part` of the entries. */
--- a/src/router/table_publication.c
+++ b/src/router/table_publication.c
@@ -1,6 +1,6 @@
 /**
  * @file table_publication.c
- * @brief The pause between two publications of a leader.
+ * @brief The interval between two publications of a leader.
  */
 #include "router/table_publication.h"
 
--- a/src/router/table_publication.h
+++ b/src/router/table_publication.h
@@ -2,13 +2,13 @@
  * @file table_publication.h
  * @brief When the leader publishes changes of its assignments in the tables by which all nodes route.
  *
- * Each answered grant may change a table, and tables are built and sent under a new number. A change is published at
- * once if none was published recently. Otherwise it is published together with the changes that follow it, after a
- * pause that grows with the number of nodes to send to. So thousands of first grants lead to tens of tables, whose
+ * Each answered grant may change a table, and tables are built and sent with a new version. A change is published at
+ * once if none was published recently. Otherwise it is published together with the changes that follow it, after an
+ * interval that grows with the number of nodes to send to. So thousands of first grants lead to tens of tables, whose
  * datagrams stay within the leader's budget.
  *
- * From the first unpublished change on, the last tables are outdated. A leader states that in its heartbeats before it
- * publishes the next ones.
+ * From the first unpublished change on, the last tables are outdated. A leader announces that in its heartbeats before
+ * it publishes the next tables.
  *
  * No I/O, no clock.
  */
--- a/src/router/view_check.h
+++ b/src/router/view_check.h
@@ -1,11 +1,11 @@
 /**
  * @file view_check.h
- * @brief When a node whose list or tables have the leader's number but different content requests the whole content.
+ * @brief When a node whose list or tables have the leader's version but different content requests the whole content.
  *
- * A node applies changes to what it has. If that ever differed from what the leader had under the same number, it would
- * differ for the rest of the term. The number and the hash in the leader's heartbeat reveal this. They may differ for a
- * while for a good reason: a node keeps what it has itself observed of a leaving server (server_view.h). So the node
- * requests the content only after a delay, and rarely.
+ * A node applies changes to its own list or tables. If these ever differed from the leader's of the same version, they
+ * would differ for the rest of the term. The version and the hash in the leader's heartbeat reveal this. The hashes may
+ * differ for a while for a good reason: a node keeps what it has itself observed of a leaving server (server_view.h).
+ * So the node requests the content only after a delay, and rarely.
  *
  * No I/O; time is a parameter.
  */
@@ -28,8 +28,8 @@
     cw_time_us_t again; /**< time between two requests */
 } cw_view_check_delays_t;
 
-/** Records a heartbeat with the number that this node has. Returns true if the caller is to request the whole content.
- */
+/** Records a heartbeat with the version that this node has. Returns true if the caller is to request the whole
+ * content. */
 bool cw_view_check_record(cw_view_check_t *check, bool is_equal, const cw_view_check_delays_t *delays,
                           cw_time_us_t now);
 
--- a/src/router/view_updates.h
+++ b/src/router/view_updates.h
@@ -32,18 +32,18 @@
 /** All updates that are being received. */
 typedef struct cw_view_updates cw_view_updates_t;
 
-/** Creates it without any update. */
+/** Creates the collection without any update. */
 cw_view_updates_t *cw_view_updates_create(void);
-/** Frees it with all updates. */
+/** Frees the collection with all updates. */
 void cw_view_updates_free(cw_view_updates_t *updates);
 
-/** Adds a page to its update and returns that; NULL: the page was received before, or is invalid. */
+/** Adds a page of the list to its update and returns the update; NULL: the page was received before, or is invalid. */
 cw_list_update_t *cw_view_updates_add_list_page(cw_view_updates_t *updates, const Cwp__ServersPage *page,
                                                 cw_time_us_t now);
 /** The list that results from a complete update, applied to the known list (NULL: none). Empties the update. */
 cw_server_list_t *cw_list_update_finish(cw_list_update_t *update, const cw_server_list_t *known);
 
-/** The same for a page of tables. */
+/** Adds a page of tables to its update and returns the update; NULL: the page was received before, or is invalid. */
 cw_table_update_t *cw_view_updates_add_table_page(cw_view_updates_t *updates, const Cwp__TablePage *page,
                                                   cw_time_us_t now);
 /** Frees the collected tables; the update is unused afterwards. */
--- a/src/router/zone_links.h
+++ b/src/router/zone_links.h
@@ -6,7 +6,7 @@
  *  - A zone is covered while a recent summary of it states that the zone has recently received a summary of this zone.
  *    Both directions work then. Otherwise each node reports directly to each node of that zone, as nodes of a small
  *    fleet always do.
- *  - The time after which a zone is no longer covered is shorter than the silence after which a node counts as lost, so
+ *  - The time after which a zone is no longer covered is shorter than the timeout after which a node counts as lost, so
  *    that no node counts as lost because relays have stopped.
  *  - A summary that is not newer than the last one of the same relay is ignored: it was delayed, or received twice.
  *
@@ -59,8 +59,8 @@
     bool        acknowledges; /**< its relay has recently received a summary of this node's zone */
 } cw_summary_header_t;
 
-/** Notes a received summary. False: it is to be ignored, since it is not newer than the last one of its relay or there
- * is no room for its zone. */
+/** Records a received summary. False: the summary is to be ignored, since it is not newer than the last one of its
+ * relay or there is no room for its zone. */
 bool cw_zone_links_record(cw_zone_links_t *links, const cw_summary_header_t *header, cw_time_us_t now);
 /** Whether relays currently exchange summaries between this node's zone and that zone, in both directions. */
 bool cw_zone_links_is_covered(const cw_zone_links_t *links, const char *zone, cw_time_us_t now);
--- a/tests/test_configuration_exchange.c
+++ b/tests/test_configuration_exchange.c
@@ -171,7 +171,7 @@
     ck_assert_uint_eq(left->limits.body_bytes, right->limits.body_bytes);
 }
 
-static void note_answering_node(uint64_t version, bool is_same_zone, cw_time_us_t now)
+static void record_answering_node(uint64_t version, bool is_same_zone, cw_time_us_t now)
 {
     cw_configuration_exchange_record_holder(nodes[ASKING].exchange, ANSWERING + 1, version, is_same_zone, now);
 }
@@ -180,7 +180,7 @@
 {
     set_up();
     use(&nodes[ANSWERING], configuration_of(7, 100, -1, -1));
-    note_answering_node(7, true, 0);
+    record_answering_node(7, true, 0);
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_eq(routes_sent, 100);
 }
@@ -192,7 +192,7 @@
     use(&nodes[ASKING], configuration_of(7, 1000, -1, -1));
     use(&nodes[ANSWERING], configuration_of(7, 1000, -1, -1));
     use(&nodes[ANSWERING], configuration_of(9, 1001, 500, 3)); /* one added, one removed, one changed */
-    note_answering_node(9, true, 0);
+    record_answering_node(9, true, 0);
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_eq(routes_sent, 2);
 }
@@ -202,7 +202,7 @@
 {
     set_up();
     use(&nodes[ANSWERING], configuration_of(7, CW_CONFIGURATION_PAGES_MAX * CW_CONFIGURATION_PAGE_ITEMS + 1, -1, -1));
-    note_answering_node(7, true, 0);
+    record_answering_node(7, true, 0);
     ck_assert_ptr_null(nodes[ASKING].in_force);
     ck_assert_uint_eq(nodes[ASKING].too_large, 1);
     ck_assert_uint_eq(sent, 2);
@@ -226,7 +226,7 @@
     use(&nodes[ASKING], configuration_of(7, 1400, -1, -1));
     use(&nodes[ANSWERING], configuration_of(7, 1400, -1, -1));
     use(&nodes[ANSWERING], configuration_of(9, 2800, 3, -1));
-    note_answering_node(9, true, 0);
+    record_answering_node(9, true, 0);
     run_until(9, CW_SECONDS(1));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_eq(nodes[ASKING].too_large, 0);
@@ -240,7 +240,7 @@
     use(&nodes[ASKING], configuration_of(7, 2800, -1, -1));
     use(&nodes[ANSWERING], configuration_of(7, 2800, -1, -1));
     use(&nodes[ANSWERING], configuration_of(9, 10, -1, -1));
-    note_answering_node(9, true, 0);
+    record_answering_node(9, true, 0);
     run_until(9, CW_SECONDS(1));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_eq(routes_sent, 0);
@@ -252,7 +252,7 @@
     set_up();
     use(&nodes[ANSWERING], configuration_of(7, 2000, -1, -1));
     drop_every = 7;
-    note_answering_node(7, true, 0);
+    record_answering_node(7, true, 0);
     run_until(7, CW_SECONDS(5));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
     ck_assert_uint_lt(routes_sent, 3 * 2000);
@@ -266,11 +266,11 @@
     set_up();
     use(&nodes[ANSWERING], configuration_of(7, 2000, -1, -1));
     drop_every = 7;
-    note_answering_node(7, true, 0);
+    record_answering_node(7, true, 0);
     for (version = 8; version < 14; version++) { /* the answering node keeps eight versions */
         run_until(version, CW_MS(60));
         use(&nodes[ANSWERING], configuration_of(version, 2000, -1, (int)version));
-        note_answering_node(version, true, wire_now);
+        record_answering_node(version, true, wire_now);
     }
     run_until(13, CW_SECONDS(5));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
@@ -282,7 +282,7 @@
 {
     set_up_with_allowance(20000); /* a route takes about 60 bytes */
     use(&nodes[ANSWERING], configuration_of(7, 5000, -1, -1));
-    note_answering_node(7, true, 0);
+    record_answering_node(7, true, 0);
     run_until(7, CW_SECONDS(2));
     ck_assert_ptr_null(nodes[ASKING].in_force);
     ck_assert_uint_gt(routes_sent, 300);
@@ -333,7 +333,7 @@
     set_up();
     use(&nodes[ANSWERING], configuration_of(7, 100, -1, -1));
     drop_next = 1;
-    note_answering_node(7, true, now);
+    record_answering_node(7, true, now);
     ck_assert_ptr_null(nodes[ASKING].in_force);
     for (tries = 0; tries < 3 && nodes[ASKING].in_force == NULL; tries++) {
         now += CW_MS(200);
@@ -349,7 +349,7 @@
     use(&nodes[ANSWERING], configuration_of(7, 10, -1, -1));
     cw_configuration_exchange_record_holder(nodes[ASKING].exchange, 99, 7, false, 0);
     ck_assert_uint_eq(sent, 0); /* a node of the same zone may still be found */
-    note_answering_node(7, true, CW_MS(10));
+    record_answering_node(7, true, CW_MS(10));
     ck_assert_uint_eq(sent, 2);
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
 }
@@ -361,7 +361,7 @@
     use(&nodes[ANSWERING], configuration_of(7, 10, -1, -1));
     cw_configuration_exchange_record_holder(nodes[ASKING].exchange, 99, 7, true, 0); /* no node has this address */
     ck_assert_uint_eq(last_receiver, 99);
-    note_answering_node(7, false, CW_MS(50));
+    record_answering_node(7, false, CW_MS(50));
     cw_configuration_exchange_tick(nodes[ASKING].exchange, CW_MS(200));
     assert_same(nodes[ASKING].in_force, nodes[ANSWERING].in_force);
 }
@@ -374,7 +374,7 @@
     set_up();
     use(&nodes[ASKING], configuration_of(9, 10, -1, -1));
     use(&nodes[ANSWERING], configuration_of(7, 10, -1, -1));
-    note_answering_node(7, true, 0);
+    record_answering_node(7, true, 0);
     ck_assert_uint_eq(sent, 0);
     request.has = 9;
     cw_configuration_exchange_handle_request(nodes[ANSWERING].exchange, ASKING + 1, &request, 0);
--- a/tests/test_fleet_scale.c
+++ b/tests/test_fleet_scale.c
@@ -83,7 +83,8 @@
 }
 END_TEST
 
-/* Returns the number of renewals a second over RENEWAL_S seconds. check_holds shows afterwards that no hold ran out. */
+/* Returns the number of renewals a second over RENEWAL_S seconds. check_leases shows afterwards that no lease
+ * expired. */
 static double measured_renewals_per_second(node_fixture_t *node)
 {
     uint64_t before = 0;
@@ -103,7 +104,7 @@
     return (double)(sent - before) / RENEWAL_S;
 }
 
-static void check_holds(const node_fixture_t *node)
+static void check_leases(const node_fixture_t *node)
 {
     const cw_range_list_t *ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
     size_t                 index;
@@ -123,7 +124,7 @@
 
     (void)tick_until_held(node, owners);
     ck_assert_double_le(measured_renewals_per_second(node), RENEWALS_PER_SECOND_MAX);
-    check_holds(node);
+    check_leases(node);
     node_fixture_free(node);
 }
 END_TEST
@@ -194,7 +195,7 @@
     return list;
 }
 
-/* CPU time in seconds for taking a list, as if read from the store, of which one entry in fifty has changed: the
+/* CPU time in seconds for applying a list, as if read from the store, of which one entry in fifty has changed: the
  * shortest of several. */
 static double time_of_change(size_t servers)
 {
--- a/tests/test_fleet_size.c
+++ b/tests/test_fleet_size.c
@@ -21,7 +21,7 @@
     return fleet;
 }
 
-START_TEST(without_a_stated_number_the_fleet_is_reached_after_a_bounded_time)
+START_TEST(without_an_announced_number_the_fleet_is_reached_after_a_bounded_time)
 {
     cw_fleet_size_t fleet = started();
 
@@ -31,7 +31,7 @@
 }
 END_TEST
 
-START_TEST(the_fleet_is_reached_with_nearly_all_of_the_stated_nodes)
+START_TEST(the_fleet_is_reached_with_nearly_all_of_the_announced_nodes)
 {
     cw_fleet_size_t fleet = started();
 
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-START_TEST(the_own_count_replaces_the_stated_number)
+START_TEST(the_own_count_replaces_the_announced_number)
 {
     cw_fleet_size_t fleet = started();
 
@@ -73,32 +73,32 @@
 }
 END_TEST
 
-START_TEST(a_new_leader_states_the_number_of_its_predecessor_or_none)
+START_TEST(a_new_leader_announces_the_number_of_its_predecessor_or_none)
 {
     cw_fleet_size_t fleet = started();
 
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 12, CW_MS(109999)), 0);
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 12, CW_SECONDS(110)), 12);
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 12, CW_MS(109999)), 0);
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 12, CW_SECONDS(110)), 12);
     cw_fleet_size_note(&fleet, 81);
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 12, CW_SECONDS(101)), 81);
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 12, CW_SECONDS(101)), 81);
 }
 END_TEST
 
-START_TEST(the_number_that_a_leader_states_falls_slowly)
+START_TEST(the_number_that_a_leader_announces_falls_slowly)
 {
     cw_fleet_size_t fleet = started();
 
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 81, CW_SECONDS(120)), 81);
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 1, CW_SECONDS(150)),
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 81, CW_SECONDS(120)), 81);
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 1, CW_SECONDS(150)),
                       81); /* the leader is cut off from all other nodes */
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 1, CW_SECONDS(180)), 40);
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 1, CW_SECONDS(239)), 40);
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 82, CW_SECONDS(239)), 82);
-    ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 70, CW_SECONDS(300)), 70); /* an operator has removed nodes */
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 1, CW_SECONDS(180)), 40);
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 1, CW_SECONDS(239)), 40);
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 82, CW_SECONDS(239)), 82);
+    ck_assert_uint_eq(cw_fleet_size_to_announce(&fleet, 70, CW_SECONDS(300)), 70); /* an operator has removed nodes */
 }
 END_TEST
 
-START_TEST(a_smaller_stated_number_replaces_a_larger_one)
+START_TEST(a_smaller_announced_number_replaces_a_larger_one)
 {
     cw_fleet_size_t fleet = started();
 
@@ -156,14 +156,14 @@
     SRunner *runner;
     int      failed;
 
-    tcase_add_test(cases, without_a_stated_number_the_fleet_is_reached_after_a_bounded_time);
-    tcase_add_test(cases, the_fleet_is_reached_with_nearly_all_of_the_stated_nodes);
+    tcase_add_test(cases, without_an_announced_number_the_fleet_is_reached_after_a_bounded_time);
+    tcase_add_test(cases, the_fleet_is_reached_with_nearly_all_of_the_announced_nodes);
     tcase_add_test(cases, a_part_of_a_divided_fleet_waits_and_uses_the_number_of_the_whole);
-    tcase_add_test(cases, the_own_count_replaces_the_stated_number);
+    tcase_add_test(cases, the_own_count_replaces_the_announced_number);
     tcase_add_test(cases, a_leader_without_a_number_changes_nothing);
-    tcase_add_test(cases, a_new_leader_states_the_number_of_its_predecessor_or_none);
-    tcase_add_test(cases, the_number_that_a_leader_states_falls_slowly);
-    tcase_add_test(cases, a_smaller_stated_number_replaces_a_larger_one);
+    tcase_add_test(cases, a_new_leader_announces_the_number_of_its_predecessor_or_none);
+    tcase_add_test(cases, the_number_that_a_leader_announces_falls_slowly);
+    tcase_add_test(cases, a_smaller_announced_number_replaces_a_larger_one);
     tcase_add_test(cases, the_lock_carries_the_number_to_the_next_leader);
     tcase_add_test(cases, a_lock_with_a_missing_or_invalid_number_is_accepted);
     suite_add_tcase(suite, cases);
--- a/tests/test_leader_tenure.c
+++ b/tests/test_leader_tenure.c
@@ -17,7 +17,7 @@
 }
 END_TEST
 
-START_TEST(takes_the_lock_later_while_a_rival_is_in_reach)
+START_TEST(takes_the_lock_later_while_a_rival_is_reachable)
 {
     cw_leader_tenure_t tenure = {0};
 
@@ -29,7 +29,7 @@
 }
 END_TEST
 
-START_TEST(hands_over_after_a_rival_stays_in_reach)
+START_TEST(hands_over_after_a_rival_stays_reachable)
 {
     cw_leader_tenure_t tenure = {0};
     cw_time_us_t       seen_at = CW_SECONDS(START_S);
@@ -90,8 +90,8 @@
     TCase *cases = tcase_create("tenure");
 
     tcase_add_test(cases, a_rival_has_at_least_twice_the_capability);
-    tcase_add_test(cases, takes_the_lock_later_while_a_rival_is_in_reach);
-    tcase_add_test(cases, hands_over_after_a_rival_stays_in_reach);
+    tcase_add_test(cases, takes_the_lock_later_while_a_rival_is_reachable);
+    tcase_add_test(cases, hands_over_after_a_rival_stays_reachable);
     tcase_add_test(cases, leads_for_a_minimum_time_before_handing_over);
     tcase_add_test(cases, announces_a_release_for_a_bounded_time);
     tcase_add_test(cases, reports_a_change_of_authority_once);
--- a/tests/test_list_exchange.c
+++ b/tests/test_list_exchange.c
@@ -32,8 +32,8 @@
     bool                received[PAGES];
     bool                is_dead;
     bool                is_frozen;
-    uint32_t            requests_taken; /**< requests received */
-    size_t              bytes;          /**< bytes sent */
+    uint32_t            requests_received; /**< requests received */
+    size_t              bytes;             /**< bytes sent */
     uint32_t            pages_received;
     cw_time_us_t        link_free_at;
 } zone_node_t;
@@ -177,7 +177,7 @@
     }
     switch (event->kind) {
     case EVENT_REQUEST:
-        node->requests_taken++;
+        node->requests_received++;
         cw_list_exchange_handle_request(node->exchange, event->from, &event->window, now);
         break;
     case EVENT_PAGE:
@@ -275,7 +275,7 @@
     uint32_t index;
 
     for (index = 0; index < node_count; index++) {
-        count += nodes[index].requests_taken;
+        count += nodes[index].requests_received;
     }
     return count;
 }
@@ -289,7 +289,7 @@
     run(2000);
     ck_assert(has_newest(&nodes[1]));
     ck_assert_uint_eq(nodes[1].pages_received, PAGES);
-    ck_assert_uint_eq(nodes[0].requests_taken, PAGES / CW_LIST_WINDOW_PAGES);
+    ck_assert_uint_eq(nodes[0].requests_received, PAGES / CW_LIST_WINDOW_PAGES);
 }
 END_TEST
 
@@ -299,7 +299,7 @@
     give_list(&nodes[0]);
     nodes[1].has = (cw_list_id_t){.term = newest.term, .version = newest.version - 3};
     run(2000);
-    ck_assert_uint_eq(nodes[0].requests_taken, 0);
+    ck_assert_uint_eq(nodes[0].requests_received, 0);
 }
 END_TEST
 
@@ -385,7 +385,7 @@
     run(2000);
     give_list(&nodes[0]);
     run(5000);
-    ck_assert_uint_eq(nodes[0].requests_taken, 0);
+    ck_assert_uint_eq(nodes[0].requests_received, 0);
 }
 END_TEST
 
@@ -445,15 +445,15 @@
 
 START_TEST(a_list_that_was_received_whole_and_rejected_is_not_requested_again)
 {
-    uint32_t requests_taken;
+    uint32_t requests_received;
 
     set_up_zone(2, 0);
     give_list(&nodes[0]);
     run(2000);
-    requests_taken = nodes[0].requests_taken;
+    requests_received = nodes[0].requests_received;
     nodes[1].has = (cw_list_id_t){0}; /* it rejected the list, since it had read a later one */
     run(5000);
-    ck_assert_uint_eq(nodes[0].requests_taken, requests_taken);
+    ck_assert_uint_eq(nodes[0].requests_received, requests_received);
 }
 END_TEST
 
--- a/tests/test_list_requests.c
+++ b/tests/test_list_requests.c
@@ -28,7 +28,7 @@
     return sent(node, CWP__DATAGRAM__CONTENT_LIST_REQUEST, CW_DISTANCE_ZONE);
 }
 
-/* A report of a node that has the leader's list of this number. */
+/* A report of a node that has the leader's list of this version. */
 static void receive_report(node_fixture_t *node, const char *from, const char *zone, uint64_t version)
 {
     static uint32_t sequence;
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -26,7 +26,7 @@
     MANY_SERVERS = 2100,    /* of one service */
     HUGE_LIST = 40000,      /* servers */
     PAGES_MAX = 512,        /* of a list */
-    LONG_FREEZE_MS = 120000 /* all peers are forgotten: among MANY_NODES, one may be silent for 60 s */
+    LONG_FREEZE_MS = 120000 /* all peers are forgotten: among MANY_NODES, a peer may count as lost only after 60 s */
 };
 
 #define OTHER "10.0.0.9"
@@ -329,7 +329,7 @@
     /* Not applied: the page before it, which names the removed servers, is missing. */
     receive_servers(node, &early, "i-c");
     ck_assert_uint_eq(node->router.server_view.list->count, 2);
-    receive_servers(node, &first, "i-d"); /* an earlier number */
+    receive_servers(node, &first, "i-d"); /* an earlier version */
     ck_assert_uint_eq(node->router.server_view.list->count, 2);
     receive_table(node, TERM, 1, 2, "s");
     receive_table(node, TERM + 1, 0, 2, "t");
@@ -673,7 +673,8 @@
 }
 END_TEST
 
-/* ---- the leader's number, but other contents ---- */
+/* ---- the leader's version, but other contents ---- */
+/* ---- the leader's version, but other contents ---- */
 
 static void receive_list(node_fixture_t *node, uint64_t version)
 {
@@ -686,7 +687,7 @@
     receive_servers(node, &page, "i-1");
 }
 
-/* Delivers heartbeats that name the number of the list, with a hash that differs from that of the list in force. */
+/* Delivers heartbeats that name the version of the list, with a hash that differs from that of the list in force. */
 static void receive_heartbeats(node_fixture_t *node, uint64_t version, int milliseconds)
 {
     int passed;
--- a/tests/test_pass_on.c
+++ b/tests/test_pass_on.c
@@ -7,14 +7,14 @@
 #include "loop_fixture.h"
 #include "node_fixture.h"
 
-enum { TERM = 5, LIST_VERSION = 3, TABLES_NUMBER = 4, STEPS = 60 };
+enum { TERM = 5, LIST_VERSION = 3, TABLES_VERSION = 4, STEPS = 60 };
 
 static uint64_t sent_to_zone(const node_fixture_t *node, Cwp__Datagram__ContentCase kind)
 {
     return cw_peer_link_traffic(node->router.link)->datagrams[kind][CW_DISTANCE_ZONE];
 }
 
-/* Adds a node that has read the list and a record of assignments in the store itself, so that it has no number of
+/* Adds a node that has read the list and a record of assignments in the store itself, so that it has no version of
  * either. */
 static cw_peer_t *add_reader(node_fixture_t *node)
 {
@@ -35,11 +35,11 @@
     cw_range_t      range = {.low = 0, .last = CW_KEY_LAST, .phase = CW_RANGE_HELD};
     cw_range_list_t ranges = {.items = &range, .count = 1};
 
-    ck_assert(cw_key_tables_update(&node->router.tables, "docks", &ranges, TABLES_NUMBER));
-    node->router.view_tables_version = TABLES_NUMBER;
+    ck_assert(cw_key_tables_update(&node->router.tables, "docks", &ranges, TABLES_VERSION));
+    node->router.view_tables_version = TABLES_VERSION;
 }
 
-/* Receives a heartbeat: the leader has this node's list under the same number. */
+/* Receives a heartbeat: the leader's list has the version of this node's list. */
 static void receive_heartbeat(node_fixture_t *node)
 {
     Cwp__LeaderHeartbeat heartbeat = CWP__LEADER_HEARTBEAT__INIT;
@@ -88,7 +88,7 @@
 }
 END_TEST
 
-/* Receives a page of changes that the leader sends to this relay. Returns the length of the page as it is passed on. */
+/* Receives a page of changes that the leader sends to this relay. Returns the length of the page as it is forwarded. */
 static size_t receive_page_to_forward(node_fixture_t *node)
 {
     Cwp__ServersPage page = CWP__SERVERS_PAGE__INIT;
@@ -109,7 +109,7 @@
     datagram.servers = &page;
     page.pass_on = true;
     node_fixture_receive(node, "10.0.2.1", &datagram);
-    page.pass_on = false; /* as in the page that is passed on */
+    page.pass_on = false; /* as in the page that is forwarded */
     return cwp__datagram__get_packed_size(&datagram);
 }
 
--- a/tests/test_pass_on_queue.c
+++ b/tests/test_pass_on_queue.c
@@ -1,6 +1,6 @@
 /**
  * @file test_pass_on_queue.c
- * @brief Updates that a relay passes on: only complete ones, within an allowance, to nodes that lack them.
+ * @brief Updates that a relay forwards: only complete ones, within an allowance, to nodes that lack them.
  *
  * Pattern of load: a change of many pages, and a zone of hundreds of nodes.
  */
--- a/tests/test_relay_summaries.c
+++ b/tests/test_relay_summaries.c
@@ -59,7 +59,7 @@
     node_fixture_receive(node, relay_address, &datagram);
 }
 
-static uint64_t passed_on(const node_fixture_t *node)
+static uint64_t forwarded_count(const node_fixture_t *node)
 {
     return cw_peer_link_traffic(node->router.link)->datagrams[CWP__DATAGRAM__CONTENT_ZONE_SUMMARY][CW_DISTANCE_ZONE];
 }
@@ -97,7 +97,7 @@
     receive_summary(node, 1, 0);
     ck_assert_ptr_nonnull(listed_node(node));
     ck_assert_int_ne(listed_node(node)->last_received_at, 0);
-    ck_assert_uint_eq(passed_on(node), 1);
+    ck_assert_uint_eq(forwarded_count(node), 1);
     node_fixture_free(node);
 }
 END_TEST
@@ -110,7 +110,7 @@
     receive_summary(node, 1, 0);
     step(node, 0);
     receive_summary(node, 2, 0); /* another one of the backlog in the socket */
-    ck_assert_uint_eq(passed_on(node), 0);
+    ck_assert_uint_eq(forwarded_count(node), 0);
     ck_assert(listed_node(node) == NULL || listed_node(node)->last_received_at == 0);
     node_fixture_free(node);
 }
@@ -128,7 +128,7 @@
     }
     node_fixture_receive_report(node, neighbour_address, "z1", 2); /* it counted as lost meanwhile */
     receive_summary(node, 2, 0);
-    ck_assert_uint_eq(passed_on(node), 1);
+    ck_assert_uint_eq(forwarded_count(node), 1);
     ck_assert_int_ne(listed_node(node)->last_received_at, 0);
     node_fixture_free(node);
 }
@@ -155,7 +155,7 @@
     receive_summary(node, ++sequence, FORMER_INCARNATION);
     receive_summary(node, ++sequence, LATER_INCARNATION);
     receive_summary(node, ++sequence, LATER_INCARNATION + 1);
-    receive_summary(node, ++sequence, FORMER_INCARNATION); /* two incarnations ago: it is taken for a new one */
+    receive_summary(node, ++sequence, FORMER_INCARNATION); /* two incarnations ago: the node treats it as a new one */
     for (passed = 0; passed < LATE_MS; passed += CW_TICK_MS) {
         step(node, CW_TICK_MS);
         receive_summary(node, ++sequence, LATER_INCARNATION + 1);
--- a/tests/test_relays.c
+++ b/tests/test_relays.c
@@ -81,7 +81,7 @@
     return cw_zone_links_is_summarized(&node->links, zone_names[zone], now);
 }
 
-/* Delivers a summary to a relay of another zone, which passes it on to the other nodes there. */
+/* Delivers a summary to a relay of another zone, which forwards it to the other nodes there. */
 static void deliver(fake_world_t *world, int from, uint32_t sequence, const bool *received, uint32_t partner)
 {
     int zone = zone_of((int)(partner - address_of(0)));
@@ -339,7 +339,7 @@
     ck_assert(!cw_zone_links_is_covered(&links, "z2", CW_SECONDS(11)));
     ck_assert(!cw_zone_links_is_summarized(&links, "z2", CW_SECONDS(11)));
     ck_assert(!cw_zone_links_record(&links, &newer,
-                                    CW_SECONDS(11))); /* the same summary, passed on by the other relay of this zone */
+                                    CW_SECONDS(11))); /* the same summary, forwarded by the other relay of this zone */
     ck_assert(cw_zone_links_record(&links, &restarted, CW_SECONDS(12)));
     ck_assert(cw_zone_links_is_covered(&links, "z2", CW_SECONDS(12)));
 }
--- a/tests/test_router_quota.c
+++ b/tests/test_router_quota.c
@@ -168,7 +168,7 @@
 }
 
 /* Guards against refusals after a start: a node stopped counting for others, because two nodes that had just started
- * had told it a moment ago that they do not count. */
+ * had replied to it a moment ago that they do not count. */
 START_TEST(counting_node_goes_on_while_others_decline)
 {
     node_fixture_t    *node = create();
@@ -190,9 +190,9 @@
 }
 END_TEST
 
-/* Guards against a process that divides limits by an assumed number of nodes after it was told the true one (finding
+/* Guards against a process that divides limits by an assumed number of nodes after it received the true one (finding
  * 1b02). */
-START_TEST(stated_number_of_nodes_is_applied_at_once)
+START_TEST(announced_number_of_nodes_is_applied_at_once)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -283,7 +283,7 @@
     tcase_add_test(cases, reply_to_report_with_later_configuration_version_names_unknown_tenants);
     tcase_add_test(cases, node_that_would_ask_another_one_redirects_and_grants_nothing);
     tcase_add_test(cases, counting_node_goes_on_while_others_decline);
-    tcase_add_test(cases, stated_number_of_nodes_is_applied_at_once);
+    tcase_add_test(cases, announced_number_of_nodes_is_applied_at_once);
     tcase_add_test(cases, messages_carry_versions_and_unknown_tenants);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -471,8 +471,8 @@
 }
 END_TEST
 
-/* Ranges are split, moved and joined at random. A node that has an older number and applies what changed since then has
- * the newest tables. */
+/* Ranges are split, moved and joined at random. A node that has an older version and applies what changed since then
+ * has the newest tables. */
 START_TEST(applying_changes_to_an_older_table_yields_the_newest)
 {
     enum { VERSIONS = 120, FOLLOWERS = 4 };
