--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -275,8 +275,8 @@
 /** If this node is a relay, forwards the leader's heartbeat, which has just arrived with a report, to its zone. */
 void cw_router_forward_heartbeat(cw_router_t *router, const cw_peer_t *leader, const Cwp__NodeReport *report);
 /** Handles a leader's heartbeat that a relay has forwarded. */
-void cw_router_handle_passed_heartbeat(cw_router_t *router, const cw_peer_t *sender, const Cwp__PassedHeartbeat *passed,
-                                       cw_time_us_t now);
+void cw_router_handle_forwarded_heartbeat(cw_router_t *router, const cw_peer_t *sender,
+                                          const Cwp__PassedHeartbeat *passed, cw_time_us_t now);
 
 /* ---- router_list_exchange.c ---- */
 /** Creates the exchange of whole lists. */
@@ -301,7 +301,7 @@
 bool cw_router_gets_list_in_zone(const cw_router_t *router, const cw_peer_t *peer);
 
 /* ---- router_push.c ---- */
-/** What an update for a peer contains. */
+/** Contents of an update for a peer. */
 typedef struct cw_push_scope {
     uint64_t base;    /**< the changes since the list (or tables) of this version; 0: the whole list (or tables) */
     bool     forward; /**< the peer is a relay and forwards the update to its zone */
@@ -325,8 +325,8 @@
 void cw_router_push_init(cw_router_t *router);
 /** Records that an update was sent just now; returns when to send it again. */
 cw_time_us_t cw_router_next_push(cw_push_state_t *push, cw_time_us_t now);
-/** Begins a term of this leader: nothing is sent until the others have had time to find, by hashes, that what they
- * have is the same. */
+/** Begins a term of this leader: nothing is sent until the others have had time to find, by hashes, that their copies
+ * are equal. */
 void cw_router_push_begin_term(cw_router_t *router, cw_time_us_t now);
 /** Called when a list of a new version is in force: sends it at once to the peers that had the version before. */
 void cw_router_servers_changed(cw_router_t *router, cw_time_us_t now);
--- a/src/router/router_pass_on.c
+++ b/src/router/router_pass_on.c
@@ -197,8 +197,8 @@
     return true;
 }
 
-void cw_router_handle_passed_heartbeat(cw_router_t *router, const cw_peer_t *sender, const Cwp__PassedHeartbeat *passed,
-                                       cw_time_us_t now)
+void cw_router_handle_forwarded_heartbeat(cw_router_t *router, const cw_peer_t *sender,
+                                          const Cwp__PassedHeartbeat *passed, cw_time_us_t now)
 {
     cw_peer_t *leader = cw_peer_link_learn(router->link, passed->leader, now);
 
--- a/src/router/router_push.c
+++ b/src/router/router_push.c
@@ -153,7 +153,7 @@
                          WHOLE_WAIT_PER_NODE_MS * (int64_t)cw_peer_link_alive(router->link, router->silence, now));
 }
 
-/* Whether the peer gets what it lacks from another node than this one. */
+/* Whether the peer gets the missing list, tables or changes from another node than this one. */
 static bool comes_from_others(const cw_router_t *router, const cw_peer_t *peer, bool is_list, bool is_whole,
                               cw_time_us_t now)
 {
--- a/src/router/router_quota.h
+++ b/src/router/router_quota.h
@@ -82,9 +82,10 @@
 bool cw_router_quota_declines(const cw_router_quota_t *quota);
 /** Address of the node that this one asks about a tenant now, of those that may count and do reply; 0: none. */
 uint32_t cw_router_quota_counting_node(cw_router_quota_t *quota, uint32_t tenant);
-/** Address of the node that counts a tenant as of the last update of the candidates. Unlike above, it is also returned
- * while several other nodes have declined recently: a node that asks this one must not wait until they count. The
- * result is cached, since the function is called for each tenant that a datagram names. */
+/** Address of the node that counts a tenant as of the last update of the candidates. Unlike
+ * cw_router_quota_counting_node, the function also returns the node while several others have declined recently, so
+ * that a node that asks this one need not wait until that is over. The result is cached, since the function is called
+ * for each tenant that a datagram names. */
 uint32_t cw_router_quota_cached_counter(cw_router_quota_t *quota, uint32_t tenant);
 
 /* ---- router_quota.c ---- */
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -234,7 +234,7 @@
         cw_router_handle_list_request(router, peer, datagram->list_request);
         break;
     case CWP__DATAGRAM__CONTENT_PASSED_HEARTBEAT:
-        cw_router_handle_passed_heartbeat(router, peer, datagram->passed_heartbeat, now);
+        cw_router_handle_forwarded_heartbeat(router, peer, datagram->passed_heartbeat, now);
         break;
     case CWP__DATAGRAM__CONTENT_CRASH_REPORT:
         cw_router_handle_crash_report(router, peer, datagram, now);
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -21,8 +21,8 @@
 #include "router/view_check.h"
 
 enum {
-    /* A node that has not ticked for longer has stalled. In a shorter time, what arrived meanwhile is read no later
-     * than the summary that follows a lost one would be. */
+    /* A node that has not ticked for longer has stalled. Datagrams that arrive during a shorter interruption are read
+     * no later than the summary that follows a lost one would be. */
     STALL_MS = CW_SUMMARY_INTERVAL_MS,
     /* The list may differ from the leader's for this time before the whole list is requested, since a node may have
      * observed that a server leaves when the leader has not, or the reverse. */
@@ -67,7 +67,7 @@
     return peer->last_received_at != 0 && peer->distance == CW_DISTANCE_ZONE;
 }
 
-/* ---- what reports may omit ---- */
+/* ---- parts that reports may omit ---- */
 
 bool cw_router_is_covered(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
--- a/src/router/router_share.c
+++ b/src/router/router_share.c
@@ -179,8 +179,8 @@
     return router->is_reader ? CW_CONFIGURATION_READER : CW_CONFIGURATION_FOLLOWER;
 }
 
-/* A process that has just started uses a copy of the configuration and what other nodes send, and watches nothing
- * unless it leads or reads. */
+/* A process that has just started uses a copy of the configuration and the configurations that other nodes send. It
+ * watches nothing unless it leads or reads. */
 static void watch_configuration(cw_router_t *router, bool is_new, cw_time_us_t now)
 {
     cw_configuration_role_t role = configuration_role(router, now);
--- a/src/router/router_store_calls.c
+++ b/src/router/router_store_calls.c
@@ -3,7 +3,7 @@
  * @brief Logs how many calls of each kind this node has made to the store recently.
  *
  * Each call has a cost, and there is a bound for the calls of all nodes together. A log line states the calls since the
- * previous line by kind, so that the logs alone show which nodes call the store, and for what.
+ * previous line by kind, so that the logs alone show which nodes call the store, and for which purpose.
  */
 #include "router/router_internal.h"
 
--- a/src/router/router_summary.c
+++ b/src/router/router_summary.c
@@ -57,7 +57,7 @@
     builder.detail_pointers[builder.summary.n_details++] = detail;
 }
 
-static void *resize_numbers(uint32_t *numbers, size_t count)
+static void *resize_array(uint32_t *numbers, size_t count)
 {
     uint32_t *grown = cw_memory_resize(numbers, count * sizeof(*numbers));
 
@@ -70,9 +70,9 @@
         return;
     }
     builder.node_room = builder.node_room == 0 ? 64 : 2 * builder.node_room;
-    builder.nodes = resize_numbers(builder.nodes, builder.node_room);
-    builder.ages_ms = resize_numbers(builder.ages_ms, builder.node_room);
-    builder.capabilities = resize_numbers(builder.capabilities, builder.node_room);
+    builder.nodes = resize_array(builder.nodes, builder.node_room);
+    builder.ages_ms = resize_array(builder.ages_ms, builder.node_room);
+    builder.capabilities = resize_array(builder.capabilities, builder.node_room);
     builder.summary.nodes = builder.nodes;
     builder.summary.ages_ms = builder.ages_ms;
     builder.summary.capabilities = builder.capabilities;
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -18,7 +18,7 @@
 
 enum {
     LIST_READS_PER_DRAIN = 4, /* reads of the list during `drain`, in which a leaving server may still get requests */
-    LAGGING_LIST_READS_PER_DRAIN = 10, /* the same if what is read may lack the last changes */
+    LAGGING_LIST_READS_PER_DRAIN = 10, /* the same if the list that is read may lack the last changes */
     FLEET_LIST_READS_PER_DRAIN = 2,    /* the same at each node of a large fleet without the leader's heartbeat */
     LIST_STALE_PERCENT = 60,           /* of `drain`: age at which nodes that are not readers read the list, too */
     LIST_SPREAD_PERCENT = 20,          /* of `drain`: additional spread at nodes that receive the leader's heartbeat */
--- a/src/router/router_view_pages.c
+++ b/src/router/router_view_pages.c
@@ -1,10 +1,12 @@
 /**
  * @file router_view_pages.c
- * @brief Handles the leader's pages of the list and of the tables, and its hashes of what this node may already have.
+ * @brief Handles the leader's pages of the list and of the tables, and its hashes, by which a node finds that its own
+ * copy is equal.
  *
  * A page belongs to a term, a version and a base. All pages of the same term, version and base together are the whole
  * list (base 0), or what changed since the list of version `base`. They are applied when the last one has been
- * received, if what this node has is not older than the base. The result is acknowledged to the leader at once.
+ * received, if the list or tables of this node are not older than the base. The result is acknowledged to the leader at
+ * once.
  */
 #include <string.h>
 
--- a/src/router/view_updates.h
+++ b/src/router/view_updates.h
@@ -2,8 +2,8 @@
  * @file view_updates.h
  * @brief Updates of the list of servers and of the tables of keys that are being received page by page.
  *
- * Pages are collected as they arrive, in any order. The update is applied to what this node has when its last page has
- * been received, since by then the node may have a later list than the base of the update.
+ * Pages are collected as they arrive, in any order. An update is applied to the list or tables that this node has when
+ * the last page has been received, since the node may then have a later list than the base of the update.
  *
  * No I/O, no clock.
  */
--- a/tests/test_list_exchange.c
+++ b/tests/test_list_exchange.c
@@ -189,7 +189,7 @@
     }
 }
 
-/* Delivers what has arrived. Datagrams to frozen nodes are kept until these run again. */
+/* Delivers the datagrams that have arrived. Datagrams to frozen nodes are kept until these run again. */
 static void deliver_due(void)
 {
     size_t kept = 0;
@@ -332,7 +332,7 @@
     set_up_two_holders();
     asked = run_into_transfer();
     asked->is_dead = true;
-    for (index = 0; index < event_count; index++) { /* what its link had not sent yet is lost */
+    for (index = 0; index < event_count; index++) { /* datagrams that its link had not sent yet are lost */
         events[index].to = events[index].from == address_of(asked) ? address_of(asked) : events[index].to;
     }
     run(2000);
