--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -176,12 +176,12 @@
 
 /* ---- whether the store answers ---- */
 
-static void log_store_lost(const cw_store_availability_t *reach, cw_time_us_t now)
+static void log_store_lost(const cw_store_availability_t *availability, cw_time_us_t now)
 {
     cw_event_t event;
 
     if (cw_event_begin(&event, CW_EVENT_STORE_LOST)) {
-        cw_event_ms(&event, CW_FIELD_SILENT_MS, cw_store_availability_failing_for(reach, now));
+        cw_event_ms(&event, CW_FIELD_SILENT_MS, cw_store_availability_failing_for(availability, now));
         cw_event_end(&event);
     }
 }
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -188,12 +188,13 @@
 
 /* Interval in ms between reports to `peers` peers: least_ms, or as much longer as keeps the node's datagrams within
  * their budget. */
-static int64_t interval_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers, int64_t datagrams_a_second)
+static int64_t interval_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers,
+                           int64_t node_datagrams_per_second)
 {
     bool    is_new = cw_router_is_new(router, cw_router_now(router));
     int64_t budget = router->leadership.leading ? CW_LEADER_DATAGRAMS_PER_SECOND
                      : is_new ? REPORT_DATAGRAMS_PER_SECOND /* other nodes have to learn of this one soon */
-                              : datagrams_a_second;
+                              : node_datagrams_per_second;
     int64_t affordable_ms = (int64_t)peers * 1000 / budget;
 
     return affordable_ms > least_ms ? affordable_ms : least_ms;
--- a/tests/test_configuration_exchange.c
+++ b/tests/test_configuration_exchange.c
@@ -176,7 +176,7 @@
     cw_configuration_exchange_record_holder(nodes[ASKING].exchange, ANSWERING + 1, version, is_same_zone, now);
 }
 
-START_TEST(a_node_without_a_configuration_receives_the_whole)
+START_TEST(a_node_without_a_configuration_receives_the_whole_configuration)
 {
     set_up();
     use(&nodes[ANSWERING], configuration_of(7, 100, -1, -1));
@@ -417,7 +417,7 @@
     Suite *suite = suite_create("configuration_exchange");
     TCase *cases = tcase_create("configuration_exchange");
 
-    tcase_add_test(cases, a_node_without_a_configuration_receives_the_whole);
+    tcase_add_test(cases, a_node_without_a_configuration_receives_the_whole_configuration);
     tcase_add_test(cases, only_what_changed_is_sent_to_a_node_with_an_earlier_version);
     tcase_add_test(cases, a_change_too_large_for_datagrams_is_left_to_the_store);
     tcase_add_test(cases, a_large_change_comes_from_another_node_and_not_from_the_store);
--- a/tests/test_fleet_scale.c
+++ b/tests/test_fleet_scale.c
@@ -18,7 +18,7 @@
 enum {
     OWNERS = 6000,
     SERVERS = 10000,
-    ORDERS_UNDER_WAY_MAX = 512,
+    ORDERS_IN_FLIGHT_MAX = 512,
     TICKS_MAX = 400,
     RENEWAL_S = 20,
     RENEWALS_PER_SECOND_MAX = 2000 * 11 / 10, /* the budget of half a core, and a tenth for renewals due at both ends */
@@ -59,7 +59,7 @@
     int tick = 0;
 
     while (held_ranges(node) < owners) {
-        ck_assert_uint_le(node->order_count, ORDERS_UNDER_WAY_MAX);
+        ck_assert_uint_le(node->order_count, ORDERS_IN_FLIGHT_MAX);
         node_fixture_answer_orders(node, CW_ORDER_DONE);
         node_fixture_answer_store(node);
         node_fixture_tick(node, CW_TICK_MS);
@@ -76,7 +76,7 @@
 
     ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, OWNERS);
     ticks = tick_until_held(node, OWNERS);
-    ck_assert_uint_le(node->router.leader_tables_version - tables, (uint64_t)ticks * ORDERS_UNDER_WAY_MAX / 100);
+    ck_assert_uint_le(node->router.leader_tables_version - tables, (uint64_t)ticks * ORDERS_IN_FLIGHT_MAX / 100);
     node_fixture_tick(node, 1000); /* the last changes are published, too */
     ck_assert(!node->router.table_publication.is_due);
     node_fixture_free(node);
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -248,7 +248,7 @@
 
 /* ---- tests ---- */
 
-START_TEST(all_kinds_of_datagrams_come_before_anything_is_known)
+START_TEST(all_kinds_of_datagrams_are_received_before_anything_is_known)
 {
     node_fixture_t *node = node_fixture_create();
     char           *status;
@@ -292,7 +292,7 @@
 }
 END_TEST
 
-START_TEST(a_configuration_comes_before_the_list_and_the_other_way_round)
+START_TEST(a_configuration_is_received_before_the_list_and_after_it)
 {
     node_fixture_t *first = node_fixture_create();
     node_fixture_t *second = node_fixture_create();
@@ -312,7 +312,7 @@
 }
 END_TEST
 
-START_TEST(pages_come_out_of_order_twice_and_of_several_terms)
+START_TEST(pages_are_received_out_of_order_twice_and_of_several_terms)
 {
     node_fixture_t  *node = node_fixture_create();
     Cwp__ServersPage second = page_position(TERM, 5, 0, 1, 2);
@@ -595,7 +595,7 @@
 }
 END_TEST
 
-START_TEST(a_list_that_does_not_come_is_read)
+START_TEST(a_list_that_does_not_arrive_is_read)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -729,11 +729,11 @@
 START_TEST(tables_that_have_long_differed_under_the_leaders_version_are_requested_again)
 {
     node_fixture_t *node = node_fixture_create();
-    int             beats;
+    int             heartbeats;
 
     receive_table(node, TERM, 0, 1, "s");
     ck_assert_uint_ne(node->router.view_tables_version, 0);
-    for (beats = 0; beats < 10; beats++) {
+    for (heartbeats = 0; heartbeats < 10; heartbeats++) {
         tick_during(node, 200);
         receive_heartbeat(node, TERM, 0, 1);
     }
@@ -764,10 +764,10 @@
     TCase *cases = tcase_create("before anything is known");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, all_kinds_of_datagrams_come_before_anything_is_known);
+    tcase_add_test(cases, all_kinds_of_datagrams_are_received_before_anything_is_known);
     tcase_add_test(cases, a_list_is_empty_then_huge_then_empty);
-    tcase_add_test(cases, a_configuration_comes_before_the_list_and_the_other_way_round);
-    tcase_add_test(cases, pages_come_out_of_order_twice_and_of_several_terms);
+    tcase_add_test(cases, a_configuration_is_received_before_the_list_and_after_it);
+    tcase_add_test(cases, pages_are_received_out_of_order_twice_and_of_several_terms);
     tcase_add_test(cases, transfers_have_the_greatest_number_of_pages_and_one_more);
     tcase_add_test(cases, report_has_more_entries_than_there_is_room_for);
     tcase_add_test(cases, more_than_a_thousand_nodes_are_known_and_forgotten_after_a_freeze);
@@ -777,7 +777,7 @@
     tcase_add_test(cases, order_to_an_invalid_address_is_not_sent);
     tcase_add_test(cases, status_is_returned_whatever_the_name_of_another_node);
     tcase_add_test(cases, a_node_that_sees_a_leader_waits_for_its_list_and_does_not_read);
-    tcase_add_test(cases, a_list_that_does_not_come_is_read);
+    tcase_add_test(cases, a_list_that_does_not_arrive_is_read);
     tcase_add_test(cases, a_node_that_sees_no_leader_reads_soon);
     tcase_add_test(cases, nodes_that_receive_heartbeats_do_not_all_read_at_once);
     tcase_add_test(cases, a_node_that_receives_no_heartbeat_does_not_wait_for_one);
