--- a/src/router/router.c
+++ b/src/router/router.c
@@ -69,9 +69,10 @@
 
 /* ---- ticks ---- */
 
-/* Nodes that send requests to the same servers. A process that has just started does not know most of them yet; if it
- * counted only those that it knows, it would choose the same servers as all others that have just started. */
-static uint32_t reachable_nodes(const cw_router_t *router, cw_time_us_t now)
+/* Number of nodes that send requests to the same servers. A process that has just started does not know most of them
+ * yet; if it counted only those that it knows, it would choose the same servers as all others that have just started.
+ */
+static uint32_t nodes_sharing_servers(const cw_router_t *router, cw_time_us_t now)
 {
     if (now - router->started_at < CW_SECONDS(PEER_DISCOVERY_S)) {
         return CW_NODES_UNKNOWN;
@@ -79,8 +80,9 @@
     return cw_peer_link_alive(router->link, router->silence, now);
 }
 
-/* Nodes that share the fixed part of the retry budget: the most seen alive within the budget's window; 0: not known. A
- * process that has run for less than a window knows neither their number nor what its predecessor has spent. */
+/* Number of nodes that share the fixed part of the retry budget: the most seen alive within the budget's window; 0: not
+ * known. A process that has run for less than a window knows neither their number nor what its predecessor has spent.
+ */
 static uint32_t nodes_for_budget(cw_router_t *router, cw_time_us_t now)
 {
     uint32_t alive = cw_peer_link_alive(router->link, router->settings.retry_window, now) + 1;
@@ -129,7 +131,7 @@
     cw_router_quota_tick(router, now);
     cw_router_crashes_tick(router, now);
     cw_router_signals_tick(router, now);
-    cw_engine_set_nodes(router->engine, nodes_for_budget(router, now), reachable_nodes(router, now));
+    cw_engine_set_nodes(router->engine, nodes_for_budget(router, now), nodes_sharing_servers(router, now));
     cw_router_store_calls_tick(now);
     cw_router_check_file(router, now);
     cw_router_check_stop(router, now);
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -16,9 +16,9 @@
 #include "router/router_internal.h"
 
 enum {
-    ZONE_INTERVAL_MS = 20,
-    ALL_INTERVAL_MS = 150,
-    IDLE_INTERVAL_MS = 300,
+    ZONE_INTERVAL_MS = 20,  /* shortest interval between reports to the nodes of this zone */
+    ALL_INTERVAL_MS = 150,  /* shortest interval between reports to all nodes after a change */
+    IDLE_INTERVAL_MS = 300, /* shortest interval between reports, with the leader's heartbeat, without a change */
     /* Interval between reports with names and service times in a small fleet. It grows by the same amount for every
      * FULL_INTERVAL_NODES nodes. */
     FULL_INTERVAL_MS = 1000,
