--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -77,7 +77,7 @@
 {
     cw_server_list_t     *list = cw_server_list_create();
     cw_platform_problem_t problem;
-    cw_store_changes_t    changes;
+    cw_object_changes_t   changes;
     bool                  is_read = cw_platform_decode_changes(&changes, value, &problem);
 
     check_reason(is_read, &problem);
@@ -93,7 +93,7 @@
     cw_assignment_record_t record;
 
     if (cw_assignment_record_from_json(&record, value)) {
-        if (!cw_range_list_is_whole(&record.ranges)) {
+        if (!cw_range_list_is_complete(&record.ranges)) {
             abort();
         }
         cw_range_list_clear(&record.ranges);
--- a/sim/lease_nodes.c
+++ b/sim/lease_nodes.c
@@ -72,13 +72,13 @@
 static void begin_assigner(sim_node_t *node)
 {
     cw_assigner_settings_t settings = {.hold = CW_MS(5000),
-                                       .hold_most = CW_MS(8000),
+                                       .max_hold = CW_MS(8000),
                                        .hold_long = CW_MS(8000),
                                        .renew_every = CW_MS(1250),
                                        .order_timeout = CW_MS(350),
                                        .release_timeout = CW_MS(1500),
-                                       .late_orders = CW_SECONDS(13),
-                                       .table_valid = CW_MS(TABLE_VALID_MS)};
+                                       .late_order_time = CW_SECONDS(13),
+                                       .table_validity = CW_MS(TABLE_VALID_MS)};
     cw_assigner_ports_t    ports = {
            .context = node, .store = &node->port, .order = send_order, .changed = tables_changed, .note = note};
 
@@ -193,7 +193,7 @@
         (void)cw_assigner_plan_merge(node->assigner, (uint32_t)sim_below(node->world, CW_CELLS) * CW_CELL_KEYS);
     }
     if (cw_assigner_is_stale(node->assigner, node->world->now)) {
-        cw_assigner_plan_refresh(node->assigner);
+        cw_assigner_plan_rewrite(node->assigner);
     }
     cw_assigner_plan_write(node->assigner, node->world->now);
 }
--- a/sim/lease_servers.c
+++ b/sim/lease_servers.c
@@ -173,7 +173,7 @@
         return CW_ORDER_UNANSWERED;
     }
     if (strcmp(server->id, order->server) != 0) {
-        return CW_ORDER_ENDED;
+        return CW_ORDER_OTHER_INCARNATION;
     }
     if (order->kind == CW_ORDER_GRANT) {
         return take_grant(world, server, order, late);
--- a/src/assignment/assigner.c
+++ b/src/assignment/assigner.c
@@ -71,6 +71,6 @@
 bool cw_assigner_may_wake(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now)
 {
     return range->unanswered_at != 0 &&
-           now < cw_assigner_hold_end(range->unanswered_at + assigner->settings.late_orders,
+           now < cw_assigner_hold_end(range->unanswered_at + assigner->settings.late_order_time,
                                       assigner->settings.hold_long);
 }
--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -32,11 +32,12 @@
 
 typedef enum cw_order_result {
     CW_ORDER_DONE,
-    CW_ORDER_FENCED,    /**< a higher fence was seen on one of the keys */
-    CW_ORDER_ENDED,     /**< another life of a server answers at the address: not done, and the one meant has ended */
-    CW_ORDER_REFUSED,   /**< another answer: not done */
-    CW_ORDER_NOT_SENT,  /**< proved: nothing left */
-    CW_ORDER_UNANSWERED /**< may be done, now or seconds later */
+    CW_ORDER_FENCED,            /**< a higher fence was seen on one of the keys */
+    CW_ORDER_OTHER_INCARNATION, /**< another life of a server answers at the address: not done, and the one meant has
+                                   ended */
+    CW_ORDER_REFUSED,           /**< another answer: not done */
+    CW_ORDER_NOT_SENT,          /**< proved: nothing left */
+    CW_ORDER_UNANSWERED         /**< may be done, now or seconds later */
 } cw_order_result_t;
 
 typedef struct cw_order {
@@ -58,12 +59,12 @@
 typedef struct cw_assigner_settings {
     cw_time_us_t hold;      /**< of grants on a calm day */
     cw_time_us_t hold_long; /**< while the store cannot be reached */
-    cw_time_us_t hold_most; /**< that servers take */
+    cw_time_us_t max_hold;  /**< that servers take */
     cw_time_us_t renew_every;
     cw_time_us_t order_timeout; /**< of a grant */
     cw_time_us_t release_timeout;
-    cw_time_us_t late_orders; /**< an unanswered order may be carried out this much later */
-    cw_time_us_t table_valid; /**< a node may route by a table that it has had no heartbeat for so long */
+    cw_time_us_t late_order_time; /**< an unanswered order may be carried out this much later */
+    cw_time_us_t table_validity;  /**< a node may route by a table that it has had no heartbeat for so long */
 } cw_assigner_settings_t;
 
 typedef struct cw_assigner_ports {
@@ -98,7 +99,7 @@
 
 /** Renewals are to take so many orders a second: the pause between those of a range grows with the ranges, and holds
  * with it, as far as servers take it. */
-void cw_assigner_set_pace(cw_assigner_t *assigner, double orders_per_s);
+void cw_assigner_set_renewal_rate(cw_assigner_t *assigner, double orders_per_s);
 
 cw_assigner_state_t    cw_assigner_state(const cw_assigner_t *assigner);
 const char            *cw_assigner_service(const cw_assigner_t *assigner);
@@ -119,7 +120,7 @@
 bool cw_assigner_is_settled(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now);
 /** The record still names former holders that have let go: it should be written once more. */
 bool cw_assigner_is_stale(const cw_assigner_t *assigner, cw_time_us_t now);
-void cw_assigner_plan_refresh(cw_assigner_t *assigner);
+void cw_assigner_plan_rewrite(cw_assigner_t *assigner);
 /** Owners that no order reaches, over all owners that hold ranges. */
 double cw_assigner_failing_share(const cw_assigner_t *assigner, cw_time_us_t now);
 
--- a/src/assignment/assigner_commit.c
+++ b/src/assignment/assigner_commit.c
@@ -50,7 +50,7 @@
     planned->former_until =
         strcmp(planned->former.id, source->owner.id) == 0 ? source->hold_until : source->former_until;
     if (cw_assigner_may_wake(assigner, source, now)) {
-        cw_time_us_t tables_end = cw_assigner_hold_end(now, assigner->settings.table_valid);
+        cw_time_us_t tables_end = cw_assigner_hold_end(now, assigner->settings.table_validity);
 
         planned->former_until = tables_end > planned->former_until ? tables_end : planned->former_until;
     }
--- a/src/assignment/assigner_orders.c
+++ b/src/assignment/assigner_orders.c
@@ -62,7 +62,7 @@
 static cw_time_us_t renew_pause(const cw_assigner_t *assigner)
 {
     const cw_assigner_settings_t *settings = &assigner->settings;
-    cw_time_us_t                  longest = settings->hold_most - (settings->hold - settings->renew_every);
+    cw_time_us_t                  longest = settings->max_hold - (settings->hold - settings->renew_every);
     cw_time_us_t                  paced;
 
     if (assigner->orders_per_s <= 0) {
@@ -82,7 +82,7 @@
     return long_hold && settings->hold_long > hold ? settings->hold_long : hold;
 }
 
-void cw_assigner_set_pace(cw_assigner_t *assigner, double orders_per_s)
+void cw_assigner_set_renewal_rate(cw_assigner_t *assigner, double orders_per_s)
 {
     assigner->orders_per_s = orders_per_s;
 }
@@ -291,7 +291,7 @@
             cw_assigner_plan_write(assigner, now);
         }
         break;
-    case CW_ORDER_ENDED:
+    case CW_ORDER_OTHER_INCARNATION:
         range->owner_ended = true;
         assigner->ports.note(assigner->ports.context, assigner->service, "owner ended", range, "another life answers");
         range->next_order = now + CW_MS(RESEND_NOT_SENT_MS);
@@ -310,7 +310,7 @@
     if (range->phase != CW_RANGE_RELEASING) {
         return;
     }
-    if (result == CW_ORDER_ENDED) {
+    if (result == CW_ORDER_OTHER_INCARNATION) {
         finish_release(assigner, range, "another life answers", now);
         return;
     }
--- a/src/assignment/assigner_plan.c
+++ b/src/assignment/assigner_plan.c
@@ -79,10 +79,10 @@
     open_plan(assigner);
     range = cw_range_list_find(&assigner->plan.ranges, low);
     index = (size_t)(range - assigner->plan.ranges.items);
-    if (cw_range_list_cut(&assigner->plan.ranges, index, low)) {
+    if (cw_range_list_split(&assigner->plan.ranges, index, low)) {
         index++;
     }
-    (void)cw_range_list_cut(&assigner->plan.ranges, index, last + 1); /* false: the range ends there already */
+    (void)cw_range_list_split(&assigner->plan.ranges, index, last + 1); /* false: the range ends there already */
     range = &assigner->plan.ranges.items[index];
     set_former(range, servers);
     range->keeps_serving = false;
@@ -126,7 +126,7 @@
     planned->keeps_serving = range->phase == CW_RANGE_HELD && range->needs_fence;
 }
 
-void cw_assigner_plan_refresh(cw_assigner_t *assigner)
+void cw_assigner_plan_rewrite(cw_assigner_t *assigner)
 {
     open_plan(assigner);
 }
--- a/src/assignment/range.c
+++ b/src/assignment/range.c
@@ -56,7 +56,7 @@
     return low < list->count ? &list->items[low] : NULL;
 }
 
-bool cw_range_list_cut(cw_range_list_t *list, size_t index, uint32_t low)
+bool cw_range_list_split(cw_range_list_t *list, size_t index, uint32_t low)
 {
     cw_range_t *left = &list->items[index];
 
@@ -75,7 +75,7 @@
     return range->phase == CW_RANGE_HELD || (range->phase == CW_RANGE_GRANTING && range->keeps_serving);
 }
 
-bool cw_range_list_is_whole(const cw_range_list_t *list)
+bool cw_range_list_is_complete(const cw_range_list_t *list)
 {
     uint32_t next = 0;
     size_t   index;
@@ -176,7 +176,7 @@
             return false;
         }
     }
-    if (!cw_range_list_is_whole(&record->ranges)) {
+    if (!cw_range_list_is_complete(&record->ranges)) {
         cw_range_list_clear(&record->ranges);
         return false;
     }
--- a/src/assignment/range.h
+++ b/src/assignment/range.h
@@ -74,11 +74,11 @@
 /** Range of a key; NULL: the list is empty. */
 cw_range_t *cw_range_list_find(const cw_range_list_t *list, uint32_t key);
 /** Cuts the range at `index` so that one begins at `low`; true when there were two made of one. */
-bool cw_range_list_cut(cw_range_list_t *list, size_t index, uint32_t low);
+bool cw_range_list_split(cw_range_list_t *list, size_t index, uint32_t low);
 /** May requests go to the owner now? */
 bool cw_range_is_routable(const cw_range_t *range);
 /** In order, without gaps, from 0 to CW_KEY_LAST. */
-bool cw_range_list_is_whole(const cw_range_list_t *list);
+bool cw_range_list_is_complete(const cw_range_list_t *list);
 
 json_t *cw_assignment_record_to_json(const cw_assignment_record_t *record);
 /** False: malformed; the record is then empty. */
--- a/src/balance/cold_rate.c
+++ b/src/balance/cold_rate.c
@@ -13,11 +13,11 @@
 enum {
     WINDOW_MS = 1100, /* the bound's second, and what the ways to the server differ by */
     CHANGED_MS =
-        2000,   /* a node is missed by all others within a second and a half (CW_PEER_SILENCE_MS, a late report) */
+        2000,   /* a node is missed by all others within a second and a half (CW_PEER_TIMEOUT_MS, a late report) */
     MOST_S = 60 /* after that a smaller number of nodes is how many there are */
 };
 
-bool cw_cold_sends_are_left(const cw_cold_sends_t *sends, cw_time_us_t now)
+bool cw_cold_sends_allowed(const cw_cold_sends_t *sends, cw_time_us_t now)
 {
     cw_time_us_t oldest = sends->at[sends->next];
 
@@ -27,7 +27,7 @@
 void cw_cold_sends_note(cw_cold_sends_t *sends, cw_time_us_t now)
 {
     sends->at[sends->next] = now;
-    sends->next = (sends->next + 1) % CW_COLD_SENDS;
+    sends->next = (sends->next + 1) % CW_COLD_SENDS_PER_SECOND;
 }
 
 struct cw_cold_rate {
@@ -91,7 +91,7 @@
 
 uint32_t cw_cold_rate_sharers(double per_s)
 {
-    uint32_t sharers = (uint32_t)(per_s / CW_COLD_SENDS);
+    uint32_t sharers = (uint32_t)(per_s / CW_COLD_SENDS_PER_SECOND);
 
     return sharers == 0 ? 1 : sharers;
 }
--- a/src/balance/cold_rate.h
+++ b/src/balance/cold_rate.h
@@ -26,15 +26,15 @@
 
 #include "base/time.h"
 
-enum { CW_COLD_SENDS = 2 /**< that one node makes to one cold server in any second */ };
+enum { CW_COLD_SENDS_PER_SECOND = 2 /**< that one node makes to one cold server in any second */ };
 
 /** This node's latest sends to one cold server. */
 typedef struct cw_cold_sends {
-    cw_time_us_t at[CW_COLD_SENDS]; /**< a ring; 0: none */
+    cw_time_us_t at[CW_COLD_SENDS_PER_SECOND]; /**< a ring; 0: none */
     uint32_t     next;
 } cw_cold_sends_t;
 
-bool cw_cold_sends_are_left(const cw_cold_sends_t *sends, cw_time_us_t now);
+bool cw_cold_sends_allowed(const cw_cold_sends_t *sends, cw_time_us_t now);
 void cw_cold_sends_note(cw_cold_sends_t *sends, cw_time_us_t now);
 
 typedef struct cw_cold_rate cw_cold_rate_t;
--- a/src/balance/crossing_cost.c
+++ b/src/balance/crossing_cost.c
@@ -11,7 +11,7 @@
     return settings->way + (cw_time_us_t)((double)bytes / bytes_a_mb * settings->ms_per_mb * 1000);
 }
 
-bool cw_crossing_waits_here(const cw_crossing_input_t *input)
+bool cw_crossing_should_wait(const cw_crossing_input_t *input)
 {
     return input->wait != CW_CROSSING_NO_SLOT && input->wait <= input->cost &&
            input->wait + input->usual <= input->objective_left;
--- a/src/balance/crossing_cost.h
+++ b/src/balance/crossing_cost.h
@@ -34,6 +34,6 @@
 #define CW_CROSSING_NO_SLOT INT64_MAX
 
 /** Does it wait here? Not for more than crossing costs; nor beyond its objective, which the other region may meet. */
-bool cw_crossing_waits_here(const cw_crossing_input_t *input);
+bool cw_crossing_should_wait(const cw_crossing_input_t *input);
 
 #endif
--- a/src/balance/leave_memory.c
+++ b/src/balance/leaving_servers.c
@@ -1,8 +1,8 @@
 /**
- * @file leave_memory.c
+ * @file leaving_servers.c
  * @brief A set of servers with the time of each.
  */
-#include "balance/leave_memory.h"
+#include "balance/leaving_servers.h"
 #include "base/memory.h"
 
 #include <stdlib.h>
--- a/src/balance/leave_memory.h
+++ b/src/balance/leaving_servers.h
@@ -1,5 +1,5 @@
 /**
- * @file leave_memory.h
+ * @file leaving_servers.h
  * @brief Servers that have said in an answer that they leave.
  *
  * An incarnation of a server that leaves never comes back: what the list says of it later, or that its entry comes and
@@ -7,8 +7,8 @@
  *
  * No I/O; time is a parameter.
  */
-#ifndef CEDARWINCH_BALANCE_LEAVE_MEMORY_H
-#define CEDARWINCH_BALANCE_LEAVE_MEMORY_H
+#ifndef CEDARWINCH_BALANCE_LEAVING_SERVERS_H
+#define CEDARWINCH_BALANCE_LEAVING_SERVERS_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/balance/server_choice.c
+++ b/src/balance/server_choice.c
@@ -44,7 +44,7 @@
     if (!cw_server_is_rate_bounded(server, now)) {
         return true;
     }
-    return cw_cold_sends_are_left(&server->cold_sends, now) && shares_cold(pool, server, now);
+    return cw_cold_sends_allowed(&server->cold_sends, now) && shares_cold(pool, server, now);
 }
 
 /* Requests of other nodes there: what they have reported, or what the server itself said a moment ago if that is more.
@@ -99,7 +99,7 @@
     return is_among(server, rule->route) && is_among(server, rule->tenant);
 }
 
-bool cw_server_pool_serves(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule)
+bool cw_server_pool_has_server(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule)
 {
     cw_server_t *server;
 
@@ -234,7 +234,7 @@
     return sum_speed(pool, service, rule, CW_DISTANCE_REGION, now);
 }
 
-uint32_t cw_server_pool_under_way(cw_server_pool_t *pool, const char *service)
+uint32_t cw_server_pool_in_flight(cw_server_pool_t *pool, const char *service)
 {
     cw_server_t *server;
     uint32_t     sum = 0;
--- a/src/balance/server_limit.c
+++ b/src/balance/server_limit.c
@@ -6,7 +6,7 @@
 
 bool cw_server_limit_binds(const cw_server_limit_t *limit, cw_time_us_t now)
 {
-    return limit->is_named && now - limit->named_at < CW_MS(CW_LIMIT_FORGOTTEN_MS);
+    return limit->is_named && now - limit->named_at < CW_MS(CW_LIMIT_EXPIRY_MS);
 }
 
 double cw_server_limit_rate(const cw_server_limit_t *limit)
@@ -48,7 +48,7 @@
         return CW_LIMIT_UNCHANGED;
     }
     limit->unnamed++;
-    if (limit->unnamed < CW_LIMIT_UNNAMED_ENDS || now - limit->named_at < CW_MS(CW_LIMIT_UNNAMED_MS)) {
+    if (limit->unnamed < CW_LIMIT_UNNAMED_ANSWERS || now - limit->named_at < CW_MS(CW_LIMIT_UNNAMED_MS)) {
         return CW_LIMIT_UNCHANGED;
     }
     return end(limit, now);
--- a/src/balance/server_limit.h
+++ b/src/balance/server_limit.h
@@ -22,10 +22,10 @@
 #include "base/time.h"
 
 enum {
-    CW_LIMIT_UNNAMED_ENDS = 3,     /**< answers in a row without it, */
-    CW_LIMIT_UNNAMED_MS = 1000,    /**< and time since it was named last, after which it has ended */
-    CW_LIMIT_FORGOTTEN_MS = 10000, /**< time since it was named last, after which it has ended without an answer */
-    CW_LIMIT_PROBE_MS = 5000       /**< pause between requests to a server that wants none */
+    CW_LIMIT_UNNAMED_ANSWERS = 3, /**< answers in a row without it, */
+    CW_LIMIT_UNNAMED_MS = 1000,   /**< and time since it was named last, after which it has ended */
+    CW_LIMIT_EXPIRY_MS = 10000,   /**< time since it was named last, after which it has ended without an answer */
+    CW_LIMIT_PROBE_MS = 5000      /**< pause between requests to a server that wants none */
 };
 
 /** All zeros: none was named. */
--- a/src/balance/server_pool.c
+++ b/src/balance/server_pool.c
@@ -272,7 +272,7 @@
     server->hash = (uint32_t)XXH3_64bits(entry->id, strlen(entry->id));
     server->service_hash = cw_server_pool_service_hash(entry->service);
     server->affinity = (double)(XXH3_64bits_withSeed(entry->id, strlen(entry->id), pool->node) >> 11) * 0x1.0p-53;
-    server->has_said_leaving = cw_leave_memory_has(pool->leaves, server->hash);
+    server->announced_leaving = cw_leave_memory_has(pool->leaves, server->hash);
     server->pace = 1;
     server->cold_per_s = warm_up_of(pool, entry->service).per_s;
     HASH_ADD_KEYPTR(by_id, pool->by_id, server->id, strlen(server->id), server);
@@ -300,7 +300,7 @@
             cw_server_pool_count_others(pool, server);
         }
         server->listed = true;
-        server->draining = entry->draining || server->has_said_leaving;
+        server->draining = entry->draining || server->announced_leaving;
         server->capacity = entry->capacity;
         note_warmth(server, entry, now);
     }
@@ -327,19 +327,19 @@
     if (!server->draining) {
         server->leave_until = now + owner_grace;
     }
-    server->has_said_leaving = true;
+    server->announced_leaving = true;
     server->draining = true;
     return true;
 }
 
-bool cw_server_takes(const cw_server_t *server, bool is_owner, cw_time_us_t now)
+bool cw_server_accepts(const cw_server_t *server, bool is_owner, cw_time_us_t now)
 {
     return !server->draining || (is_owner && now < server->leave_until);
 }
 
 /* ---- this node's requests ---- */
 
-void cw_server_pool_begin(cw_server_t *server, cw_time_us_t now)
+void cw_server_pool_begin_request(cw_server_t *server, cw_time_us_t now)
 {
     server->own++;
     if (cw_server_is_rate_bounded(server, now)) {
@@ -347,7 +347,7 @@
     }
 }
 
-void cw_server_pool_end(cw_server_pool_t *pool, cw_server_t *server)
+void cw_server_pool_end_request(cw_server_pool_t *pool, cw_server_t *server)
 {
     server->own--;
     if (!server->listed && server->own == 0) {
@@ -367,7 +367,7 @@
     server->avoid_until = 0;
 }
 
-void cw_server_pool_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t usual, cw_time_us_t now)
+void cw_server_pool_record_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t usual, cw_time_us_t now)
 {
     double ratio = usual <= 0 ? 1 : (double)took / (double)usual;
 
@@ -387,7 +387,7 @@
     server->sampled_at = now;
 }
 
-void cw_server_pool_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t usual, cw_time_us_t now)
+void cw_server_pool_record_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t usual, cw_time_us_t now)
 {
     double ratio = usual <= 0 ? 1 : (double)waited / (double)usual;
 
@@ -397,7 +397,7 @@
     }
 }
 
-void cw_server_pool_fault(cw_server_t *server, cw_time_us_t now)
+void cw_server_pool_record_fault(cw_server_t *server, cw_time_us_t now)
 {
     uint32_t doublings = server->faults < AVOID_DOUBLINGS_MAX ? server->faults : AVOID_DOUBLINGS_MAX;
     int64_t  avoid_ms = (int64_t)CW_AVOID_FIRST_MS << doublings;
--- a/src/balance/server_pool.h
+++ b/src/balance/server_pool.h
@@ -6,7 +6,7 @@
  * has an order of its own among servers that are otherwise as good (affinity): a server's requests then come mostly
  * from the few nodes that try it first, and those know their own requests.
  *
- * Requests of other nodes are what they last reported (cw_server_pool_report); a silent node's count ends with
+ * Requests of other nodes are what they last reported (cw_server_pool_apply_report); a silent node's count ends with
  * cw_server_pool_expire. Choices are made by cw_server_pool_choose.
  */
 #ifndef CEDARWINCH_BALANCE_SERVER_POOL_H
@@ -71,7 +71,7 @@
     double             cold_per_s;         /**< requests a second that it bears while it is cold; 0: no bound known */
     cw_cold_sends_t    cold_sends;         /**< this node's, while it is cold */
     cw_server_limit_t  limit;              /**< that it has named, */
-    bool               has_said_leaving;   /**< in an answer, to this node or to another one; */
+    bool               announced_leaving;  /**< in an answer, to this node or to another one; */
     cw_time_us_t       leave_until;        /**< requests for keys that it owns may still go there until then */
     cw_time_us_t       rest_until;         /**< it has turned this node away, and wants nothing from it until then */
     cw_time_us_t       limit_allows_at;    /**< not chosen before that: its limit has no room until then, */
@@ -100,7 +100,7 @@
 
 typedef struct cw_server_pool cw_server_pool_t;
 
-enum { CW_POOL_REPORT_LIFE_MS = 1500 };
+enum { CW_POOL_REPORT_EXPIRY_MS = 1500 };
 
 /** Regions that a request may go to: of its route and of its tenant; both bind, an empty set does not. */
 typedef struct cw_region_rule {
@@ -134,7 +134,7 @@
 /** May a request under this rule go there? */
 bool cw_server_region_allows(const cw_server_t *server, const cw_region_rule_t *rule);
 /** Has the service a listed server to which a request under this rule may go? */
-bool cw_server_pool_serves(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule);
+bool cw_server_pool_has_server(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule);
 /** Do the settings know more than one region? */
 bool cw_server_pool_has_regions(const cw_server_pool_t *pool);
 /** This node's zone. */
@@ -152,7 +152,7 @@
 /** Does its zone allow a request there now, if it owns the request's key (or any server will do: false)? */
 bool cw_server_zone_allows(const cw_server_t *server, bool is_owner, cw_time_us_t now);
 /** Is it not leaving? One that has just said so still serves the keys that it owns, while they move. */
-bool cw_server_takes(const cw_server_t *server, bool is_owner, cw_time_us_t now);
+bool cw_server_accepts(const cw_server_t *server, bool is_owner, cw_time_us_t now);
 /** The incarnation of this hash, listed or not, has said that it leaves: from now on it counts as draining, whatever is
  * listed. False: that was known. */
 bool cw_server_pool_note_leaving(cw_server_pool_t *pool, uint32_t hash, cw_time_us_t owner_grace, cw_time_us_t now);
@@ -180,39 +180,39 @@
                                            cw_time_us_t now);
 
 /** A request goes there, and has come to its end. */
-void cw_server_pool_begin(cw_server_t *server, cw_time_us_t now);
-void cw_server_pool_end(cw_server_pool_t *pool, cw_server_t *server);
+void cw_server_pool_begin_request(cw_server_t *server, cw_time_us_t now);
+void cw_server_pool_end_request(cw_server_pool_t *pool, cw_server_t *server);
 /** A whole answer took `took` where `usual` is usual. */
-void cw_server_pool_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t usual, cw_time_us_t now);
+void cw_server_pool_record_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t usual, cw_time_us_t now);
 /** The server told its load with an answer; this node's own request is over by then. */
 void cw_server_pool_note_load(cw_server_t *server, const cw_server_load_t *sample, cw_time_us_t now);
 /** No whole answer after `waited`: it takes at least that long. */
-void cw_server_pool_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t usual, cw_time_us_t now);
+void cw_server_pool_record_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t usual, cw_time_us_t now);
 /** It answers: former faults count no longer. */
 void cw_server_pool_sound(cw_server_t *server);
 /** Has failed several times in a row. */
 bool cw_server_is_suspect(const cw_server_t *server);
 /** No connection, or no answer. */
-void cw_server_pool_fault(cw_server_t *server, cw_time_us_t now);
+void cw_server_pool_record_fault(cw_server_t *server, cw_time_us_t now);
 
 /** Replaces what this node (0: expired) last reported. */
-void cw_server_pool_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
-                           cw_time_us_t now);
+void cw_server_pool_apply_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
+                                 cw_time_us_t now);
 /** Learns from what the answers came to since this node last told. */
-void cw_server_pool_learn(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
-                          cw_time_us_t now);
+void cw_server_pool_apply_paces(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
+                                cw_time_us_t now);
 /** Whose requests are summed, and at which servers. */
 typedef struct cw_sum_filter {
     void *context;
-    bool (*takes_node)(void *context, uint64_t node);
-    bool (*takes_server)(void *context, const cw_server_t *server);
+    bool (*includes_node)(void *context, uint64_t node);
+    bool (*includes_server)(void *context, const cw_server_t *server);
 } cw_sum_filter_t;
 /** This node's own requests and those that the nodes taken have reported, by server; returns how many servers.
  * `left_out`: those that there was no room for. */
 size_t cw_server_pool_sum(cw_server_pool_t *pool, const cw_sum_filter_t *filter, cw_server_report_t *sums, size_t room,
                           cw_time_us_t now, size_t *left_out);
 /** Paces of servers kept, for all nodes that told them. */
-size_t cw_server_pool_paces(const cw_server_pool_t *pool);
+size_t cw_server_pool_pace_count(const cw_server_pool_t *pool);
 /** Forgets nodes that have been silent for longer than `life`. */
 void cw_server_pool_expire(cw_server_pool_t *pool, cw_time_us_t life, cw_time_us_t now);
 
@@ -245,6 +245,6 @@
 double cw_server_pool_speed_near(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                                  cw_time_us_t now);
 /** Requests under way at a service's servers. */
-uint32_t cw_server_pool_under_way(cw_server_pool_t *pool, const char *service);
+uint32_t cw_server_pool_in_flight(cw_server_pool_t *pool, const char *service);
 
 #endif
--- a/src/balance/server_pool_internal.h
+++ b/src/balance/server_pool_internal.h
@@ -6,7 +6,7 @@
 #ifndef CEDARWINCH_BALANCE_SERVER_POOL_INTERNAL_H
 #define CEDARWINCH_BALANCE_SERVER_POOL_INTERNAL_H
 
-#include "balance/leave_memory.h"
+#include "balance/leaving_servers.h"
 #include "balance/server_pool.h"
 
 enum { CW_AVOID_FIRST_MS = 300 /**< a server that failed is passed over for so long, at first */ };
--- a/src/balance/server_reports.c
+++ b/src/balance/server_reports.c
@@ -54,7 +54,7 @@
     }
 }
 
-size_t cw_server_pool_paces(const cw_server_pool_t *pool)
+size_t cw_server_pool_pace_count(const cw_server_pool_t *pool)
 {
     const peer_report_t *peer;
     size_t               count = 0;
@@ -111,8 +111,8 @@
     return &peer->paces[peer->pace_count++];
 }
 
-void cw_server_pool_learn(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
-                          cw_time_us_t now)
+void cw_server_pool_apply_paces(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
+                                cw_time_us_t now)
 {
     peer_report_t *peer = peer_of(pool, node);
     size_t         index;
@@ -135,8 +135,8 @@
     peer->paces_at = now;
 }
 
-void cw_server_pool_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
-                           cw_time_us_t now)
+void cw_server_pool_apply_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
+                                 cw_time_us_t now)
 {
     peer_report_t *peer = peer_of(pool, node);
     size_t         index;
--- a/src/balance/server_signals.h
+++ b/src/balance/server_signals.h
@@ -15,8 +15,8 @@
 struct cw_http_fields;
 
 enum {
-    CW_SERVER_LIMIT_MOST = 1000000, /**< requests a second: a limit above it is taken for this one */
-    CW_SERVER_REST_MOST_S = 600     /**< a longer rest is taken for this one */
+    CW_SERVER_LIMIT_MAX = 1000000, /**< requests a second: a limit above it is taken for this one */
+    CW_SERVER_REST_MAX_S = 600     /**< a longer rest is taken for this one */
 };
 
 typedef struct cw_server_signals {
--- a/src/balance/server_sums.c
+++ b/src/balance/server_sums.c
@@ -46,7 +46,7 @@
     begin_sums(pool, now);
     HASH_ITER(hh, pool->peers, peer, next_peer)
     {
-        if (filter->takes_node(filter->context, peer->node)) {
+        if (filter->includes_node(filter->context, peer->node)) {
             add_reports(pool, peer);
         }
     }
@@ -54,7 +54,7 @@
     {
         bool is_told = server->sum.under_way > 0 || server->sum.waiting > 0 || server->sum.unreachable;
 
-        if (!is_told || !filter->takes_server(filter->context, server)) {
+        if (!is_told || !filter->includes_server(filter->context, server)) {
             continue;
         }
         if (count < room) {
--- a/src/balance/slot_broker.c
+++ b/src/balance/slot_broker.c
@@ -97,7 +97,7 @@
 
 static bool is_usable(const cw_slot_broker_t *broker, const cw_server_t *server, bool is_only, cw_time_us_t now)
 {
-    return server->listed && cw_server_takes(server, is_only, now) && !server->ended &&
+    return server->listed && cw_server_accepts(server, is_only, now) && !server->ended &&
            cw_server_zone_allows(server, is_only, now) && is_counted_here(broker, server, is_only, now);
 }
 
@@ -249,7 +249,7 @@
         grant(broker, lease, survey.best, now);
         return;
     }
-    if (!survey.any || wait > lease->ask.wait_most || wait + held_mean(&survey) > lease->ask.objective) {
+    if (!survey.any || wait > lease->ask.max_slot_wait || wait + held_mean(&survey) > lease->ask.objective) {
         refuse(broker, lease, survey.any ? wait : 0);
         return;
     }
@@ -287,7 +287,7 @@
     take_ask(broker, lease, now);
 }
 
-uint32_t cw_slot_broker_server_of(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket)
+uint32_t cw_slot_broker_granted_server(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket)
 {
     const cw_slot_lease_t *lease = find_lease(broker, key_of(node, ticket));
 
@@ -331,7 +331,7 @@
         cw_slot_server_note_load(state, &returned->signals->load, now);
     }
     if (server != NULL && returned->end == CW_SLOT_FAILED) {
-        cw_server_pool_fault(server, now);
+        cw_server_pool_record_fault(server, now);
     } else if (server != NULL && returned->end == CW_SLOT_ANSWERED) {
         cw_server_pool_sound(server);
     }
--- a/src/balance/slot_broker.h
+++ b/src/balance/slot_broker.h
@@ -25,16 +25,16 @@
 
 /** One ask for a slot. node and ticket name it. */
 typedef struct cw_slot_ask {
-    uint32_t     node;      /**< address of the asking node */
-    uint32_t     ticket;    /**< its number there */
-    uint32_t     service;   /**< hash of the service's name */
-    uint32_t     server;    /**< hash of the only server that will do; 0: any one of the service in this zone */
-    uint32_t     except;    /**< hash of a server that has failed the request; 0: none */
-    uint32_t     priority;  /**< 0 is the most urgent */
-    uint32_t     tenant;    /**< hash of the name of the tenant whose turn it takes; 0: none */
-    cw_time_us_t objective; /**< time left until the request's latency objective */
-    cw_time_us_t lease;     /**< longest time that the slot is needed */
-    cw_time_us_t wait_most; /**< refused if a slot is expected later; 0: unless one is free now */
+    uint32_t     node;          /**< address of the asking node */
+    uint32_t     ticket;        /**< its number there */
+    uint32_t     service;       /**< hash of the service's name */
+    uint32_t     server;        /**< hash of the only server that will do; 0: any one of the service in this zone */
+    uint32_t     except;        /**< hash of a server that has failed the request; 0: none */
+    uint32_t     priority;      /**< 0 is the most urgent */
+    uint32_t     tenant;        /**< hash of the name of the tenant whose turn it takes; 0: none */
+    cw_time_us_t objective;     /**< time left until the request's latency objective */
+    cw_time_us_t lease;         /**< longest time that the slot is needed */
+    cw_time_us_t max_slot_wait; /**< refused if a slot is expected later; 0: unless one is free now */
 } cw_slot_ask_t;
 
 typedef enum cw_slot_outcome { CW_SLOT_GRANTED, CW_SLOT_QUEUED, CW_SLOT_REFUSED } cw_slot_outcome_t;
@@ -77,7 +77,7 @@
 /** Also of an ask that still waits. One that is not known is ignored. */
 void cw_slot_broker_return(cw_slot_broker_t *broker, const cw_slot_return_t *returned, cw_time_us_t now);
 /** Hash of the server whose slot this ticket has; 0: it has none. */
-uint32_t cw_slot_broker_server_of(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket);
+uint32_t cw_slot_broker_granted_server(const cw_slot_broker_t *broker, uint32_t node, uint32_t ticket);
 /** Ends leases and waits whose time is over; to be called every few milliseconds. */
 void cw_slot_broker_tick(cw_slot_broker_t *broker, cw_time_us_t now);
 /** Slots granted and not given back. */
--- a/src/base/dropped_entries.c
+++ b/src/base/dropped_entries.c
@@ -7,7 +7,7 @@
 #include "base/event_log.h"
 #include "base/metrics.h"
 
-void cw_dropped_entries_note(const char *what, size_t most, size_t dropped)
+void cw_dropped_entries_report(const char *what, size_t most, size_t dropped)
 {
     cw_event_t event;
 
--- a/src/base/dropped_entries.h
+++ b/src/base/dropped_entries.h
@@ -9,6 +9,6 @@
 
 /** So many entries (0: none, and nothing is logged) did not fit. what: of which kind, and the consequence. most: that
  * fit. */
-void cw_dropped_entries_note(const char *what, size_t most, size_t dropped);
+void cw_dropped_entries_report(const char *what, size_t most, size_t dropped);
 
 #endif
--- a/src/cli/zone.c
+++ b/src/cli/zone.c
@@ -276,7 +276,7 @@
                                   .configuration = on_configuration_watched,
                                   .configuration_newest = on_newest_watched,
                                   .answered = on_answered,
-                                  .zones_may_be_out = true,
+                                  .zones_can_be_taken_out = true,
                                   .servers = on_servers};
     int                code;
 
--- a/src/config/router_settings.c
+++ b/src/config/router_settings.c
@@ -237,7 +237,7 @@
 static void read_tuning(cw_router_settings_t *settings, cw_yaml_mapping_t *mapping)
 {
     settings->leader_hold = read_ms(mapping, "leader_hold_ms", 500, 60000, settings->leader_hold);
-    settings->first_look_within = read_ms(mapping, "first_look_within_ms", 0, 60000, settings->first_look_within);
+    settings->first_read_within = read_ms(mapping, "first_look_within_ms", 0, 60000, settings->first_read_within);
     settings->hold = read_ms(mapping, "hold_ms", 1000, 60000, settings->hold);
     settings->hold_long = read_ms(mapping, "hold_long_ms", 1000, 60000, settings->hold_long);
     settings->drain = read_ms(mapping, "drain_ms", 200, 600000, settings->drain);
--- a/src/config/router_settings.h
+++ b/src/config/router_settings.h
@@ -39,7 +39,7 @@
     cw_endpoint_t    store;
     cw_event_level_t log_level;
     cw_time_us_t     leader_hold;
-    cw_time_us_t     first_look_within;    /**< nodes that start together look for a leader within this, in turns */
+    cw_time_us_t     first_read_within;    /**< nodes that start together look for a leader within this, in turns */
     cw_time_us_t     hold;                 /**< of grants on a calm day */
     cw_time_us_t     hold_long;            /**< while the store cannot be reached */
     cw_time_us_t     drain;                /**< a leaving server gets no request later than this */
--- a/src/lease/leadership.c
+++ b/src/lease/leadership.c
@@ -78,7 +78,7 @@
     memset(leadership, 0, sizeof(*leadership));
     leadership->settings = *settings;
     leadership->last_received_at = now - CW_SECONDS(LONG_AGO_S);
-    leadership->next_at = now + settings->first_look_after + moment_within(leadership, settings->first_look_within);
+    leadership->next_at = now + settings->first_read_after + moment_within(leadership, settings->first_read_within);
     leadership->pending = CW_LEADERSHIP_WAIT;
 }
 
@@ -142,7 +142,7 @@
     leadership->nodes = nodes;
 }
 
-void cw_leadership_defer(cw_leadership_t *leadership, cw_time_us_t deference)
+void cw_leadership_set_take_delay(cw_leadership_t *leadership, cw_time_us_t deference)
 {
     leadership->deference = deference;
 }
--- a/src/lease/leadership.h
+++ b/src/lease/leadership.h
@@ -48,8 +48,8 @@
     cw_time_us_t renew_every;
     cw_time_us_t heartbeat_timeout; /**< without a heartbeat for so long, the lock is looked up in the store */
     cw_time_us_t read_every;        /**< pause between looks */
-    cw_time_us_t first_look_after;  /**< the first look comes so much after the start, and */
-    cw_time_us_t first_look_within; /**< within this after that, each node's at a moment of its own */
+    cw_time_us_t first_read_after;  /**< the first look comes so much after the start, and */
+    cw_time_us_t first_read_within; /**< within this after that, each node's at a moment of its own */
 } cw_leadership_settings_t;
 
 typedef enum cw_leadership_action {
@@ -99,7 +99,7 @@
 /** How many nodes there are, this one among them: its lock says so to those that start later. */
 void cw_leadership_set_nodes(cw_leadership_t *leadership, uint32_t nodes);
 /** Set with each tick: so much later than it might this node takes the lock, since a more capable one is in reach. */
-void cw_leadership_defer(cw_leadership_t *leadership, cw_time_us_t deference);
+void cw_leadership_set_take_delay(cw_leadership_t *leadership, cw_time_us_t deference);
 /** A leader's step-down notice has come: the lock is looked at soon. */
 void cw_leadership_receive_step_down(cw_leadership_t *leadership, cw_time_us_t now);
 bool cw_leadership_has_authority(const cw_leadership_t *leadership, cw_time_us_t now);
--- a/src/model/server_list.c
+++ b/src/model/server_list.c
@@ -301,7 +301,7 @@
     return find_newest(list, id, cw_server_id_name_length(id));
 }
 
-const cw_server_entry_t *cw_server_list_named(const cw_server_list_t *list, const char *name)
+const cw_server_entry_t *cw_server_list_newest_by_name(const cw_server_list_t *list, const char *name)
 {
     return find_newest(list, name, strlen(name));
 }
--- a/src/model/server_list.h
+++ b/src/model/server_list.h
@@ -59,7 +59,7 @@
 /** The latest incarnation of the server whose id this is; NULL: none is listed. */
 const cw_server_entry_t *cw_server_list_newest(const cw_server_list_t *list, const char *id);
 /** The same by the server's name. */
-const cw_server_entry_t *cw_server_list_named(const cw_server_list_t *list, const char *name);
+const cw_server_entry_t *cw_server_list_newest_by_name(const cw_server_list_t *list, const char *name);
 /** Entry that shows the incarnation's end: at this address with another id, or a later one of the same server; NULL:
  * none. */
 const cw_server_entry_t *cw_server_list_successor(const cw_server_list_t *list, const char *id, const char *address);
--- a/src/model/server_view.c
+++ b/src/model/server_view.c
@@ -276,8 +276,8 @@
     return CW_VIEW_CHANGED;
 }
 
-cw_view_result_t cw_server_view_take(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
-                                     cw_server_list_t **before)
+cw_view_result_t cw_server_view_apply(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
+                                      cw_server_list_t **before)
 {
     uint64_t          latest = reading->latest > reading->revision ? reading->latest : reading->revision;
     cw_server_list_t *list;
@@ -290,18 +290,18 @@
     list = correct_all(view, reading, now);
     if (!reading->is_told) {
         /* How many were added is seen in the list, and logged by the caller. */
-        (void)cw_server_absence_fill(&view->absence, list, view->list, view->true_at, reading->store_failed, now);
+        (void)cw_server_absence_fill(&view->absence, list, view->list, view->valid_at, reading->store_failed, now);
     }
     note_departures(view, list, latest, now);
     forget_departures(view, now);
-    cw_server_view_confirm(view, reading->revision, reading->true_at);
+    cw_server_view_confirm(view, reading->revision, reading->valid_at);
     return replace(view, list, before);
 }
 
-void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t true_at)
+void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t valid_at)
 {
     view->revision = revision > view->revision ? revision : view->revision;
-    view->true_at = true_at > view->true_at ? true_at : view->true_at;
+    view->valid_at = valid_at > view->valid_at ? valid_at : view->valid_at;
 }
 
 static bool is_any_over(const cw_server_view_t *view, cw_time_us_t now)
@@ -325,5 +325,5 @@
         return CW_VIEW_SAME;
     }
     unchanged.list = cw_server_list_copy_without(view->list, NULL, 0);
-    return cw_server_view_take(view, &unchanged, now, before);
+    return cw_server_view_apply(view, &unchanged, now, before);
 }
--- a/src/model/server_view.h
+++ b/src/model/server_view.h
@@ -12,7 +12,7 @@
  *    (server_absence.h) does not bring it back here: its time counts from when this node first missed it.
  *  - An entry of a former incarnation of a server that has started anew since (server_incarnation.h) is a late write:
  * the later incarnation stays.
- *  - `true_at`: the list was surely true at this moment of the node's own steady clock (the sending of the call that
+ *  - `valid_at`: the list was surely true at this moment of the node's own steady clock (the sending of the call that
  *    read it, or the leader's heartbeat less the age it states).
  *
  * No I/O, no clock.
@@ -37,7 +37,7 @@
     cw_server_list_t *list;
     uint64_t          revision;     /**< all changes up to this one are in it; 0: not known */
     uint64_t          latest;       /**< none after this one is; what is read in several calls may hold later ones */
-    cw_time_us_t      true_at;      /**< 0: not known */
+    cw_time_us_t      valid_at;     /**< 0: not known */
     bool              store_failed; /**< calls of this node to the store have failed since its list was last true */
     bool              is_told;      /**< by the leader; else this node has read it */
 } cw_server_reading_t;
@@ -47,7 +47,7 @@
     cw_server_list_t      *list; /**< NULL: none yet */
     uint64_t               hash;
     uint64_t               revision;
-    cw_time_us_t           true_at;
+    cw_time_us_t           valid_at;
     size_t                 kept;       /**< servers kept in it though they are missing */
     cw_server_departure_t *departures; /**< sorted by id */
     size_t                 departure_count;
@@ -62,10 +62,10 @@
 void cw_server_view_init(cw_server_view_t *view, const cw_absence_settings_t *absence);
 void cw_server_view_clear(cw_server_view_t *view);
 /** Offers a list, which is given away. CW_VIEW_CHANGED: `before` is the former list (NULL: none), to be released. */
-cw_view_result_t cw_server_view_take(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
-                                     cw_server_list_t **before);
+cw_view_result_t cw_server_view_apply(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
+                                      cw_server_list_t **before);
 /** The leader's heartbeat: the list in force was still true at this revision and moment. */
-void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t true_at);
+void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t valid_at);
 /** Lets go of servers whose time to sign in again is over. */
 cw_view_result_t cw_server_view_expire(cw_server_view_t *view, cw_time_us_t now, cw_server_list_t **before);
 /** What is known of a server's leaving; NULL: nothing. */
--- a/src/model/zone_service.c
+++ b/src/model/zone_service.c
@@ -75,15 +75,15 @@
     return state;
 }
 
-static void take_out(const cw_zone_service_t *zones, zone_state_t *state, cw_time_us_t before_true_at)
+static void take_out(const cw_zone_service_t *zones, zone_state_t *state, cw_time_us_t before_valid_at)
 {
-    bool is_known = zones->has_begun && before_true_at != 0;
+    bool is_known = zones->has_begun && before_valid_at != 0;
 
     state->is_out = true;
-    state->owners_until = is_known ? before_true_at + zones->out_within * OWNERS_PERCENT / 100 : 0;
+    state->owners_until = is_known ? before_valid_at + zones->out_within * OWNERS_PERCENT / 100 : 0;
 }
 
-void cw_zone_service_apply(cw_zone_service_t *zones, const cw_name_set_t *out, cw_time_us_t before_true_at,
+void cw_zone_service_apply(cw_zone_service_t *zones, const cw_name_set_t *out, cw_time_us_t before_valid_at,
                            cw_time_us_t now, cw_zone_changed_t changed, void *context)
 {
     size_t index;
@@ -92,7 +92,7 @@
         zone_state_t *state = state_of(zones, out->names[index]);
 
         if (!state->is_out) {
-            take_out(zones, state, before_true_at);
+            take_out(zones, state, before_valid_at);
             if (changed != NULL) {
                 changed(context, state->zone, CW_ZONE_TAKEN_OUT);
             }
--- a/src/model/zone_service.h
+++ b/src/model/zone_service.h
@@ -31,10 +31,10 @@
 cw_zone_service_t *cw_zone_service_create(cw_time_us_t out_within);
 void               cw_zone_service_free(cw_zone_service_t *zones);
 /**
- * The zones that are out of service now. before_true_at: last moment at which the previous set was surely complete; 0:
+ * The zones that are out of service now. before_valid_at: last moment at which the previous set was surely complete; 0:
  * not known. changed: NULL is allowed.
  */
-void cw_zone_service_apply(cw_zone_service_t *zones, const cw_name_set_t *out, cw_time_us_t before_true_at,
+void cw_zone_service_apply(cw_zone_service_t *zones, const cw_name_set_t *out, cw_time_us_t before_valid_at,
                            cw_time_us_t now, cw_zone_changed_t changed, void *context);
 bool cw_zone_service_is_out(const cw_zone_service_t *zones, const char *zone);
 /** Until when requests for keys may still go to owners in this zone, which is out of service; 0: no longer. */
--- a/src/net/http_header.c
+++ b/src/net/http_header.c
@@ -70,7 +70,7 @@
     return length;
 }
 
-bool cw_http_name_is_alike(const char *left, const char *right)
+bool cw_http_name_is_equivalent(const char *left, const char *right)
 {
     size_t length = length_without_blanks(left);
     size_t index;
--- a/src/net/http_header.h
+++ b/src/net/http_header.h
@@ -32,7 +32,7 @@
 
 /** Do two names mean the same to a lenient receiver? Without regard to case, "_" and blanks as "-", blanks at the end
  * ignored: what a caller must not set is to be recognised in any of these spellings. */
-bool cw_http_name_is_alike(const char *left, const char *right);
+bool cw_http_name_is_equivalent(const char *left, const char *right);
 /** Value of the first field of this name, without regard to case; NULL: none. */
 const char *cw_http_fields_find(const cw_http_fields_t *fields, const char *name);
 /** True for fields that speak of one connection only (RFC 9110, 7.6.1), also those that "Connection" names. */
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -165,7 +165,7 @@
     listener->bodies.most = options->body_bytes_most == 0 ? SIZE_MAX : options->body_bytes_most;
 }
 
-void cw_http_listener_set_rejects(cw_http_listener_t *listener, cw_http_rejects_t rejects)
+void cw_http_listener_set_reject_callback(cw_http_listener_t *listener, cw_http_rejects_t rejects)
 {
     listener->rejects = rejects;
 }
--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -56,8 +56,8 @@
     const cw_http_fields_t *fields;
     const char             *body;
     size_t                  body_length;
-    cw_time_us_t            arrived_us;   /**< when the request's head was whole */
-    bool                    without_body; /**< its body was not read, since the handler rejects it */
+    cw_time_us_t            arrived_us;  /**< when the request's head was whole */
+    bool                    body_unread; /**< its body was not read, since the handler rejects it */
 } cw_http_inbound_t;
 
 typedef struct cw_http_listener_handler {
@@ -92,7 +92,7 @@
 /** Limits of requests that begin from now on. A resting connection keeps the longer of its idle times. */
 void cw_http_listener_set_limits(cw_http_listener_t *listener, const cw_http_limits_t *limits);
 /** For requests whose heads are read from now on. NULL: none is rejected by its head. */
-void cw_http_listener_set_rejects(cw_http_listener_t *listener, cw_http_rejects_t rejects);
+void cw_http_listener_set_reject_callback(cw_http_listener_t *listener, cw_http_rejects_t rejects);
 /** From now on connections end: with the answer to the last request that was handed over, or to the next one. */
 void cw_http_listener_end_connections(cw_http_listener_t *listener);
 /** Stops accepting and closes connections that have rested for a moment; to be called again until none is left. */
--- a/src/net/http_listener_exchange.c
+++ b/src/net/http_listener_exchange.c
@@ -39,7 +39,7 @@
                                .body = exchange->body.data,
                                .body_length = exchange->body.length,
                                .arrived_us = exchange->arrived_us,
-                               .without_body = exchange->without_body};
+                               .body_unread = exchange->body_unread};
 }
 
 static void hand_over(cw_http_connection_t *connection, cw_http_exchange_t *exchange)
--- a/src/net/http_listener_internal.h
+++ b/src/net/http_listener_internal.h
@@ -48,7 +48,7 @@
     bool                    is_chunked;
     bool                    is_head;
     bool                    http_1_0;
-    bool                    without_body;   /* rejected by its head */
+    bool                    body_unread;    /* rejected by its head */
     bool                    wants_continue; /* 100, once all before it is written */
     bool                    is_head_done;   /* of the answer: whether it closes the connection is settled */
     bool                    closes;
--- a/src/net/http_listener_request.c
+++ b/src/net/http_listener_request.c
@@ -125,7 +125,7 @@
         return -1;
     }
     if (is_rejected(parser)) {
-        incoming->without_body = true;
+        incoming->body_unread = true;
         return -1;
     }
     if (has_body(parser) && !incoming->is_chunked) {
@@ -242,7 +242,7 @@
     connection->body_read_us = cw_listener_now(connection->listener);
     if (connection->incoming->message_done) {
         take_message(connection);
-    } else if (connection->incoming->without_body) {
+    } else if (connection->incoming->body_unread) {
         connection->incoming->entry.last = true;
         cw_metric_add(CW_METRIC_BODIES_UNREAD, 1);
         take_message(connection);
--- a/src/peer/configuration_assembly.c
+++ b/src/peer/configuration_assembly.c
@@ -8,7 +8,7 @@
 #include "base/memory.h"
 #include "peer/configuration_pages.h"
 
-uint32_t cw_configuration_assembly_missing(const cw_configuration_assembly_t *assembly)
+uint32_t cw_configuration_assembly_first_missing(const cw_configuration_assembly_t *assembly)
 {
     uint32_t page = 0;
 
@@ -245,9 +245,9 @@
     }
 }
 
-cw_configuration_t *cw_configuration_assembly_take(cw_configuration_assembly_t  *assembly,
-                                                   const cw_configuration_t     *in_force,
-                                                   const Cwp__ConfigurationPage *page)
+cw_configuration_t *cw_configuration_assembly_add_page(cw_configuration_assembly_t  *assembly,
+                                                       const cw_configuration_t     *in_force,
+                                                       const Cwp__ConfigurationPage *page)
 {
     uint64_t            version = in_force == NULL ? 0 : in_force->version;
     cw_configuration_t *whole;
--- a/src/peer/configuration_pages.h
+++ b/src/peer/configuration_pages.h
@@ -51,14 +51,14 @@
 } cw_configuration_assembly_t;
 
 /** The first page that has not come; 0 while none has. */
-uint32_t cw_configuration_assembly_missing(const cw_configuration_assembly_t *assembly);
+uint32_t cw_configuration_assembly_first_missing(const cw_configuration_assembly_t *assembly);
 void     cw_configuration_assembly_clear(cw_configuration_assembly_t *assembly);
 /**
  * Takes a page. Returns the new configuration, sealed and owned by the caller, once all pages have come; else NULL.
  * in_force: the receiver's own configuration (NULL: none); pages laid over another base than that are ignored.
  */
-cw_configuration_t *cw_configuration_assembly_take(cw_configuration_assembly_t  *assembly,
-                                                   const cw_configuration_t     *in_force,
-                                                   const Cwp__ConfigurationPage *page);
+cw_configuration_t *cw_configuration_assembly_add_page(cw_configuration_assembly_t  *assembly,
+                                                       const cw_configuration_t     *in_force,
+                                                       const Cwp__ConfigurationPage *page);
 
 #endif
--- a/src/peer/datagram_batch.c
+++ b/src/peer/datagram_batch.c
@@ -10,7 +10,7 @@
 
 enum { LENGTHS_FIRST = 64 };
 
-void cw_datagram_batch_empty(cw_datagram_batch_t *batch)
+void cw_datagram_batch_clear(cw_datagram_batch_t *batch)
 {
     batch->bytes.length = 0;
     batch->count = 0;
--- a/src/peer/datagram_batch.h
+++ b/src/peer/datagram_batch.h
@@ -20,7 +20,7 @@
 } cw_datagram_batch_t;
 
 /** Empties it; its memory is kept for the next datagrams. */
-void cw_datagram_batch_empty(cw_datagram_batch_t *batch);
+void cw_datagram_batch_clear(cw_datagram_batch_t *batch);
 /** Adds a packed datagram. */
 void cw_datagram_batch_add(cw_datagram_batch_t *batch, uint32_t kind, const uint8_t *packed, size_t length);
 
--- a/src/peer/detours.c
+++ b/src/peer/detours.c
@@ -108,7 +108,7 @@
     detours->refilled_at = now;
 }
 
-bool cw_detours_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn)
+bool cw_detours_begin_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn)
 {
     detour_t    *detour = use(detours, address);
     cw_time_us_t pause = CW_MS(detour->probes < EAGER_PROBES ? PROBE_PAUSE_MS : RARE_PAUSE_MS);
--- a/src/peer/peer_link.c
+++ b/src/peer/peer_link.c
@@ -131,14 +131,14 @@
     }
 }
 
-void cw_peer_link_set_place(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count)
+void cw_peer_link_set_zone(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count)
 {
     cw_text_copy(link->zone, sizeof(link->zone), zone);
     link->zones = zones;
     link->zone_count = count;
 }
 
-void cw_peer_link_note_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone)
+void cw_peer_link_set_peer_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone)
 {
     if (strcmp(peer->zone, zone) == 0) {
         return;
@@ -273,8 +273,8 @@
     return sent;
 }
 
-size_t cw_peer_link_send_part(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
-                              size_t first, size_t count)
+size_t cw_peer_link_send_range(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
+                               size_t first, size_t count)
 {
     size_t offset = 0;
     size_t sent = 0;
@@ -308,7 +308,7 @@
     }
 }
 
-bool cw_peer_is_former(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now)
+bool cw_peer_is_former_incarnation(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now)
 {
     return incarnation != 0 && incarnation == peer->former_incarnation &&
            now - peer->incarnation_at < CW_SECONDS(LATE_MOST_S);
@@ -333,7 +333,7 @@
     }
 }
 
-uint32_t cw_peer_link_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now)
+uint32_t cw_peer_link_count_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now)
 {
     const cw_peer_t *peer;
     uint32_t         count = 0;
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -38,16 +38,16 @@
     uint64_t        former_incarnation; /**< the one before; 0: none known */
     cw_time_us_t    incarnation_at;     /**< the present one has been known since */
     uint32_t        sequence;
-    cw_time_us_t    last_received_at; /**< by itself, or by a relay of its zone; 0: never */
-    cw_time_us_t    direct_at;        /**< last report of its own that came here; 0: never */
-    cw_time_us_t    details_at;       /**< when it was heard first or again, or what it says of itself changed */
-    cw_time_us_t    told_at;          /**< when its address was told */
+    cw_time_us_t    last_received_at;      /**< by itself, or by a relay of its zone; 0: never */
+    cw_time_us_t    last_direct_report_at; /**< last report of its own that came here; 0: never */
+    cw_time_us_t    details_at;            /**< when it was heard first or again, or what it says of itself changed */
+    cw_time_us_t    told_at;               /**< when its address was told */
     bool            stopping;
     uint32_t        capability; /**< to lead, as it told; 0: not known */
     bool            is_lost;
-    bool            store_lost;  /**< its calls to the store bring nothing */
-    bool            misses_this; /**< by its last report nothing of this node reaches it directly */
-    uint64_t        term;        /**< of the view it has */
+    bool            store_lost;               /**< its calls to the store bring nothing */
+    bool            receives_nothing_from_us; /**< by its last report nothing of this node reaches it directly */
+    uint64_t        term;                     /**< of the view it has */
     uint64_t        servers;
     uint64_t        tables;
     cw_push_state_t servers_push;
@@ -69,9 +69,9 @@
 int  cw_peer_link_advertise(cw_peer_link_t *link, const char *address);
 void cw_peer_link_close(cw_peer_link_t *link);
 /** Where this node is, and which region each zone lies in; `zones` stays valid as long as the link. */
-void cw_peer_link_set_place(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count);
+void cw_peer_link_set_zone(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count);
 /** A peer has said which zone it is in. */
-void cw_peer_link_note_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone);
+void cw_peer_link_set_peer_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone);
 /** What was sent, by kind and distance. */
 const cw_traffic_account_t *cw_peer_link_traffic(const cw_peer_link_t *link);
 /** An address that may be a node's; this node's own is left out. */
@@ -93,17 +93,17 @@
 /** Sends all of a batch to one peer. Returns its bytes. */
 size_t cw_peer_link_send_batch(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch);
 /** Sends `count` datagrams of a batch from the one at `first` on. Returns their bytes. */
-size_t cw_peer_link_send_part(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
-                              size_t first, size_t count);
+size_t cw_peer_link_send_range(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
+                               size_t first, size_t count);
 /** The node has started anew, if this is another incarnation: its reports begin with sequence 0, and what was sent to
  * the process before it, and when, does not count for this one. */
 void cw_peer_set_incarnation(cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
 /** Is it the incarnation before the one known? Then what tells of it was late: it has been out of date for a short time
  * only. One that is told of for longer is at work, and the other was told of late. */
-bool cw_peer_is_former(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
+bool cw_peer_is_former_incarnation(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
 /** Forgets peers unheard of for so long. */
 void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
 /** Peers heard within `silence`. */
-uint32_t cw_peer_link_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
+uint32_t cw_peer_link_count_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
 
 #endif
--- a/src/placement/load_window.c
+++ b/src/placement/load_window.c
@@ -18,10 +18,10 @@
 
 void cw_load_window_add(cw_load_window_t *window, uint32_t key, double weight, cw_time_us_t now)
 {
-    cw_load_window_note(window, &(cw_key_sighting_t){.key = key, .weight = weight}, now);
+    cw_load_window_add_sample(window, &(cw_key_report_t){.key = key, .weight = weight}, now);
 }
 
-void cw_load_window_note(cw_load_window_t *window, const cw_key_sighting_t *seen, cw_time_us_t now)
+void cw_load_window_add_sample(cw_load_window_t *window, const cw_key_report_t *seen, cw_time_us_t now)
 {
     cw_load_sample_t *sample;
 
--- a/src/placement/load_window.h
+++ b/src/placement/load_window.h
@@ -42,15 +42,15 @@
 } cw_bound_load_t;
 
 /** Requests for one key that were seen. */
-typedef struct cw_key_sighting {
+typedef struct cw_key_report {
     uint32_t key;
     uint32_t regions; /**< where they may go (region_mask.h) */
     uint32_t from;    /**< bit of the region that they came from; 0: not known */
     double   weight;  /**< how many */
-} cw_key_sighting_t;
+} cw_key_report_t;
 
 void cw_load_window_add(cw_load_window_t *window, uint32_t key, double weight, cw_time_us_t now);
-void cw_load_window_note(cw_load_window_t *window, const cw_key_sighting_t *seen, cw_time_us_t now);
+void cw_load_window_add_sample(cw_load_window_t *window, const cw_key_report_t *seen, cw_time_us_t now);
 /** Standard error of a rate read from the window, requests a second: a Poisson count over its memory. */
 double cw_load_error(double per_s);
 /** Load of each key seen lately, in order of keys; returns how many. The array is to be freed. */
--- a/src/placement/order_trust.c
+++ b/src/placement/order_trust.c
@@ -78,7 +78,7 @@
     return pause;
 }
 
-void cw_order_trust_note_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now)
+void cw_order_trust_record_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now)
 {
     doubt_t *doubt = doubt_of(trust, server);
 
@@ -91,7 +91,7 @@
     }
 }
 
-void cw_order_trust_note_answer(cw_order_trust_t *trust, uint32_t server)
+void cw_order_trust_record_answer(cw_order_trust_t *trust, uint32_t server)
 {
     doubt_t *doubt = find(trust, server);
 
--- a/src/placement/order_trust.h
+++ b/src/placement/order_trust.h
@@ -34,9 +34,9 @@
 cw_order_trust_t *cw_order_trust_create(void);
 void              cw_order_trust_free(cw_order_trust_t *trust);
 /** An order to the server failed. served: requests of this node that it has answered so far. */
-void cw_order_trust_note_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
+void cw_order_trust_record_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
 /** It answered an order. */
-void cw_order_trust_note_answer(cw_order_trust_t *trust, uint32_t server);
+void cw_order_trust_record_answer(cw_order_trust_t *trust, uint32_t server);
 /** Is it to be given keys only if no other server can be? served: as above; more than at its last failure clears it. */
 bool cw_order_trust_is_doubted(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
 /** Servers of which something is kept. */
--- a/src/placement/ownership_measures.c
+++ b/src/placement/ownership_measures.c
@@ -106,7 +106,7 @@
     }
 }
 
-void cw_ownership_measures_look(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now)
+void cw_ownership_measures_observe(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now)
 {
     cw_range_seen_t *seen = calloc(ranges->count + 1, sizeof(*seen));
     size_t           first = 0;
@@ -183,7 +183,7 @@
     return owners == 0 || all < load_min_per_s ? 0 : most * (double)owners / all;
 }
 
-void cw_ownership_measures_look_at_load(cw_ownership_measures_t *measures, const cw_range_list_t *ranges,
+void cw_ownership_measures_observe_load(cw_ownership_measures_t *measures, const cw_range_list_t *ranges,
                                         const cw_load_window_t *window, cw_time_us_t now)
 {
     free(measures->loads);
--- a/src/placement/ownership_measures.h
+++ b/src/placement/ownership_measures.h
@@ -48,9 +48,9 @@
 
 void cw_ownership_measures_clear(cw_ownership_measures_t *measures);
 /** Looks at the ranges as they are now. Takes what has changed since the last look for what happened in between. */
-void cw_ownership_measures_look(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now);
+void cw_ownership_measures_observe(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now);
 /** Looks at the load on the ranges; once a second or so. */
-void cw_ownership_measures_look_at_load(cw_ownership_measures_t *measures, const cw_range_list_t *ranges,
+void cw_ownership_measures_observe_load(cw_ownership_measures_t *measures, const cw_range_list_t *ranges,
                                         const cw_load_window_t *window, cw_time_us_t now);
 /** Mean of the imbalance over time; 0: not known. */
 double cw_ownership_measures_imbalance(const cw_ownership_measures_t *measures);
--- a/src/placement/planner.c
+++ b/src/placement/planner.c
@@ -230,7 +230,7 @@
         plan_joins(&planner);
     }
     if (planner.changes == 0 && cw_assigner_is_stale(planner.assigner, planner.now)) {
-        cw_assigner_plan_refresh(planner.assigner);
+        cw_assigner_plan_rewrite(planner.assigner);
     }
     cw_assigner_plan_write(planner.assigner, planner.now);
     free(planner.origins);
--- a/src/placement/planner_move.c
+++ b/src/placement/planner_move.c
@@ -48,10 +48,10 @@
     size_t      index = (size_t)(cw_range_list_find(&planner->ranges, piece->low) - planner->ranges.items);
     cw_range_t *range;
 
-    if (cw_range_list_cut(&planner->ranges, index, piece->low)) {
+    if (cw_range_list_split(&planner->ranges, index, piece->low)) {
         index++;
     }
-    (void)cw_range_list_cut(&planner->ranges, index, piece->last + 1); /* false: the range ends there already */
+    (void)cw_range_list_split(&planner->ranges, index, piece->last + 1); /* false: the range ends there already */
     range = &planner->ranges.items[index];
     cw_text_copy(range->owner.id, sizeof(range->owner.id), to->entry->id);
     range->moved_at = planner->now;
--- a/src/proxy/engine_answer.c
+++ b/src/proxy/engine_answer.c
@@ -46,7 +46,7 @@
         request->server = NULL;
         request->engine->changed = true;
         cw_request_return_slot(request);
-        cw_server_pool_end(request->engine->pool, server);
+        cw_server_pool_end_request(request->engine->pool, server);
         cw_engine_wake(request->engine);
     }
     cw_request_return_token(request);
@@ -94,7 +94,7 @@
     cw_event_number(event, CW_FIELD_ATTEMPT, request->attempts);
     cw_event_ms(event, CW_FIELD_LEFT_MS, request->deadline - now);
     cw_event_number(event, CW_FIELD_QUEUED, (int64_t)request->service->queued);
-    cw_event_number(event, CW_FIELD_UNDER_WAY, cw_server_pool_under_way(request->engine->pool, request->service->name));
+    cw_event_number(event, CW_FIELD_UNDER_WAY, cw_server_pool_in_flight(request->engine->pool, request->service->name));
     if (request->is_keyed) {
         const cw_key_route_t *entry = cw_engine_owner(request->engine, request->service, request->key);
 
@@ -252,8 +252,8 @@
 void cw_request_fail_late(cw_request_t *request)
 {
     if (request->server != NULL) {
-        cw_server_pool_slow(request->server, cw_engine_now(request->engine) - request->sent_at,
-                            request->route_state->mean_time, cw_engine_now(request->engine));
+        cw_server_pool_record_slow(request->server, cw_engine_now(request->engine) - request->sent_at,
+                                   request->route_state->mean_time, cw_engine_now(request->engine));
     }
     fail(request, STATUS_GATEWAY_TIMEOUT, "time limit", CW_METRIC_FAILED_LATE);
 }
--- a/src/proxy/engine_attempt.c
+++ b/src/proxy/engine_attempt.c
@@ -80,7 +80,7 @@
 {
     cw_metric_add(CW_METRIC_SENT, 1);
     cw_metric_add(CW_METRIC_SENT_LIMITED, cw_server_is_limited(server, now) ? 1 : 0);
-    cw_metric_add(CW_METRIC_SENT_LEAVING, server->has_said_leaving ? 1 : 0);
+    cw_metric_add(CW_METRIC_SENT_LEAVING, server->announced_leaving ? 1 : 0);
     cw_metric_add(CW_METRIC_SENT_RESTING, now < server->rest_until ? 1 : 0);
 }
 
@@ -115,7 +115,7 @@
         cw_histogram_add(CW_HISTOGRAM_QUEUE, request->route->name, now - request->arrived);
     }
     request->attempts++;
-    cw_server_pool_begin(server, now);
+    cw_server_pool_begin_request(server, now);
     engine->changed = true;
     count_sending(server, now);
     request->call = cw_upstream_call(server->connections, &sending, engine->on_answer, request);
@@ -134,7 +134,7 @@
     request->engine->changed = true;
     cw_text_copy(request->avoided_server, sizeof(request->avoided_server), server->id);
     cw_request_return_slot(request);
-    cw_server_pool_end(request->engine->pool, server);
+    cw_server_pool_end_request(request->engine->pool, server);
     cw_engine_wake(request->engine);
 }
 
--- a/src/proxy/engine_callers.c
+++ b/src/proxy/engine_callers.c
@@ -96,7 +96,7 @@
         rejection.reason = cw_caller_reason(caller->verdict);
         rejection.fields = &engine->challenge;
         cw_metric_add(rejection_metric(caller->verdict), 1);
-    } else if (inbound->without_body) {
+    } else if (inbound->body_unread) {
         refuse_unread_body(engine, exchange, inbound, &rejection);
         return false;
     } else {
@@ -194,8 +194,8 @@
 {
     const char *tenant = request->engine->settings.names.tenant;
 
-    if (tenant != NULL && cw_http_name_is_alike(name, tenant)) {
+    if (tenant != NULL && cw_http_name_is_equivalent(name, tenant)) {
         return true;
     }
-    return request->caller.strips_credentials && cw_http_name_is_alike(name, "authorization");
+    return request->caller.strips_credentials && cw_http_name_is_equivalent(name, "authorization");
 }
--- a/src/proxy/engine_claim.c
+++ b/src/proxy/engine_claim.c
@@ -15,7 +15,7 @@
 
 enum {
     REPLY_TIMEOUT_MS = 20, /* a round trip between zones, and the delay of a busy node */
-    BROKER_PAUSE_MS = 300  /* all nodes notice within a second that a node has stopped (CW_PEER_SILENCE_MS) */
+    BROKER_PAUSE_MS = 300  /* all nodes notice within a second that a node has stopped (CW_PEER_TIMEOUT_MS) */
 };
 
 /* Part of the route's mean time that a request may wait for a slot in this zone before other zones are asked: a server
@@ -93,7 +93,7 @@
                               .tenant = request->tenant_hash,
                               .objective = left > 0 ? left : 0,
                               .lease = request->deadline - now,
-                              .wait_most = wait};
+                              .max_slot_wait = wait};
 
     if (request->attempts > 0) { /* an earlier attempt was made: a late answer is better than none */
         ask.objective = request->deadline - now;
--- a/src/proxy/engine_outcome.c
+++ b/src/proxy/engine_outcome.c
@@ -92,7 +92,7 @@
         return;
     }
     log_retry(request, server->id, "silence");
-    cw_server_pool_slow(server, now - request->sent_at, request->route_state->mean_time, now);
+    cw_server_pool_record_slow(server, now - request->sent_at, request->route_state->mean_time, now);
     cw_request_abandon(request);
     send_again(request, 0);
 }
@@ -115,7 +115,7 @@
 
 static void record_fault(cw_server_t *server, const char *reason, cw_time_us_t now)
 {
-    cw_server_pool_fault(server, now);
+    cw_server_pool_record_fault(server, now);
     if (server->faults == 1) {
         log_server(server, CW_EVENT_SERVER_LOST, reason);
     }
@@ -132,7 +132,7 @@
     if (server->faults > 0) {
         log_server(server, CW_EVENT_SERVER_BACK, "answered");
     }
-    cw_server_pool_served(server, took, mean_time, now);
+    cw_server_pool_record_served(server, took, mean_time, now);
     if (normal > (double)mean_time * OUTLIER_RATIO_MAX) {
         normal = (double)mean_time * OUTLIER_RATIO_MAX;
     }
--- a/src/proxy/engine_placement.c
+++ b/src/proxy/engine_placement.c
@@ -28,7 +28,7 @@
 {
     cw_server_t *server = cw_request_owner(request);
 
-    if (server == NULL || !cw_server_takes(server, true, now) || !cw_server_zone_allows(server, true, now)) {
+    if (server == NULL || !cw_server_accepts(server, true, now) || !cw_server_zone_allows(server, true, now)) {
         return WAITS_FOR_OWNER;
     }
     if (!cw_server_region_allows(server, &request->regions)) {
@@ -91,7 +91,7 @@
 {
     const cw_server_t *owner = request->is_keyed ? cw_request_owner(request) : NULL;
 
-    return owner != NULL && owner->has_said_leaving && !cw_server_takes(owner, true, now);
+    return owner != NULL && owner->announced_leaving && !cw_server_accepts(owner, true, now);
 }
 
 /* A request that could not be placed waits or is refused with a time to retry. It is admitted if it is expected to be
--- a/src/proxy/engine_regions.c
+++ b/src/proxy/engine_regions.c
@@ -57,7 +57,7 @@
         return false;
     }
     input.wait = wait_in_region(request, now);
-    return cw_crossing_waits_here(&input);
+    return cw_crossing_should_wait(&input);
 }
 
 cw_server_t *cw_request_choose(const cw_request_t *request, const cw_zone_filter_t *zones, cw_time_us_t now, bool *full)
--- a/src/proxy/engine_slots.c
+++ b/src/proxy/engine_slots.c
@@ -147,7 +147,7 @@
 
 static bool is_still_usable(const cw_request_t *request, const cw_server_t *server, cw_time_us_t now)
 {
-    if (server == NULL || !cw_server_takes(server, request->is_keyed, now) || server->ended ||
+    if (server == NULL || !cw_server_accepts(server, request->is_keyed, now) || server->ended ||
         strcmp(server->service, request->service->name) != 0 || !cw_server_region_allows(server, &request->regions) ||
         !cw_server_zone_allows(server, request->is_keyed, now)) {
         return false;
--- a/src/proxy/engine_split.c
+++ b/src/proxy/engine_split.c
@@ -19,7 +19,7 @@
     size_t index;
 
     for (index = 0; index < route->part_count; index++) {
-        if (cw_server_pool_serves(pool, route->parts[index].service, regions)) {
+        if (cw_server_pool_has_server(pool, route->parts[index].service, regions)) {
             return route->parts[index].service;
         }
     }
@@ -59,7 +59,7 @@
     const char             *part = choose_by_weight(request->route_state, route);
     const char             *alternative;
 
-    if (!has_region_rule(regions) || cw_server_pool_serves(pool, part, regions)) {
+    if (!has_region_rule(regions) || cw_server_pool_has_server(pool, part, regions)) {
         return part;
     }
     alternative = choose_part_in_regions(pool, route, regions);
--- a/src/router/configuration_exchange.c
+++ b/src/router/configuration_exchange.c
@@ -128,7 +128,7 @@
     request.has = version_in_force(exchange);
     if (is_assembling(exchange)) {
         request.version = exchange->assembly.partial->version;
-        request.first_page = cw_configuration_assembly_missing(&exchange->assembly);
+        request.first_page = cw_configuration_assembly_first_missing(&exchange->assembly);
     }
     exchange->window_end = request.first_page + WINDOW_PAGES;
     datagram.content_case = CWP__DATAGRAM__CONTENT_CONFIGURATION_REQUEST;
@@ -253,7 +253,8 @@
 /* When all requested pages have been received, the next ones are requested at once. */
 static void request_next_window(cw_configuration_exchange_t *exchange, cw_time_us_t now)
 {
-    if (is_assembling(exchange) && cw_configuration_assembly_missing(&exchange->assembly) >= exchange->window_end) {
+    if (is_assembling(exchange) &&
+        cw_configuration_assembly_first_missing(&exchange->assembly) >= exchange->window_end) {
         send_request(exchange, now);
     }
 }
@@ -283,7 +284,7 @@
         exchange->owner.too_large(exchange->owner.context);
         return;
     }
-    configuration = cw_configuration_assembly_take(&exchange->assembly, in_force(exchange), page);
+    configuration = cw_configuration_assembly_add_page(&exchange->assembly, in_force(exchange), page);
     if (configuration != NULL) {
         exchange->is_awaiting_reply = false;
         exchange->owner.received(exchange->owner.context, configuration);
--- a/src/router/replaced_versions.c
+++ b/src/router/replaced_versions.c
@@ -11,13 +11,13 @@
     memset(replaced, 0, sizeof(*replaced));
 }
 
-void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t version, cw_time_us_t true_at)
+void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t version, cw_time_us_t valid_at)
 {
     if (version != replaced->newest + 1) {
         replaced->count = 0;
     }
     replaced->newest = version;
-    replaced->true_at[version % CW_REPLACED_VERSIONS_MAX] = true_at;
+    replaced->valid_at[version % CW_REPLACED_VERSIONS_MAX] = valid_at;
     replaced->count += replaced->count < CW_REPLACED_VERSIONS_MAX ? 1 : 0;
 }
 
@@ -27,9 +27,9 @@
     size_t index;
 
     for (index = 0; index < replaced->count; index++) {
-        cw_time_us_t true_at = replaced->true_at[(replaced->newest - index) % CW_REPLACED_VERSIONS_MAX];
+        cw_time_us_t valid_at = replaced->valid_at[(replaced->newest - index) % CW_REPLACED_VERSIONS_MAX];
 
-        ages_ms[index] = now <= true_at ? 0 : (uint32_t)((now - true_at) / 1000) + 1;
+        ages_ms[index] = now <= valid_at ? 0 : (uint32_t)((now - valid_at) / 1000) + 1;
     }
     return replaced->count;
 }
--- a/src/router/replaced_versions.h
+++ b/src/router/replaced_versions.h
@@ -24,15 +24,15 @@
 typedef struct cw_replaced_versions {
     uint64_t newest; /**< last version that was replaced; 0: none */
     /** When a version was last valid, at index version % CW_REPLACED_VERSIONS_MAX. */
-    cw_time_us_t true_at[CW_REPLACED_VERSIONS_MAX];
+    cw_time_us_t valid_at[CW_REPLACED_VERSIONS_MAX];
     size_t       count; /**< versions that are kept */
 } cw_replaced_versions_t;
 
 /** Starts a new term, in which no version has been replaced. */
 void cw_replaced_versions_begin(cw_replaced_versions_t *replaced);
-/** Records that this version was replaced; it was certainly valid at `true_at`. A gap in the versions discards earlier
+/** Records that this version was replaced; it was certainly valid at `valid_at`. A gap in the versions discards earlier
  * ones. */
-void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t version, cw_time_us_t true_at);
+void cw_replaced_versions_add(cw_replaced_versions_t *replaced, uint64_t version, cw_time_us_t valid_at);
 /** Ages in milliseconds of the last versions that were replaced, the newest first. Returns their count. */
 size_t cw_replaced_versions_ages(const cw_replaced_versions_t *replaced, cw_time_us_t now,
                                  uint32_t ages_ms[CW_REPLACED_VERSIONS_MAX]);
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -77,7 +77,7 @@
     if (now - router->started_at < CW_SECONDS(PEER_DISCOVERY_S)) {
         return CW_NODES_UNKNOWN;
     }
-    return cw_peer_link_alive(router->link, router->silence, now);
+    return cw_peer_link_count_alive(router->link, router->silence, now);
 }
 
 /* Number of nodes that share the fixed part of the retry budget: the most seen alive within the budget's window; 0: not
@@ -85,7 +85,7 @@
  */
 static uint32_t nodes_for_budget(cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t alive = cw_peer_link_alive(router->link, router->settings.retry_window, now) + 1;
+    uint32_t alive = cw_peer_link_count_alive(router->link, router->settings.retry_window, now) + 1;
 
     if (alive >= router->peak_nodes || now - router->peak_nodes_at > router->settings.retry_window) {
         router->peak_nodes = alive;
@@ -204,7 +204,7 @@
                                      .configuration_within = router->settings.configuration_within,
                                      .configuration_newest = cw_router_on_configuration_evidence,
                                      .answered = cw_router_on_answered,
-                                     .zones_may_be_out = router->settings.zone_out_within > 0,
+                                     .zones_can_be_taken_out = router->settings.zone_out_within > 0,
                                      .servers = cw_router_on_servers};
     cw_absence_settings_t absence;
     char                  store_address[32];
@@ -229,8 +229,8 @@
     if (error != 0) {
         return error;
     }
-    cw_peer_link_set_place(router->link, router->settings.zone, router->settings.zone_regions,
-                           router->settings.zone_region_count);
+    cw_peer_link_set_zone(router->link, router->settings.zone, router->settings.zone_regions,
+                          router->settings.zone_region_count);
     router->started_at = cw_router_now(router);
     cw_fleet_size_init(&router->fleet_size, router->settings.retry_window, router->started_at);
     absence = cw_absence_settings_of(router->settings.heartbeat, router->settings.drain);
--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -46,13 +46,13 @@
 {
     cw_router_t       *router = order->router;
     const cw_server_t *server = cw_server_pool_find_hash(router->pool, order->server);
-    bool failed = result == CW_ORDER_NOT_SENT || result == CW_ORDER_UNANSWERED || result == CW_ORDER_ENDED;
+    bool failed = result == CW_ORDER_NOT_SENT || result == CW_ORDER_UNANSWERED || result == CW_ORDER_OTHER_INCARNATION;
 
     if (failed) {
-        cw_order_trust_note_failure(router->order_trust, order->server, server == NULL ? 0 : server->served,
-                                    cw_router_now(router));
+        cw_order_trust_record_failure(router->order_trust, order->server, server == NULL ? 0 : server->served,
+                                      cw_router_now(router));
     } else {
-        cw_order_trust_note_answer(router->order_trust, order->server);
+        cw_order_trust_record_answer(router->order_trust, order->server);
     }
 }
 
@@ -196,12 +196,12 @@
     cw_service_assignment_t *keyed = &router->keyed[router->keyed_count];
     cw_assigner_settings_t   settings = {.hold = router->settings.hold,
                                          .hold_long = router->settings.hold_long,
-                                         .hold_most = router->settings.hold_long,
+                                         .max_hold = router->settings.hold_long,
                                          .renew_every = router->settings.hold / RENEWALS_PER_LEASE,
                                          .order_timeout = CW_MS(ORDER_TIMEOUT_MS),
                                          .release_timeout = CW_MS(RELEASE_TIMEOUT_MS),
-                                         .late_orders = CW_SECONDS(LATE_ORDER_S),
-                                         .table_valid = router->settings.hold * CW_TABLES_VALID_PERCENT / 100};
+                                         .late_order_time = CW_SECONDS(LATE_ORDER_S),
+                                         .table_validity = router->settings.hold * CW_TABLES_VALID_PERCENT / 100};
     cw_assigner_ports_t      ports = {.context = keyed,
                                       .store = router->store,
                                       .order = send_order,
@@ -246,12 +246,12 @@
             if (samples->keys[key] > CW_KEY_LAST) {
                 continue; /* callers may send any number; placement could not find a range for this one */
             }
-            cw_load_window_note(&keyed->window,
-                                &(cw_key_sighting_t){.key = samples->keys[key],
-                                                     .regions = regions,
-                                                     .from = cw_server_pool_zone_bit(router->pool, samples->zone),
-                                                     .weight = (double)samples->seen / (double)samples->count},
-                                now);
+            cw_load_window_add_sample(&keyed->window,
+                                      &(cw_key_report_t){.key = samples->keys[key],
+                                                         .regions = regions,
+                                                         .from = cw_server_pool_zone_bit(router->pool, samples->zone),
+                                                         .weight = (double)samples->seen / (double)samples->count},
+                                      now);
         }
     }
 }
--- a/src/router/router_callers.c
+++ b/src/router/router_callers.c
@@ -54,6 +54,6 @@
     error = cw_http_listener_create(&router->callers, &router->loop, settings->callers.address, settings->callers.port,
                                     &limits, &handler);
     cw_http_listener_set_options(router->callers, &options);
-    cw_http_listener_set_rejects(router->callers, rejects_head);
+    cw_http_listener_set_reject_callback(router->callers, rejects_head);
     return error;
 }
--- a/src/router/router_configuration.c
+++ b/src/router/router_configuration.c
@@ -58,8 +58,8 @@
     for (index = 0; index < configuration->service_count; index++) {
         keyed += configuration->services[index].keyed ? 1 : 0;
     }
-    cw_dropped_entries_note("services divided by key: the others get no owners", CW_KEYED_SERVICES_MAX,
-                            keyed > CW_KEYED_SERVICES_MAX ? keyed - CW_KEYED_SERVICES_MAX : 0);
+    cw_dropped_entries_report("services divided by key: the others get no owners", CW_KEYED_SERVICES_MAX,
+                              keyed > CW_KEYED_SERVICES_MAX ? keyed - CW_KEYED_SERVICES_MAX : 0);
 }
 
 bool cw_router_apply_configuration(cw_router_t *router, cw_configuration_t *configuration)
--- a/src/router/router_detours.c
+++ b/src/router/router_detours.c
@@ -50,9 +50,9 @@
  * until its own reports have arrived. */
 static bool misses_this_node(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    bool has_reported = now - router->started_at >= CW_MS(CW_PEER_SILENCE_MS);
+    bool has_reported = now - router->started_at >= CW_MS(CW_PEER_TIMEOUT_MS);
 
-    return has_reported && peer->misses_this && now - peer->direct_at <= router->silence;
+    return has_reported && peer->receives_nothing_from_us && now - peer->last_direct_report_at <= router->silence;
 }
 
 static bool is_suspect(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
@@ -171,8 +171,8 @@
     if (intermediate != NULL) {
         send_detour(router, intermediate, &detour);
     }
-    for (way = 0; way < CW_DETOUR_WAYS; way++) {
-        intermediate = intermediate_at(router, turn * CW_DETOUR_WAYS + way, now);
+    for (way = 0; way < CW_DETOUR_INDIRECT_PROBES; way++) {
+        intermediate = intermediate_at(router, turn * CW_DETOUR_INDIRECT_PROBES + way, now);
         if (intermediate != NULL && intermediate->address != via) {
             send_detour(router, intermediate, &detour);
         }
@@ -185,7 +185,7 @@
     uint32_t         turn;
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        if (is_suspect(router, peer, now) && cw_detours_probe(router->detours, peer->address, now, &turn)) {
+        if (is_suspect(router, peer, now) && cw_detours_begin_probe(router->detours, peer->address, now, &turn)) {
             probe(router, peer, turn, now);
         }
     }
@@ -202,7 +202,7 @@
         return;
     }
     cw_text_copy(origin->node, sizeof(origin->node), detour->node);
-    cw_peer_link_note_zone(router->link, origin, detour->zone);
+    cw_peer_link_set_peer_zone(router->link, origin, detour->zone);
     origin->capability = detour->capability;
 }
 
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -41,7 +41,7 @@
     CW_TICK_MS = 20,
     /** Shortest time without a datagram after which a peer counts as lost; longer in large fleets, whose nodes report
      * rarely. */
-    CW_PEER_SILENCE_MS = 1000,
+    CW_PEER_TIMEOUT_MS = 1000,
     /** Limit of a node's report datagrams in a large fleet, where handling reports is most of the work of all nodes. */
     CW_LARGE_FLEET_DATAGRAMS_PER_SECOND = 60,
     /** Limit of the leader's reports, and likewise of its table updates. */
@@ -393,16 +393,16 @@
 void cw_router_on_servers(void *context, const cw_servers_read_t *read);
 /** Records that the tables in force were still valid at this time, as a node with the same tables has read in the
  * store. */
-void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t true_at);
+void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t valid_at);
 /** Whether this node has read or received tables of keys; true also if no service is divided by key. */
 bool cw_router_tables_known(const cw_router_t *router);
 
 /* ---- router_zones.c ---- */
 /** Creates the state of zones out of service and of the rate of cold servers. */
 void cw_router_zones_init(cw_router_t *router);
-/** Applies the servers and the zones out of service of a list that has just come into force. before_true_at: last time
+/** Applies the servers and the zones out of service of a list that has just come into force. before_valid_at: last time
  * at which the previous list was known to be valid; 0: not known. */
-void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now);
+void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_valid_at, cw_time_us_t now);
 /** Applies the configured warm-up of each service's servers. */
 void cw_router_apply_warm_ups(cw_router_t *router);
 /** Updates the nodes that share the sending to cold servers. */
--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -12,7 +12,7 @@
     HEARTBEAT_TIMEOUT_MS = 900,
     READ_EVERY_MS = 400,
     CAPABILITY_PER_CORE = 1000,
-    /* Equally capable nodes spread their first reads of the lock over first_look_within / FIRST_READ_DIVISOR. */
+    /* Equally capable nodes spread their first reads of the lock over first_read_within / FIRST_READ_DIVISOR. */
     FIRST_READ_DIVISOR = 4,
     /* While a renewal of the lock has had no answer for so long, grants get the long lease (hold_long). */
     STORE_UNRESPONSIVE_MS = 700,
@@ -36,9 +36,9 @@
 
 /* Time from the start to the first read of the lock. Nodes that start together do not know one another yet, so the more
  * capable a node is, the sooner it reads the lock. */
-static cw_time_us_t first_look_after(const cw_router_t *router)
+static cw_time_us_t first_read_after(const cw_router_t *router)
 {
-    return router->settings.first_look_within * CAPABILITY_PER_CORE /
+    return router->settings.first_read_within * CAPABILITY_PER_CORE /
            (CAPABILITY_PER_CORE + cw_router_capability(router));
 }
 
@@ -49,8 +49,8 @@
                                          .renew_every = router->settings.leader_hold / RENEWALS_PER_LEADER_LEASE,
                                          .heartbeat_timeout = CW_MS(HEARTBEAT_TIMEOUT_MS),
                                          .read_every = CW_MS(READ_EVERY_MS),
-                                         .first_look_after = first_look_after(router),
-                                         .first_look_within = router->settings.first_look_within / FIRST_READ_DIVISOR};
+                                         .first_read_after = first_read_after(router),
+                                         .first_read_within = router->settings.first_read_within / FIRST_READ_DIVISOR};
 
     memcpy(settings.node, router->settings.node, sizeof(settings.node));
     memcpy(settings.address, router->settings.address, sizeof(router->settings.address));
@@ -139,10 +139,10 @@
 /* Followers read a copy, which may be old but costs less. This is safe, since a node takes the lock by a write on the
  * condition of the revision that it has seen, which the store refuses unless that is the newest. While a deployment
  * starts for the first time there may be no lock yet, and a copy without it would make all nodes try to create it: with
- * first_look_within set, they read the store itself. */
+ * first_read_within set, they read the store itself. */
 static void read_lock(cw_router_t *router)
 {
-    if (router->leadership.leading || router->settings.first_look_within > 0) {
+    if (router->leadership.leading || router->settings.first_read_within > 0) {
         router->store->read(router->store->context, leader_kind, leader_name, on_lock, router);
     } else {
         router->store->read_copy(router->store->context, leader_kind, leader_name, on_lock, router);
@@ -294,12 +294,12 @@
     uint32_t followers;
 
     cw_leader_tenure_record_rival(&router->tenure, is_rival_reachable(router), now);
-    followers = cw_peer_link_alive(router->link, router->silence, now);
+    followers = cw_peer_link_count_alive(router->link, router->silence, now);
     if (cw_router_is_new(router, now) && followers < ASSUMED_FOLLOWERS) {
         followers = ASSUMED_FOLLOWERS;
     }
     cw_leadership_set_followers(&router->leadership, followers);
-    cw_leadership_defer(&router->leadership, cw_leader_tenure_take_delay(&router->tenure));
+    cw_leadership_set_take_delay(&router->leadership, cw_leader_tenure_take_delay(&router->tenure));
     if (cw_router_has_authority(router, now) && cw_leader_tenure_should_hand_over(&router->tenure, now) &&
         !is_store_unresponsive(router, now)) {
         log_leadership(router, CW_EVENT_LEADER_LOST, "a more capable node is in reach");
@@ -347,7 +347,7 @@
     cw_order_trust_expire(router->order_trust, now);
     for (index = 0; index < router->keyed_count; index++) {
         cw_router_plan(router, &router->keyed[index], now);
-        cw_assigner_set_pace(router->keyed[index].assigner, renewals_per_second(router));
+        cw_assigner_set_renewal_rate(router->keyed[index].assigner, renewals_per_second(router));
         cw_assigner_tick(router->keyed[index].assigner, router->server_view.list, has_authority,
                          is_store_unresponsive(router, now), now);
         cw_router_measure(&router->keyed[index], now);
--- a/src/router/router_pass_on.c
+++ b/src/router/router_pass_on.c
@@ -90,7 +90,7 @@
     cw_router_t     *router = context;
     const cw_peer_t *peer = cw_peer_link_find(router->link, address);
 
-    return peer == NULL ? 0 : cw_peer_link_send_part(router->link, peer, pages, first, count);
+    return peer == NULL ? 0 : cw_peer_link_send_range(router->link, peer, pages, first, count);
 }
 
 void cw_router_forward_init(cw_router_t *router)
@@ -139,7 +139,7 @@
         return; /* no node accepts so many pages */
     }
     set_pass_on(datagram, false);
-    cw_datagram_batch_empty(&packed);
+    cw_datagram_batch_clear(&packed);
     cw_peer_link_pack_into(router->link, &packed, datagram);
     if (packed.count == 1 && !cw_forward_queue_add(router->forward_queue, &update, page, &packed, now)) {
         cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, 1); /* the leader sends the page to the nodes directly */
@@ -189,7 +189,7 @@
     if (leader->incarnation == passed->incarnation && passed->sequence <= leader->sequence) {
         return false;
     }
-    if (cw_peer_is_former(leader, passed->incarnation, now)) {
+    if (cw_peer_is_former_incarnation(leader, passed->incarnation, now)) {
         return false;
     }
     cw_peer_set_incarnation(leader, passed->incarnation, now);
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -218,7 +218,7 @@
 
 static cw_time_us_t keys_interval(const cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t nodes = cw_peer_link_alive(router->link, router->silence, now);
+    uint32_t nodes = cw_peer_link_count_alive(router->link, router->silence, now);
 
     return CW_MS(KEYS_INTERVAL_MS) * (KEYS_INTERVAL_NODES + nodes) / KEYS_INTERVAL_NODES;
 }
@@ -227,14 +227,14 @@
 {
     cw_time_us_t timeout = idle * TIMEOUT_INTERVALS;
 
-    router->silence = (timeout > CW_MS(CW_PEER_SILENCE_MS) ? timeout : CW_MS(CW_PEER_SILENCE_MS)) + relay_latency;
+    router->silence = (timeout > CW_MS(CW_PEER_TIMEOUT_MS) ? timeout : CW_MS(CW_PEER_TIMEOUT_MS)) + relay_latency;
 }
 
 static void report_among_few(cw_router_t *router, cw_time_us_t now)
 {
     cw_time_us_t since_all = now - router->reported_all_at;
     cw_time_us_t since_zone = now - router->reported_zone_at;
-    uint32_t     all = cw_peer_link_alive(router->link, router->silence, now);
+    uint32_t     all = cw_peer_link_count_alive(router->link, router->silence, now);
     uint32_t     in_zone = count_targets(router, now).in_zone;
     cw_time_us_t idle = CW_MS(interval_to_all_ms(router, IDLE_INTERVAL_MS, all));
 
@@ -326,7 +326,7 @@
     cw_time_us_t lifetime =
         router->silence / TIMEOUT_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
 
-    return lifetime > CW_MS(CW_POOL_REPORT_LIFE_MS) ? lifetime : CW_MS(CW_POOL_REPORT_LIFE_MS);
+    return lifetime > CW_MS(CW_POOL_REPORT_EXPIRY_MS) ? lifetime : CW_MS(CW_POOL_REPORT_EXPIRY_MS);
 }
 
 void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t since_received)
--- a/src/router/router_plan.c
+++ b/src/router/router_plan.c
@@ -93,7 +93,7 @@
         planned = add_server(servers);
         planned->entry = entry;
         planned->is_barred = cw_zone_service_is_out(router->zones, entry->zone) ||
-                             (server != NULL && server->has_said_leaving) ||
+                             (server != NULL && server->announced_leaving) ||
                              (server != NULL && !may_own(&cache, router->configuration, service, server->region));
         planned->usable = !entry->draining && !planned->is_barred && server != NULL && server->avoid_until <= now &&
                           !cw_server_is_rate_bounded(server, now);
@@ -152,10 +152,10 @@
     if (now - measures->looked_at < CW_MS(CW_TICK_MS) * (cw_time_us_t)(ranges->count / RANGES_PER_TICK)) {
         return;
     }
-    cw_ownership_measures_look(measures, ranges, now);
+    cw_ownership_measures_observe(measures, ranges, now);
     if (now - keyed->measured_load_at >= CW_MS(MEASURE_LOAD_EVERY_MS)) {
         keyed->measured_load_at = now;
-        cw_ownership_measures_look_at_load(measures, ranges, &keyed->window, now);
+        cw_ownership_measures_observe_load(measures, ranges, &keyed->window, now);
     }
     cw_metric_add(CW_METRIC_MOVED_KEYS, (uint64_t)(measures->moved_keys - keys));
     cw_metric_add(CW_METRIC_MOVED_COLD_KEYS, (uint64_t)(measures->moved_cold_keys - cold));
--- a/src/router/router_quota.c
+++ b/src/router/router_quota.c
@@ -13,7 +13,7 @@
 #include "router/router_quota.h"
 
 enum {
-    CANDIDATES_UPDATE_MS = 100 /* between updates of the nodes that may count; well below CW_PEER_SILENCE_MS */
+    CANDIDATES_UPDATE_MS = 100 /* between updates of the nodes that may count; well below CW_PEER_TIMEOUT_MS */
 };
 
 static const char *const mode_names[] = {"free", "metered", "alone"};
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -28,7 +28,7 @@
                                               .waiting = load->waiting,
                                               .unreachable = load->unreachable};
     }
-    cw_server_pool_report(router->pool, peer->address, reports, index, now);
+    cw_server_pool_apply_report(router->pool, peer->address, reports, index, now);
 }
 
 static void apply_latencies(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received,
@@ -43,7 +43,7 @@
         paces[index] = (cw_server_pace_t){.hash = pace->server, .served = pace->served, .time = pace->time};
     }
     if (index > 0) {
-        cw_server_pool_learn(router->pool, peer->address, paces, index, now);
+        cw_server_pool_apply_paces(router->pool, peer->address, paces, index, now);
     }
 }
 
@@ -68,7 +68,7 @@
         peer->last_received_at != 0) {
         return false; /* delayed or repeated */
     }
-    if (cw_peer_is_former(peer, received->incarnation, now)) {
+    if (cw_peer_is_former_incarnation(peer, received->incarnation, now)) {
         return false; /* delayed: the node has restarted since */
     }
     if (peer->last_received_at == 0 || peer->is_lost || peer->incarnation != received->incarnation) {
@@ -86,18 +86,18 @@
     cw_peer_set_incarnation(peer, received->incarnation, now);
     peer->sequence = received->sequence;
     peer->last_received_at = now;
-    peer->direct_at = now;
+    peer->last_direct_report_at = now;
     peer->stopping = received->stopping;
     peer->store_lost = received->store_lost;
     peer->peers = received->peers;
-    peer->misses_this = is_missed_by(router, received);
+    peer->receives_nothing_from_us = is_missed_by(router, received);
     peer->term = received->term;
     peer->servers = received->servers;
     peer->tables = received->tables;
     if (received->node[0] != '\0') {
         peer->details_at = strcmp(peer->node, received->node) == 0 ? peer->details_at : now;
         cw_text_copy(peer->node, sizeof(peer->node), received->node);
-        cw_peer_link_note_zone(router->link, peer, received->zone);
+        cw_peer_link_set_peer_zone(router->link, peer, received->zone);
         peer->capability = received->capability;
     }
     return true;
@@ -127,8 +127,8 @@
 
         fits = cw_queue_lengths_add(&router->queue_lengths, &length);
     }
-    cw_dropped_entries_note("queue lengths of other nodes: services seem less busy there", CW_QUEUE_LENGTHS_MAX,
-                            fits ? 0 : count - index + 1);
+    cw_dropped_entries_report("queue lengths of other nodes: services seem less busy there", CW_QUEUE_LENGTHS_MAX,
+                              fits ? 0 : count - index + 1);
     if (had_any || router->queue_lengths.count > 0) {
         cw_engine_each_service(router->engine, update_queued_elsewhere, router);
     }
@@ -142,7 +142,7 @@
         return;
     }
     if (cw_router_is_summarized(router, peer, now)) { /* its requests are included in its zone's sums */
-        cw_server_pool_report(router->pool, peer->address, NULL, 0, now);
+        cw_server_pool_apply_report(router->pool, peer->address, NULL, 0, now);
         cw_router_handle_queues(router, peer->address, false, NULL, 0, now);
     } else {
         apply_loads(router, peer, received, now);
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -302,8 +302,8 @@
     if (peer == NULL || at <= peer->last_received_at || now - at > router->silence) {
         return;
     }
-    if (at > peer->direct_at) {
-        cw_peer_link_note_zone(router->link, peer, summary->zone);
+    if (at > peer->last_direct_report_at) {
+        cw_peer_link_set_peer_zone(router->link, peer, summary->zone);
         peer->capability = summary->capabilities[index];
     }
     if (peer->last_received_at == 0 || peer->is_lost) {
@@ -318,8 +318,9 @@
 {
     cw_peer_t *peer = cw_peer_link_find(router->link, detail->address);
 
-    if (peer == NULL || (peer->direct_at != 0 && now - peer->direct_at < CW_MS(CW_SUMMARY_RECENT_MS)) ||
-        cw_peer_is_former(peer, detail->incarnation, now)) {
+    if (peer == NULL ||
+        (peer->last_direct_report_at != 0 && now - peer->last_direct_report_at < CW_MS(CW_SUMMARY_RECENT_MS)) ||
+        cw_peer_is_former_incarnation(peer, detail->incarnation, now)) {
         return;
     }
     cw_peer_set_incarnation(peer, detail->incarnation, now);
@@ -352,7 +353,7 @@
                                            .waiting = summary->waiting[index],
                                            .unreachable = is_unreachable(summary, summary->servers[index])};
     }
-    cw_server_pool_report(router->pool, sender, sums, index, now);
+    cw_server_pool_apply_report(router->pool, sender, sums, index, now);
     cw_router_handle_queues(router, sender, false, summary->queues, summary->n_queues, now);
 }
 
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -145,7 +145,7 @@
     builder.leader.term = router->leadership.lock.term;
     builder.leader.revision = router->leadership.revision;
     builder.leader.able = cw_router_has_authority(router, now);
-    builder.leader.list_age_ms = (uint32_t)((now - router->server_view.true_at) / 1000);
+    builder.leader.list_age_ms = (uint32_t)((now - router->server_view.valid_at) / 1000);
     builder.leader.servers = router->leader_list_version;
     builder.leader.servers_hash = router->server_view.list == NULL ? 0 : router->server_view.hash;
     builder.leader.list_revision = router->server_view.revision;
@@ -186,7 +186,7 @@
     builder.report.store_lost = router->store_availability.is_lost;
     builder.report.vacated = cw_leader_tenure_announced_term(&router->tenure, now);
     builder.report.configuration = cw_router_version(router);
-    builder.report.peers = cw_peer_link_alive(router->link, router->silence, now);
+    builder.report.peers = cw_peer_link_count_alive(router->link, router->silence, now);
     builder.report.term = router->view_term;
     builder.report.servers = router->view_list_version;
     builder.report.tables = router->view_tables_version;
--- a/src/router/router_share.c
+++ b/src/router/router_share.c
@@ -92,10 +92,10 @@
 
     notice.configuration = cw_router_version(router);
     notice.configuration_age_ms = cw_configuration_freshness_pack(&router->freshness, now);
-    if (router->server_view.list != NULL && router->server_view.true_at != 0) {
+    if (router->server_view.list != NULL && router->server_view.valid_at != 0) {
         notice.servers_hash = router->server_view.hash;
         notice.servers_revision = router->server_view.revision;
-        notice.servers_age_ms = age_ms(router->server_view.true_at, now);
+        notice.servers_age_ms = age_ms(router->server_view.valid_at, now);
     }
     if (router->tables_valid_at != 0) {
         notice.tables_hash = router->tables_hash;
--- a/src/router/router_signals.c
+++ b/src/router/router_signals.c
@@ -16,7 +16,7 @@
     if (!(per_s >= 0)) {
         return ended_rate;
     }
-    return per_s > CW_SERVER_LIMIT_MOST ? CW_SERVER_LIMIT_MOST : per_s;
+    return per_s > CW_SERVER_LIMIT_MAX ? CW_SERVER_LIMIT_MAX : per_s;
 }
 
 static uint32_t age_ms(cw_time_us_t since, cw_time_us_t now)
@@ -84,7 +84,7 @@
         cw_signal_notices_end_leave(router->signal_notices, hash);
         return false;
     }
-    return server->has_said_leaving;
+    return server->announced_leaving;
 }
 
 static void send_notice(cw_router_t *router, const uint32_t *servers, size_t count, cw_time_us_t now)
--- a/src/router/router_slots.c
+++ b/src/router/router_slots.c
@@ -13,7 +13,7 @@
 #include "router/router_internal.h"
 
 enum {
-    CANDIDATES_UPDATE_MS = 100 /* between updates of the nodes that may count slots; well below CW_PEER_SILENCE_MS */
+    CANDIDATES_UPDATE_MS = 100 /* between updates of the nodes that may count slots; well below CW_PEER_TIMEOUT_MS */
 };
 
 static const double no_limit = -1; /* in messages: the server has no rate limit */
@@ -71,7 +71,7 @@
 static void handle_return(cw_router_t *router, const cw_slot_return_t *returned, cw_time_us_t now)
 {
     cw_slot_broker_t *broker = router->slots->broker;
-    uint32_t          hash = cw_slot_broker_server_of(broker, returned->node, returned->ticket);
+    uint32_t          hash = cw_slot_broker_granted_server(broker, returned->node, returned->ticket);
     cw_server_t      *server = (cw_server_t *)cw_server_pool_find_hash(router->pool, hash);
 
     if (server != NULL && returned->signals != NULL && returned->node != own_address(router->slots)) {
@@ -172,7 +172,7 @@
     message.tenant = asked->tenant;
     message.objective_ms = to_ms(asked->objective);
     message.lease_ms = to_ms(asked->lease);
-    message.wait_ms = to_ms(asked->wait_most);
+    message.wait_ms = to_ms(asked->max_slot_wait);
     if (cw_router_pack_limit(slots->router, asked->server, &limit)) {
         message.limit = &limit;
     }
@@ -257,7 +257,7 @@
                            .tenant = message->tenant,
                            .objective = CW_MS(message->objective_ms),
                            .lease = CW_MS(message->lease_ms),
-                           .wait_most = CW_MS(message->wait_ms)};
+                           .max_slot_wait = CW_MS(message->wait_ms)};
 
     if (message->limit != NULL) {
         cw_router_apply_limit(router, message->limit, cw_router_now(router));
--- a/src/router/router_status.c
+++ b/src/router/router_status.c
@@ -126,7 +126,7 @@
              "{s:s, s:s, s:b, s:I, s:o, s:I, s:I, s:b, s:I, s:o, s:o, s:o, s:o, s:o}", "node", router->settings.node, "zone",
              router->settings.zone, "stopping", router->stopping_at != 0, "configuration",
              (json_int_t)(router->configuration == NULL ? 0 : router->configuration->version), "leadership",
-             leadership_json(router, now), "servers_age_ms", (json_int_t)((now - router->server_view.true_at) / 1000),
+             leadership_json(router, now), "servers_age_ms", (json_int_t)((now - router->server_view.valid_at) / 1000),
              "tables_age_ms", (json_int_t)((now - router->tables_valid_at) / 1000), "store_lost",
              router->store_availability.is_lost, "queued", (json_int_t)cw_engine_queued(router->engine), "assignments",
              assignments_json(router, now), "peers", peers_json(router, now), "measures", measures_json(router), "servers",
--- a/src/router/router_summary.c
+++ b/src/router/router_summary.c
@@ -168,7 +168,7 @@
     }
 }
 
-static bool takes_node(void *context, uint64_t node)
+static bool includes_node(void *context, uint64_t node)
 {
     cw_router_t     *router = context;
     const cw_peer_t *peer = node >= cw_zone_sender_bit ? NULL : cw_peer_link_find(router->link, (uint32_t)node);
@@ -178,7 +178,7 @@
 
 /* Only servers of keyed services are summed. Slots of other services are counted in the servers' own zones
  * (slot_broker.h). */
-static bool takes_server(void *context, const cw_server_t *server)
+static bool includes_server(void *context, const cw_server_t *server)
 {
     const cw_router_t *router = context;
     size_t             index;
@@ -195,15 +195,15 @@
 
 static void add_loads(cw_router_t *router, cw_time_us_t now)
 {
-    cw_sum_filter_t filter = {.context = router, .takes_node = takes_node, .takes_server = takes_server};
+    cw_sum_filter_t filter = {.context = router, .includes_node = includes_node, .includes_server = includes_server};
     size_t          left_out;
     size_t          count;
     size_t          index;
 
     cw_engine_count_waiting(router->engine);
     count = cw_server_pool_sum(router->pool, &filter, builder.sums, CW_SUMMARY_SERVERS_MAX, now, &left_out);
-    cw_dropped_entries_note("owners of keys in the summary of a zone: other zones do not learn its requests there",
-                            CW_SUMMARY_SERVERS_MAX, left_out);
+    cw_dropped_entries_report("owners of keys in the summary of a zone: other zones do not learn its requests there",
+                              CW_SUMMARY_SERVERS_MAX, left_out);
     for (index = 0; index < count; index++) {
         builder.servers[index] = builder.sums[index].hash;
         builder.under_way[index] = builder.sums[index].under_way;
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -73,15 +73,15 @@
 }
 
 /* Passes another list that is in force to all parts of the node that use it. */
-static void apply_servers(cw_router_t *router, cw_server_list_t *before, cw_time_us_t before_true_at, cw_time_us_t now)
+static void apply_servers(cw_router_t *router, cw_server_list_t *before, cw_time_us_t before_valid_at, cw_time_us_t now)
 {
     cw_server_list_t *list = router->server_view.list;
 
     log_servers_changed(router, before);
     cw_server_pool_update(router->pool, list, now);
-    cw_router_apply_zones(router, before_true_at, now);
+    cw_router_apply_zones(router, before_valid_at, now);
     if (router->leadership.leading) {
-        cw_replaced_versions_add(&router->replaced_servers, router->leader_list_version, before_true_at);
+        cw_replaced_versions_add(&router->replaced_servers, router->leader_list_version, before_valid_at);
         router->leader_list_version++;
         router->view_list_version = router->leader_list_version;
         cw_list_history_add(&router->list_history, before, list, router->leader_list_version);
@@ -122,13 +122,13 @@
 {
     cw_time_us_t      now = cw_router_now(router);
     size_t            kept = router->server_view.kept;
-    cw_time_us_t      before_true_at = router->server_view.true_at;
+    cw_time_us_t      before_valid_at = router->server_view.valid_at;
     cw_server_list_t *before;
-    cw_view_result_t  result = cw_server_view_take(&router->server_view, reading, now, &before);
+    cw_view_result_t  result = cw_server_view_apply(&router->server_view, reading, now, &before);
 
     if (result == CW_VIEW_CHANGED) {
         log_servers_kept(router, kept);
-        apply_servers(router, before, before_true_at, now);
+        apply_servers(router, before, before_valid_at, now);
     } else if (result == CW_VIEW_OLDER) {
         cw_router_log_older_servers(router, reading->revision, "read");
     }
@@ -141,8 +141,8 @@
     cw_server_reading_t reading = {.list = read->list,
                                    .revision = read->revision,
                                    .latest = read->latest,
-                                   .true_at = router->reading_copy ? 0 : router->servers_read_at - read->lag,
-                                   .store_failed = router->store_availability.failed_at > router->server_view.true_at};
+                                   .valid_at = router->reading_copy ? 0 : router->servers_read_at - read->lag,
+                                   .store_failed = router->store_availability.failed_at > router->server_view.valid_at};
 
     router->reading_servers = false;
     router->servers_lag = read->lag;
@@ -158,7 +158,7 @@
     cw_server_list_t *before;
 
     if (cw_server_view_expire(&router->server_view, now, &before) == CW_VIEW_CHANGED) {
-        apply_servers(router, before, router->server_view.true_at, now);
+        apply_servers(router, before, router->server_view.valid_at, now);
     }
 }
 
@@ -166,7 +166,7 @@
 static bool is_in_large_fleet(const cw_router_t *router, cw_time_us_t now)
 {
     return cw_router_is_new(router, now) ||
-           cw_peer_link_alive(router->link, router->silence, now) >= CW_FLEET_MANY_NODES;
+           cw_peer_link_count_alive(router->link, router->silence, now) >= CW_FLEET_MANY_NODES;
 }
 
 /* Interval between two reads. While the store does not answer, calls of many nodes would burden it, and each call has a
@@ -201,7 +201,8 @@
     router->reading_servers = true;
     router->servers_read_at = now;
     if (!from_copy && router->server_view.list != NULL && router->server_view.revision != 0) {
-        router->store->know_servers(router->store->context, router->server_view.list, router->server_view.revision);
+        router->store->set_known_servers(router->store->context, router->server_view.list,
+                                         router->server_view.revision);
     }
     router->reading_copy = from_copy;
     router->store->read_servers(router->store->context, from_copy);
@@ -263,16 +264,16 @@
     return tables_validity(router) * TABLES_STALE_PERCENT / 100;
 }
 
-static void validate_tables(cw_router_t *router, cw_time_us_t true_at)
+static void validate_tables(cw_router_t *router, cw_time_us_t valid_at)
 {
-    router->tables_valid_at = true_at > router->tables_valid_at ? true_at : router->tables_valid_at;
+    router->tables_valid_at = valid_at > router->tables_valid_at ? valid_at : router->tables_valid_at;
     cw_engine_set_tables_valid(router->engine, router->tables_valid_at,
                                router->tables_valid_at + tables_validity(router));
 }
 
-void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t true_at)
+void cw_router_confirm_tables(cw_router_t *router, cw_time_us_t valid_at)
 {
-    validate_tables(router, true_at);
+    validate_tables(router, valid_at);
 }
 
 /* ---- the leader's heartbeat ---- */
@@ -280,15 +281,15 @@
 /* Confirms the list in force: it is the leader's newest, or was valid until a time that the heartbeat states. */
 static void confirm_servers(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    cw_time_us_t true_at;
+    cw_time_us_t valid_at;
 
     if (router->view_list_version >= heartbeat->servers) {
         cw_server_view_confirm(&router->server_view, heartbeat->list_revision, now - CW_MS(heartbeat->list_age_ms));
         return;
     }
-    true_at = cw_replaced_versions_valid_at(router->view_list_version, heartbeat->servers,
-                                            heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
-    cw_server_view_confirm(&router->server_view, router->server_view.revision, true_at);
+    valid_at = cw_replaced_versions_valid_at(router->view_list_version, heartbeat->servers,
+                                             heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
+    cw_server_view_confirm(&router->server_view, router->server_view.revision, valid_at);
 }
 
 /* The same for the tables. */
@@ -382,21 +383,21 @@
 {
     table_read_t          *read = data;
     cw_router_t           *router = read->router;
-    cw_time_us_t           true_at = read->sent_at;
+    cw_time_us_t           valid_at = read->sent_at;
     cw_assignment_record_t record;
 
     if (read->from_copy) { /* used for a shorter time; owners that no longer hold the keys reply that they do not */
-        true_at -= tables_validity(router) * TABLES_STALE_PERCENT / 100;
+        valid_at -= tables_validity(router) * TABLES_STALE_PERCENT / 100;
     }
     router->table_reads_pending--;
     cw_router_store_result(router, reply->result == CW_STORE_DONE || reply->result == CW_STORE_NOT_FOUND,
                            cw_router_now(router));
     if (reply->result == CW_STORE_DONE && !router->leadership.leading &&
         cw_assignment_record_from_json(&record, reply->value)) {
-        if (true_at > router->tables_valid_at && cw_record_is_usable(record.term, router->view_term)) {
+        if (valid_at > router->tables_valid_at && cw_record_is_usable(record.term, router->view_term)) {
             cw_router_begin_term(router, record.term);
             use_record(router, read->service, &record);
-            validate_tables(router, true_at);
+            validate_tables(router, valid_at);
         }
         cw_range_list_clear(&record.ranges);
     }
@@ -508,7 +509,7 @@
  * list. */
 static bool is_list_due(const cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
-    cw_time_us_t age = now - router->server_view.true_at;
+    cw_time_us_t age = now - router->server_view.valid_at;
 
     if (router->server_view.list == NULL) {
         return is_first_read_due(router, is_heartbeat_fresh, now);
--- a/src/router/router_zones.c
+++ b/src/router/router_zones.c
@@ -34,11 +34,11 @@
     }
 }
 
-void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_true_at, cw_time_us_t now)
+void cw_router_apply_zones(cw_router_t *router, cw_time_us_t before_valid_at, cw_time_us_t now)
 {
     const cw_name_set_t *out = &router->server_view.list->zones_out;
 
-    cw_zone_service_apply(router->zones, out, before_true_at, now, log_zone_change, router);
+    cw_zone_service_apply(router->zones, out, before_valid_at, now, log_zone_change, router);
     cw_server_pool_set_zones(router->pool, router->zones);
     cw_metric_set(CW_METRIC_ZONES_OUT, out->count);
 }
--- a/src/router/signal_notices.c
+++ b/src/router/signal_notices.c
@@ -14,7 +14,7 @@
     RESEND_INTERVAL_MS = 200,  /* interval between these */
     DATAGRAM_INTERVAL_MS = 50, /* shortest interval between datagrams: servers that change all the time share them */
     CHANGE_INTERVAL_MS = 500,  /* shortest interval between notices of changes of one server */
-    /* Three renewals in the time after which a limit is forgotten (CW_LIMIT_FORGOTTEN_MS). */
+    /* Three renewals in the time after which a limit is forgotten (CW_LIMIT_EXPIRY_MS). */
     RENEWAL_INTERVAL_MS = 3000,
 };
 
@@ -86,7 +86,7 @@
     if (notice->sends_left > 0) {
         return notice->send_at;
     }
-    return notice->noticed_at + CW_MS(notice->is_leave ? RENEWAL_INTERVAL_MS : CW_LIMIT_FORGOTTEN_MS);
+    return notice->noticed_at + CW_MS(notice->is_leave ? RENEWAL_INTERVAL_MS : CW_LIMIT_EXPIRY_MS);
 }
 
 /* While the first datagram of a notice is still due, a further change does not alter the schedule: the datagram carries
@@ -142,7 +142,7 @@
 
 static bool is_expired(const notice_t *notice, cw_time_us_t now)
 {
-    return notice->sends_left == 0 && !notice->is_leave && now - notice->noticed_at >= CW_MS(CW_LIMIT_FORGOTTEN_MS);
+    return notice->sends_left == 0 && !notice->is_leave && now - notice->noticed_at >= CW_MS(CW_LIMIT_EXPIRY_MS);
 }
 
 size_t cw_signal_notices_due(cw_signal_notices_t *notices, uint32_t servers[CW_SIGNAL_NOTICES_MAX], cw_time_us_t now)
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -55,7 +55,7 @@
     /** The store answered a call of a standing reader, or left a reading of the configuration without an answer. */
     void (*answered)(void *context, bool is_answered);
     /** Operators may take zones out of service here: each reading of the servers also brings which are. */
-    bool zones_may_be_out;
+    bool zones_can_be_taken_out;
     void (*servers)(void *context, const cw_servers_read_t *read);
 } cw_store_readers_t;
 
@@ -74,7 +74,7 @@
     void (*read_servers)(void *context, bool from_copy);
     /** This node knows the list as of this revision, from another node: the next reading needs only what changed since.
      */
-    void (*know_servers)(void *context, const cw_server_list_t *list, uint64_t revision);
+    void (*set_known_servers)(void *context, const cw_server_list_t *list, uint64_t revision);
     /** Reads the configuration at once; a standing watch begins anew, since the present one may be dead. */
     void (*read_configuration)(void *context);
     /** Keeps a standing watch of the configuration that the store may hold for `wait`; 0: none. None at first: the
--- a/src/tenancy/caller_identity.c
+++ b/src/tenancy/caller_identity.c
@@ -51,7 +51,7 @@
     size_t      index;
 
     for (index = 0; index < fields->count; index++) {
-        if (!cw_http_name_is_alike(fields->items[index].name, authorization_name)) {
+        if (!cw_http_name_is_equivalent(fields->items[index].name, authorization_name)) {
             continue;
         }
         if (value != NULL) {
@@ -168,7 +168,7 @@
     for (index = 0; index < fields->count; index++) {
         const cw_http_field_t *field = &fields->items[index];
 
-        if (cw_http_name_is_alike(field->name, authorization_name) && field->value != NULL &&
+        if (cw_http_name_is_equivalent(field->name, authorization_name) && field->value != NULL &&
             may_contain_key(configuration, field->value, scheme, &parts)) {
             return true;
         }
--- a/src/tenancy/quota_reports.c
+++ b/src/tenancy/quota_reports.c
@@ -20,7 +20,7 @@
                                   all nodes lose a node that stopped as a peer before that. If 0.4 of the datagrams are
                                   lost, one in 50 million series of reports gets this far. */
     SKIP_SILENT_MS = 1000,     /* first time for which a silent node is skipped: by then all nodes have lost a node that
-                                  stopped as a peer (CW_PEER_SILENCE_MS) */
+                                  stopped as a peer (CW_PEER_TIMEOUT_MS) */
     MAX_SKIP_DOUBLINGS = 3,
     SKIP_DECLINED_MS = 300,       /* a node that has just started will count soon */
     MAX_USAGES_PER_DATAGRAM = 48, /* they fill a datagram of about 1,200 bytes */
--- a/tests/assigner_world.c
+++ b/tests/assigner_fixture.c
@@ -1,8 +1,8 @@
 /**
- * @file assigner_world.c
+ * @file assigner_fixture.c
  * @brief An assigner with a store of one object and servers whose orders the test answers.
  */
-#include "assigner_world.h"
+#include "assigner_fixture.h"
 
 #include <check.h>
 #include <stdio.h>
@@ -99,12 +99,12 @@
 {
     cw_assigner_settings_t settings = {.hold = CW_MS(5000),
                                        .hold_long = CW_MS(8000),
-                                       .hold_most = CW_MS(8000),
+                                       .max_hold = CW_MS(8000),
                                        .renew_every = CW_MS(1250),
                                        .order_timeout = CW_MS(350),
                                        .release_timeout = CW_MS(1500),
-                                       .late_orders = CW_SECONDS(13),
-                                       .table_valid = CW_MS(4000)};
+                                       .late_order_time = CW_SECONDS(13),
+                                       .table_validity = CW_MS(4000)};
     cw_assigner_ports_t    ports = {
            .context = world, .store = &world->port, .order = take_order, .changed = note_change, .note = note};
 
--- a/tests/assigner_world.h
+++ b/tests/assigner_fixture.h
@@ -1,9 +1,9 @@
 /**
- * @file assigner_world.h
+ * @file assigner_fixture.h
  * @brief An assigner with a store of one object and servers whose orders the test answers.
  */
-#ifndef CEDARWINCH_TESTS_ASSIGNER_WORLD_H
-#define CEDARWINCH_TESTS_ASSIGNER_WORLD_H
+#ifndef CEDARWINCH_TESTS_ASSIGNER_FIXTURE_H
+#define CEDARWINCH_TESTS_ASSIGNER_FIXTURE_H
 
 #include "assignment/assigner.h"
 
--- a/tests/engine_fixture.c
+++ b/tests/engine_fixture.c
@@ -182,7 +182,7 @@
     fixture->upstream = cw_upstream_create(&fixture->loop, &options);
     fixture->engine = cw_engine_create(&fixture->loop, &settings, fixture->pool, fixture->upstream);
     ck_assert_int_eq(cw_http_listener_create(&fixture->front, &fixture->loop, "127.0.0.1", 0, &limits, &handler), 0);
-    cw_http_listener_set_rejects(fixture->front, front_rejects);
+    cw_http_listener_set_reject_callback(fixture->front, front_rejects);
     fixture->caller = cw_upstream_create(&fixture->loop, &options);
     snprintf(address, sizeof(address), "127.0.0.1:%u", cw_http_listener_port(fixture->front));
     fixture->front_target = cw_upstream_target_create(fixture->caller, address);
--- a/tests/listener_world.c
+++ b/tests/listener_fixture.c
@@ -1,8 +1,8 @@
 /**
- * @file listener_world.c
+ * @file listener_fixture.c
  * @brief A listener whose handler keeps its requests until a test answers them, and raw callers.
  */
-#include "listener_world.h"
+#include "listener_fixture.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -27,7 +27,7 @@
     snprintf(request->method, sizeof(request->method), "%s", inbound->method);
     snprintf(request->target, sizeof(request->target), "%s", inbound->target);
     request->body_length = inbound->body_length;
-    request->without_body = inbound->without_body;
+    request->body_unread = inbound->body_unread;
     if (inbound->body_length > 0) {
         request->body_first = inbound->body[0];
         request->body_last = inbound->body[inbound->body_length - 1];
@@ -65,7 +65,7 @@
     uv_loop_init(&world->loop);
     ck_assert_int_eq(cw_http_listener_create(&world->listener, &world->loop, "127.0.0.1", 0, limits, &handler), 0);
     cw_http_listener_set_options(world->listener, options);
-    cw_http_listener_set_rejects(world->listener, rejects);
+    cw_http_listener_set_reject_callback(world->listener, rejects);
 }
 
 /* ---- callers ---- */
--- a/tests/listener_world.h
+++ b/tests/listener_fixture.h
@@ -1,9 +1,9 @@
 /**
- * @file listener_world.h
+ * @file listener_fixture.h
  * @brief A listener whose handler keeps its requests until a test answers them, and raw callers.
  */
-#ifndef CEDARWINCH_TESTS_LISTENER_WORLD_H
-#define CEDARWINCH_TESTS_LISTENER_WORLD_H
+#ifndef CEDARWINCH_TESTS_LISTENER_FIXTURE_H
+#define CEDARWINCH_TESTS_LISTENER_FIXTURE_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -27,7 +27,7 @@
     char                body_last;
     cw_time_us_t        arrived_us;
     bool                gone;
-    bool                without_body;
+    bool                body_unread;
 } cw_world_request_t;
 
 typedef struct cw_world_caller {
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -59,7 +59,7 @@
     node->list_reads++;
 }
 
-static void know_servers(void *context, const cw_server_list_t *list, uint64_t revision)
+static void set_known_servers(void *context, const cw_server_list_t *list, uint64_t revision)
 {
     (void)context;
     (void)list;
@@ -266,7 +266,7 @@
                                    .create = create_object,
                                    .replace = replace_object,
                                    .read_servers = read_servers,
-                                   .know_servers = know_servers,
+                                   .set_known_servers = set_known_servers,
                                    .read_configuration = read_configuration,
                                    .watch_configuration = watch_configuration};
     node->adapter = (cw_adapter_t){.header_names = &node->names, .order = accept_order};
--- a/tests/quota_sim.c
+++ b/tests/quota_sim.c
@@ -336,8 +336,8 @@
     if (via != 0) {
         send_via(sim, &message, index_of(via));
     }
-    for (way = 0; way < CW_DETOUR_WAYS; way++) {
-        size_t between = (turn * CW_DETOUR_WAYS + way) % sim->node_count;
+    for (way = 0; way < CW_DETOUR_INDIRECT_PROBES; way++) {
+        size_t between = (turn * CW_DETOUR_INDIRECT_PROBES + way) % sim->node_count;
 
         if (between != suspect && between != message.from && receives_from(node, between)) {
             send_via(sim, &message, between);
@@ -353,7 +353,7 @@
 
     for (other = 0; other < sim->node_count; other++) {
         if (other != index_of(node->address) && is_suspect(node, other) &&
-            cw_detours_probe(node->detours, sim->nodes[other].address, sim->now, &turn)) {
+            cw_detours_begin_probe(node->detours, sim->nodes[other].address, sim->now, &turn)) {
             probe(node, other, turn);
         }
     }
--- a/tests/test_assigner.c
+++ b/tests/test_assigner.c
@@ -4,7 +4,7 @@
  */
 #include <string.h>
 
-#include "assigner_world.h"
+#include "assigner_fixture.h"
 #include "loop_fixture.h"
 
 static const char *const two[] = {"i-a@10.0.0.1:80", "i-b@10.0.0.2:80", NULL};
@@ -120,7 +120,7 @@
     assigner_world_servers(&world, two);
     assigner_world_settle(&world);
     begin_move(&world);
-    assigner_world_answer(&world, CW_ORDER_ENDED, NULL);
+    assigner_world_answer(&world, CW_ORDER_OTHER_INCARNATION, NULL);
     assigner_world_tick(&world, CW_MS(20));
     ck_assert_int_eq(assigner_world_range(&world, 50)->phase, CW_RANGE_GRANTING);
     assigner_world_clear(&world);
@@ -713,7 +713,7 @@
     const cw_order_t *second;
 
     begin_with(&world, two);
-    cw_assigner_set_pace(world.assigner, RENEWALS_A_SECOND); /* two ranges: one renewal each in two seconds */
+    cw_assigner_set_renewal_rate(world.assigner, RENEWALS_A_SECOND); /* two ranges: one renewal each in two seconds */
     renew(&world, CW_ORDER_DONE);
     first = last_grant_to(&world, "10.0.0.1:80");
     ck_assert_int_eq(first->hold, CW_MS(5000 + 2000 - 1250));
@@ -733,7 +733,7 @@
     const cw_order_t *grant;
 
     begin_with(&world, two);
-    cw_assigner_set_pace(world.assigner, 0.01);
+    cw_assigner_set_renewal_rate(world.assigner, 0.01);
     renew(&world, CW_ORDER_DONE);
     grant = last_grant_to(&world, "10.0.0.1:80");
     ck_assert_int_eq(grant->hold, CW_MS(8000));
--- a/tests/test_caller_identity.c
+++ b/tests/test_caller_identity.c
@@ -307,13 +307,13 @@
 
 START_TEST(field_names_match_in_any_spelling)
 {
-    ck_assert(cw_http_name_is_alike("X-Tenant", "x-tenant"));
-    ck_assert(cw_http_name_is_alike("X_TENANT", "X-Tenant"));
-    ck_assert(cw_http_name_is_alike("x-Tenant \t", "X-Tenant"));
-    ck_assert(cw_http_name_is_alike("x tenant", "X-Tenant"));
-    ck_assert(!cw_http_name_is_alike("X-Tenants", "X-Tenant"));
-    ck_assert(!cw_http_name_is_alike("XTenant", "X-Tenant"));
-    ck_assert(!cw_http_name_is_alike("", "X-Tenant"));
+    ck_assert(cw_http_name_is_equivalent("X-Tenant", "x-tenant"));
+    ck_assert(cw_http_name_is_equivalent("X_TENANT", "X-Tenant"));
+    ck_assert(cw_http_name_is_equivalent("x-Tenant \t", "X-Tenant"));
+    ck_assert(cw_http_name_is_equivalent("x tenant", "X-Tenant"));
+    ck_assert(!cw_http_name_is_equivalent("X-Tenants", "X-Tenant"));
+    ck_assert(!cw_http_name_is_equivalent("XTenant", "X-Tenant"));
+    ck_assert(!cw_http_name_is_equivalent("", "X-Tenant"));
 }
 END_TEST
 
--- a/tests/test_configuration_pages.c
+++ b/tests/test_configuration_pages.c
@@ -55,7 +55,7 @@
 
     for (index = transfer->count; index > 0; index--) {
         ck_assert_ptr_null(whole);
-        whole = cw_configuration_assembly_take(&assembly, base, transfer->pages[index - 1]);
+        whole = cw_configuration_assembly_add_page(&assembly, base, transfer->pages[index - 1]);
     }
     cw_configuration_assembly_clear(&assembly);
     return whole;
--- a/tests/test_crossing.c
+++ b/tests/test_crossing.c
@@ -29,15 +29,15 @@
     cw_crossing_input_t input = {
         .cost = CW_MS(1800), .wait = CW_MS(900), .usual = CW_MS(200), .objective_left = CW_MS(1500)};
 
-    ck_assert(cw_crossing_waits_here(&input));
+    ck_assert(cw_crossing_should_wait(&input));
     input.cost = CW_MS(46); /* a short request */
-    ck_assert(!cw_crossing_waits_here(&input));
+    ck_assert(!cw_crossing_should_wait(&input));
     input.cost = CW_MS(1800);
     input.objective_left = CW_MS(1000); /* the other region may still meet it */
-    ck_assert(!cw_crossing_waits_here(&input));
+    ck_assert(!cw_crossing_should_wait(&input));
     input.objective_left = CW_MS(9000);
     input.wait = CW_CROSSING_NO_SLOT;
-    ck_assert(!cw_crossing_waits_here(&input));
+    ck_assert(!cw_crossing_should_wait(&input));
 }
 END_TEST
 
@@ -166,7 +166,7 @@
     cw_server_t *server = cw_server_pool_find(pool, id);
 
     while (server->own < server->capacity) {
-        cw_server_pool_begin(server, start);
+        cw_server_pool_begin_request(server, start);
     }
 }
 
@@ -185,7 +185,7 @@
     bool              full;
 
     fill(pool, "a");
-    cw_server_pool_begin(cw_server_pool_find(pool, "b"), start); /* busier than those of other regions */
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "b"), start); /* busier than those of other regions */
     ck_assert_str_eq(chosen(pool, 0.3, false, &full), "b");
     ck_assert_str_eq(chosen(pool, 0, false, &full), "c");
     fill(pool, "b");
@@ -206,9 +206,9 @@
     ck_assert(cw_server_pool_has_regions(pool));
     ck_assert_double_eq(cw_server_pool_speed(pool, "docks", start), 8);
     ck_assert_double_eq(cw_server_pool_speed_near(pool, "docks", &anywhere, start), 4);
-    cw_server_pool_fault(server, start);
+    cw_server_pool_record_fault(server, start);
     ck_assert_double_eq(cw_server_pool_speed_near(pool, "docks", &anywhere, start), 2);
-    cw_server_pool_fault(cw_server_pool_find(pool, "a"), start); /* the region has lost all its servers */
+    cw_server_pool_record_fault(cw_server_pool_find(pool, "a"), start); /* the region has lost all its servers */
     ck_assert_double_eq(cw_server_pool_speed_near(pool, "docks", &anywhere, start), 0);
     cw_server_pool_free(pool);
 }
--- a/tests/test_detours.c
+++ b/tests/test_detours.c
@@ -24,7 +24,7 @@
     cw_time_us_t now;
 
     for (now = from; now < to; now += CW_MS(20)) {
-        count += cw_detours_probe(detours, address, now, &turn) ? 1 : 0;
+        count += cw_detours_begin_probe(detours, address, now, &turn) ? 1 : 0;
     }
     return count;
 }
@@ -62,7 +62,7 @@
         uint32_t address;
 
         for (address = 1; address <= 333; address++) {
-            count += cw_detours_probe(detours, address, now, &turn) ? 1 : 0;
+            count += cw_detours_begin_probe(detours, address, now, &turn) ? 1 : 0;
         }
     }
     ck_assert_uint_le(count, 2 * 20 + 25);
@@ -100,7 +100,7 @@
     int             passed;
 
     node->router.configuration = node_fixture_configuration(1, "s");
-    node->router.silence = CW_MS(CW_PEER_SILENCE_MS);
+    node->router.silence = CW_MS(CW_PEER_TIMEOUT_MS);
     node_fixture_receive_report(node, suspect_text, "z1", sequence);
     for (passed = 0; passed < RUN_MS; passed += 100) {
         node_fixture_receive_report(node, between_text, "z1", ++sequence);
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -138,7 +138,7 @@
     cw_engine_set_tables_valid(fixture.engine, 0, INT64_MAX);
     cw_engine_set_table(fixture.engine, "keyed", &route, 1, 1);
     report.hash = cw_server_pool_find(fixture.pool, "s1")->hash;
-    cw_server_pool_report(fixture.pool, 9, &report, 1, cw_engine_now(fixture.engine));
+    cw_server_pool_apply_report(fixture.pool, 9, &report, 1, cw_engine_now(fixture.engine));
     (void)engine_fixture_ask(&fixture, "GET", "/keyed/x", "15000");
     while (cw_engine_queued(fixture.engine) == 0) {
         uv_run(&fixture.loop, UV_RUN_ONCE);
@@ -146,7 +146,7 @@
     cw_test_run_some(&fixture.loop, 20);
     ck_assert(!fixture.answered); /* only one request is before it */
     report.waiting = 100000;
-    cw_server_pool_report(fixture.pool, 9, &report, 1, cw_engine_now(fixture.engine));
+    cw_server_pool_apply_report(fixture.pool, 9, &report, 1, cw_engine_now(fixture.engine));
     cw_engine_wake(fixture.engine);
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.status, 503);
--- a/tests/test_engine_callers.c
+++ b/tests/test_engine_callers.c
@@ -245,7 +245,7 @@
         char name[64] = "";
 
         ck_assert_int_eq(sscanf(line, "%63[^:]", name), 1);
-        count += cw_http_name_is_alike(name, "the-tenant") ? 1 : 0;
+        count += cw_http_name_is_equivalent(name, "the-tenant") ? 1 : 0;
     }
     free(copy);
     return count;
--- a/tests/test_engine_limits.c
+++ b/tests/test_engine_limits.c
@@ -161,7 +161,7 @@
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until(&fixture.loop, has_asked, &node);
     ck_assert_uint_eq(node.asked.server, cw_server_pool_find(fixture.pool, "s0")->hash);
-    ck_assert_int_eq(node.asked.wait_most, 0);
+    ck_assert_int_eq(node.asked.max_slot_wait, 0);
     reply(&fixture, &node, CW_SLOT_REFUSED);
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.status, 200);
@@ -180,7 +180,7 @@
     limit(&fixture, "s1", 6);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until(&fixture.loop, has_asked, &node);
-    ck_assert_int_gt(node.asked.wait_most, CW_SECONDS(10)); /* no other server will do, so it may wait */
+    ck_assert_int_gt(node.asked.max_slot_wait, CW_SECONDS(10)); /* no other server will do, so it may wait */
     reply(&fixture, &node, CW_SLOT_REFUSED);
     reply(&fixture, &node, CW_SLOT_REFUSED);
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
@@ -206,7 +206,7 @@
     }
     ck_assert(cw_server_is_limited(server, cw_engine_now(fixture.engine)));
     signals.has_run = true;
-    for (answer = 0; answer < CW_LIMIT_UNNAMED_ENDS; answer++) {
+    for (answer = 0; answer < CW_LIMIT_UNNAMED_ANSWERS; answer++) {
         cw_engine_note_signals(fixture.engine, server, &signals, "r");
     }
     ck_assert(!cw_server_is_limited(server, cw_engine_now(fixture.engine)));
--- a/tests/test_engine_regions.c
+++ b/tests/test_engine_regions.c
@@ -95,8 +95,8 @@
     engine_fixture_t fixture;
 
     begin_with_near_server_taken(&fixture);
-    cw_server_pool_fault(cw_server_pool_find(fixture.pool, "s0"), cw_engine_now(fixture.engine));
-    cw_server_pool_fault(cw_server_pool_find(fixture.pool, "s0"), cw_engine_now(fixture.engine));
+    cw_server_pool_record_fault(cw_server_pool_find(fixture.pool, "s0"), cw_engine_now(fixture.engine));
+    cw_server_pool_record_fault(cw_server_pool_find(fixture.pool, "s0"), cw_engine_now(fixture.engine));
     (void)engine_fixture_upload(&fixture, "/once/x");
     cw_test_run_until_set(&fixture.loop, &fixture.answered);
     ck_assert_int_eq(fixture.status, 200);
--- a/tests/test_engine_slots.c
+++ b/tests/test_engine_slots.c
@@ -277,7 +277,7 @@
     size_t               length = strlen(brokers->text);
 
     snprintf(brokers->text + length, sizeof(brokers->text) - length, "z%u %d, ", broker,
-             (int)(asked->wait_most / 1000000));
+             (int)(asked->max_slot_wait / 1000000));
     brokers->broker = broker;
     brokers->asked = *asked;
     brokers->has_asked = true;
@@ -338,8 +338,8 @@
     cw_engine_set_slots(fixture.engine, &port);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     refuse_all(&brokers); /* the last request for a slot has the longest wait */
-    ck_assert_int_gt(brokers.asked.wait_most, CW_SECONDS(10));
-    ck_assert_int_le(brokers.asked.wait_most, CW_SECONDS(15));
+    ck_assert_int_gt(brokers.asked.max_slot_wait, CW_SECONDS(10));
+    ck_assert_int_le(brokers.asked.max_slot_wait, CW_SECONDS(15));
 }
 END_TEST
 
@@ -414,8 +414,8 @@
              .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
     begin_with_silent_broker(&fixture, &brokers, &port);
-    cw_server_pool_begin(cw_server_pool_find(fixture.pool, "s0"),
-                         cw_engine_now(fixture.engine)); /* its only slot is taken */
+    cw_server_pool_begin_request(cw_server_pool_find(fixture.pool, "s0"),
+                                 cw_engine_now(fixture.engine)); /* its only slot is taken */
     (void)engine_fixture_ask(&fixture, "GET", "/safe/y", "15000");
     refuse_all(&brokers);
     ck_assert_int_eq(fixture.status, 503);
@@ -433,8 +433,8 @@
     engine_fixture_init(&fixture);
     cw_engine_set_slots(fixture.engine, &port);
     fixture.servers[0].status = 200;
-    cw_server_pool_begin(cw_server_pool_find(fixture.pool, "s1"),
-                         cw_engine_now(fixture.engine)); /* its only slot is taken */
+    cw_server_pool_begin_request(cw_server_pool_find(fixture.pool, "s1"),
+                                 cw_engine_now(fixture.engine)); /* its only slot is taken */
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     while (!fixture.answered) {
         if (brokers.has_asked && brokers.broker == 1) {
--- a/tests/test_fair_turns.c
+++ b/tests/test_fair_turns.c
@@ -277,7 +277,7 @@
                          .tenant = tenant,
                          .objective = CW_MS(600),
                          .lease = CW_SECONDS(4),
-                         .wait_most = CW_SECONDS(4)};
+                         .max_slot_wait = CW_SECONDS(4)};
 
     world->came[tenant]++;
     world->asked[ask.ticket] = (asked_t){.tenant = tenant, .at = world->now};
--- a/tests/test_fleet_scale.c
+++ b/tests/test_fleet_scale.c
@@ -206,21 +206,21 @@
     for (repeat = 0; repeat < REPEATS; repeat++) {
         cw_server_view_t    view;
         cw_server_list_t   *before;
-        cw_server_reading_t reading = {.list = list_of(servers), .revision = 1, .latest = 1, .true_at = 1};
+        cw_server_reading_t reading = {.list = list_of(servers), .revision = 1, .latest = 1, .valid_at = 1};
         size_t              index;
         double              begun;
 
         cw_server_view_init(&view, &settings);
-        (void)cw_server_view_take(&view, &reading, CW_SECONDS(1), &before);
+        (void)cw_server_view_apply(&view, &reading, CW_SECONDS(1), &before);
         begun = cpu_s();
         reading = (cw_server_reading_t){.list = cw_server_list_copy_without(view.list, NULL, 0),
                                         .revision = 2,
                                         .latest = 2,
-                                        .true_at = CW_SECONDS(2)};
+                                        .valid_at = CW_SECONDS(2)};
         for (index = 0; index < servers / 50; index++) {
             reading.list->entries[50 * index].draining = true;
         }
-        ck_assert_int_eq(cw_server_view_take(&view, &reading, CW_SECONDS(2), &before), CW_VIEW_CHANGED);
+        ck_assert_int_eq(cw_server_view_apply(&view, &reading, CW_SECONDS(2), &before), CW_VIEW_CHANGED);
         ck_assert_ptr_nonnull(cw_server_list_successor(view.list, "i-old", view.list->entries[0].address));
         best = cpu_s() - begun < best ? cpu_s() - begun : best;
         cw_server_list_release(before);
--- a/tests/test_http_pipeline.c
+++ b/tests/test_http_pipeline.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "base/metrics.h"
-#include "listener_world.h"
+#include "listener_fixture.h"
 #include "loop_fixture.h"
 #include "net/http_listener_internal.h"
 
--- a/tests/test_http_upload.c
+++ b/tests/test_http_upload.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "listener_world.h"
+#include "listener_fixture.h"
 #include "loop_fixture.h"
 #include "net/http_listener_internal.h"
 #include "net/http_upstream.h"
@@ -403,7 +403,7 @@
 {
     cw_world_await_requests(world, index + 1);
     ck_assert_str_eq(world->requests[index].target, CW_WORLD_REJECTED);
-    ck_assert(world->requests[index].without_body);
+    ck_assert(world->requests[index].body_unread);
     ck_assert_uint_eq(world->requests[index].body_length, 0);
     ck_assert_uint_eq(cw_http_listener_body_bytes(world->listener), 0);
     cw_world_answer(world, index, "no");
@@ -494,7 +494,7 @@
     caller = cw_world_connect(&world);
     cw_world_send_text(caller, REJECTED "Content-Length: 0\r\n\r\n");
     cw_world_await_requests(&world, 1);
-    ck_assert(!world.requests[0].without_body);
+    ck_assert(!world.requests[0].body_unread);
     cw_world_answer(&world, 0, "no");
     cw_world_send_text(caller, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
     cw_world_await_requests(&world, 2);
--- a/tests/test_leadership.c
+++ b/tests/test_leadership.c
@@ -265,7 +265,7 @@
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
     cw_lock_t       lock = lock_of("n2", 22, 4);
 
-    cw_leadership_defer(&leadership, CW_MS(500));
+    cw_leadership_set_take_delay(&leadership, CW_MS(500));
     lock.vacant = true;
     ck_assert_int_eq(cw_leadership_tick(&leadership, 0), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 9, &lock, 0);
@@ -282,7 +282,7 @@
     cw_leadership_t leadership = new_leadership("n1", 11, 0);
     cw_lock_t       lock = lock_of("n1", 10, 4);
 
-    cw_leadership_defer(&leadership, CW_MS(500));
+    cw_leadership_set_take_delay(&leadership, CW_MS(500));
     ck_assert_int_eq(cw_leadership_tick(&leadership, 0), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 9, &lock, 0);
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_MS(400)), CW_LEADERSHIP_REPLACE);
@@ -352,7 +352,7 @@
     cw_leadership_settings_t settings = settings_of("n1", 700123);
     cw_leadership_t          leadership;
 
-    settings.first_look_within = CW_SECONDS(1);
+    settings.first_read_within = CW_SECONDS(1);
     cw_leadership_init(&leadership, &settings, CW_SECONDS(5));
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_SECONDS(5) + 700122), CW_LEADERSHIP_WAIT);
     cw_leadership_receive_heartbeat(&leadership, 1, 9, true, CW_SECONDS(5) + 600000); /* another one was first */
@@ -443,7 +443,7 @@
     cw_leadership_t leadership = new_follower(4, now);
 
     cw_leadership_receive_heartbeat(&leadership, 3, 7, true, now);
-    cw_leadership_defer(&leadership, CW_MS(500));
+    cw_leadership_set_take_delay(&leadership, CW_MS(500));
     ck_assert_int_eq(cw_leadership_tick(&leadership, now + HOLD), CW_LEADERSHIP_WAIT);
     ck_assert_int_ne(cw_leadership_tick(&leadership, now + HOLD + CW_MS(900)), CW_LEADERSHIP_WAIT);
 }
--- a/tests/test_list_requests.c
+++ b/tests/test_list_requests.c
@@ -90,7 +90,7 @@
     node_fixture_t             *node = node_fixture_create();
     const cw_router_settings_t *settings = &node->router.settings;
 
-    cw_peer_link_set_place(node->router.link, settings->zone, settings->zone_regions, settings->zone_region_count);
+    cw_peer_link_set_zone(node->router.link, settings->zone, settings->zone_regions, settings->zone_region_count);
     return node;
 }
 
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -441,7 +441,8 @@
         node_fixture_tick(node, CW_TICK_MS);
         receive_slot_messages(node, "10.1.0.7");
     }
-    ck_assert_uint_eq(cw_peer_link_alive(node->router.link, CW_SECONDS(1), cw_router_now(&node->router)), MANY_NODES);
+    ck_assert_uint_eq(cw_peer_link_count_alive(node->router.link, CW_SECONDS(1), cw_router_now(&node->router)),
+                      MANY_NODES);
     node_fixture_lead(node);
     node_fixture_tick(node, LONG_FREEZE_MS);
     ck_assert_ptr_null(cw_peer_link_peers(node->router.link));
@@ -631,7 +632,7 @@
     node_fixture_read_servers(node, "s", 3, "10.0.1.1:80");
     router->loop.time += 10000; /* the node is not new any more */
     begun = cw_router_now(router);
-    router->server_view.true_at = begun;
+    router->server_view.valid_at = begun;
     reads = node->list_reads;
     while (node->list_reads == reads) {
         ck_assert_int_lt(cw_router_now(router) - begun, router->settings.drain);
--- a/tests/test_order_trust.c
+++ b/tests/test_order_trust.c
@@ -15,7 +15,7 @@
 static void fail_orders(cw_order_trust_t *trust, int times, cw_time_us_t now)
 {
     while (times-- > 0) {
-        cw_order_trust_note_failure(trust, SERVER, 0, now);
+        cw_order_trust_record_failure(trust, SERVER, 0, now);
     }
 }
 
@@ -25,7 +25,7 @@
 
     fail_orders(trust, 1, CW_SECONDS(1));
     ck_assert(!cw_order_trust_is_doubted(trust, SERVER, 0, CW_SECONDS(1)));
-    cw_order_trust_note_answer(trust, SERVER);
+    cw_order_trust_record_answer(trust, SERVER);
     fail_orders(trust, 1, CW_SECONDS(1));
     ck_assert(!cw_order_trust_is_doubted(trust, SERVER, 0, CW_SECONDS(1)));
     fail_orders(trust, 1, CW_SECONDS(1));
@@ -40,7 +40,7 @@
     cw_order_trust_t *trust = cw_order_trust_create();
 
     fail_orders(trust, 2, CW_SECONDS(1));
-    cw_order_trust_note_answer(trust, SERVER);
+    cw_order_trust_record_answer(trust, SERVER);
     ck_assert(!cw_order_trust_is_doubted(trust, SERVER, 0, CW_SECONDS(1)));
     fail_orders(trust, 2, CW_SECONDS(1));
     ck_assert(cw_order_trust_is_doubted(trust, SERVER, 0, CW_SECONDS(1)));
--- a/tests/test_ownership_measures.c
+++ b/tests/test_ownership_measures.c
@@ -52,9 +52,9 @@
 {
     add_range(0, 32767, "");
     add_range(32768, 65535, "");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(1));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(1));
     snprintf(ranges.items[0].owner.id, sizeof(ranges.items[0].owner.id), "a");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(2));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(2));
     ck_assert_double_eq(measures.moved_keys, 0);
 }
 END_TEST
@@ -63,19 +63,19 @@
 {
     add_range(0, 32767, "a");
     add_range(32768, 65535, "b");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(1));
-    (void)cw_range_list_cut(&ranges, 0, 16384);
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(1));
+    (void)cw_range_list_split(&ranges, 0, 16384);
     start_move(&ranges.items[1], "b");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(2));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(2));
     ck_assert_double_eq(measures.moved_keys, 16384);
     ck_assert_double_eq(measures.moved_cold_keys, 0);
     end_move(&ranges.items[1], "token");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(3));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(3));
     ck_assert_double_eq(measures.moved_cold_keys, 0);
     start_move(&ranges.items[0], "c");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(4));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(4));
     end_move(&ranges.items[0], "");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(5));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(5));
     ck_assert_double_eq(measures.moved_keys, 32768);
     ck_assert_double_eq(measures.moved_cold_keys, 16384);
 }
@@ -84,15 +84,15 @@
 START_TEST(unavailable_time_is_keys_times_seconds_and_the_longest_gap_goes_on_through_cuts)
 {
     add_range(0, 65535, "a");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(1));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(1));
     ranges.items[0].failing_since = CW_SECONDS(1);
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(2));
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(3));
-    (void)cw_range_list_cut(&ranges, 0, 65536 - 100);
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(2));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(3));
+    (void)cw_range_list_split(&ranges, 0, 65536 - 100);
     ranges.items[0].failing_since = 0;
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(4));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(4));
     ranges.items[1].failing_since = 0;
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(5));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(5));
     /* all keys from the look at 2 s on for 1 s, then 100 of them for 1 s: what was between two looks is not known */
     ck_assert_double_eq_tol(measures.unavailable_key_s, 65536 + 100, 0.01);
     ck_assert_double_eq_tol(measures.unavailable_longest_s, 2, 1e-9);
@@ -117,9 +117,9 @@
     cw_time_us_t     now = CW_SECONDS(10);
 
     add_three_quarters_on_a(&window, now);
-    cw_ownership_measures_look_at_load(&measures, &ranges, &window, now);
+    cw_ownership_measures_observe_load(&measures, &ranges, &window, now);
     ck_assert_double_eq_tol(measures.imbalance, 1.5, 0.02);
-    cw_ownership_measures_look_at_load(&measures, &ranges, &window, now + CW_SECONDS(1));
+    cw_ownership_measures_observe_load(&measures, &ranges, &window, now + CW_SECONDS(1));
     ck_assert_double_eq_tol(cw_ownership_measures_imbalance(&measures), 1.5, 0.02);
     ck_assert_double_eq_tol(measures.imbalance_s, 1, 1e-9);
     cw_load_window_clear(&window);
@@ -132,10 +132,10 @@
     cw_time_us_t     now = CW_SECONDS(10);
 
     add_three_quarters_on_a(&window, now);
-    cw_ownership_measures_look(&measures, &ranges, now);
-    cw_ownership_measures_look_at_load(&measures, &ranges, &window, now);
+    cw_ownership_measures_observe(&measures, &ranges, now);
+    cw_ownership_measures_observe_load(&measures, &ranges, &window, now);
     start_move(&ranges.items[1], "a");
-    cw_ownership_measures_look(&measures, &ranges, now + CW_MS(20));
+    cw_ownership_measures_observe(&measures, &ranges, now + CW_MS(20));
     ck_assert_double_eq_tol(measures.moved_load, 0.25, 0.01);
     cw_load_window_clear(&window);
 }
--- a/tests/test_planner.c
+++ b/tests/test_planner.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "assigner_world.h"
+#include "assigner_fixture.h"
 #include "base/text.h"
 #include "loop_fixture.h"
 #include "placement/planner.h"
@@ -487,12 +487,12 @@
     for (index = 0; index < count; index++) {
         cw_time_us_t at = world->assigner.now - CW_SECONDS(2) + (cw_time_us_t)((double)CW_SECONDS(2) * index / count);
         uint32_t     chance = (state >> 16) % 2 + 1;
-        cw_key_sighting_t seen = {.key = low + (uint32_t)((uint64_t)(last - low) * ((index * 7919) % count) / count),
-                                  .from = from == 0 ? chance : from,
-                                  .weight = 1};
+        cw_key_report_t seen = {.key = low + (uint32_t)((uint64_t)(last - low) * ((index * 7919) % count) / count),
+                                .from = from == 0 ? chance : from,
+                                .weight = 1};
 
         state = state * 1103515245 + 12345;
-        cw_load_window_note(&world->window, &seen, at);
+        cw_load_window_add_sample(&world->window, &seen, at);
     }
 }
 
--- a/tests/test_platform_patience.c
+++ b/tests/test_platform_answer_delay.c
@@ -1,9 +1,9 @@
 /**
- * @file test_platform_patience.c
+ * @file test_platform_answer_delay.c
  * @brief How long a held call is waited for: a hung one not for long, the answers of a slow store long enough.
  */
 #include "loop_fixture.h"
-#include "platform_patience.h"
+#include "platform_answer_delay.h"
 
 static const cw_time_us_t most = CW_MS(1200);
 
--- a/tests/test_platform_bodies.c
+++ b/tests/test_platform_bodies.c
@@ -219,7 +219,7 @@
 {
     json_t               *body = load("{\"events\":[{\"gone\":true,\"object\":" OBJECT "}],\"at\":533}");
     cw_platform_problem_t problem;
-    cw_store_changes_t    changes;
+    cw_object_changes_t   changes;
     cw_store_change_t     change;
 
     ck_assert(cw_platform_decode_changes(&changes, body, &problem));
@@ -243,7 +243,7 @@
 {
     json_t               *body = load(changes_refusals[_i].body);
     cw_platform_problem_t problem;
-    cw_store_changes_t    changes;
+    cw_object_changes_t   changes;
 
     ck_assert(!cw_platform_decode_changes(&changes, body, &problem));
     ck_assert_str_eq(problem.text, changes_refusals[_i].problem);
--- a/tests/test_server_choice.c
+++ b/tests/test_server_choice.c
@@ -53,7 +53,7 @@
     cw_server_t *server = cw_server_pool_find(pool, id);
 
     while (server->own < server->capacity) {
-        cw_server_pool_begin(server, start);
+        cw_server_pool_begin_request(server, start);
     }
 }
 
@@ -94,16 +94,16 @@
 
     fill(pool, "b");
     fill(pool, "c");
-    cw_server_pool_fault(server, start);
+    cw_server_pool_record_fault(server, start);
     ck_assert_str_eq(chosen(pool, NULL, start, &full), "a"); /* once: its connection may have been closed as idle */
-    cw_server_pool_fault(server, start);
+    cw_server_pool_record_fault(server, start);
     ck_assert_str_eq(chosen(pool, NULL, start, &full), "none");
     ck_assert(full);
     /* its pause is over: one request shows whether it answers again */
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(3), &full), "a");
-    cw_server_pool_begin(server, start + CW_SECONDS(3));
+    cw_server_pool_begin_request(server, start + CW_SECONDS(3));
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(3), &full), "none");
-    cw_server_pool_served(server, CW_MS(20), CW_MS(20), start + CW_SECONDS(3));
+    cw_server_pool_record_served(server, CW_MS(20), CW_MS(20), start + CW_SECONDS(3));
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(3), &full), "a");
     cw_server_pool_free(pool);
 }
@@ -117,7 +117,7 @@
     int               index;
 
     for (index = 0; index < 6; index++) {
-        cw_server_pool_fault(cw_server_pool_find(pool, ids[index % 3]), start);
+        cw_server_pool_record_fault(cw_server_pool_find(pool, ids[index % 3]), start);
     }
     ck_assert_str_ne(chosen(pool, NULL, start, &full), "none");
     cw_server_pool_free(pool);
--- a/tests/test_server_incarnation.c
+++ b/tests/test_server_incarnation.c
@@ -84,9 +84,9 @@
     cw_server_list_t        *list = list_of(ids);
 
     ck_assert_str_eq(cw_server_list_newest(list, "i-1@5")->id, "i-1@1000");
-    ck_assert_str_eq(cw_server_list_named(list, "i-1")->id, "i-1@1000");
-    ck_assert_str_eq(cw_server_list_named(list, "i-10")->id, "i-10@50");
-    ck_assert_ptr_null(cw_server_list_named(list, "i-"));
+    ck_assert_str_eq(cw_server_list_newest_by_name(list, "i-1")->id, "i-1@1000");
+    ck_assert_str_eq(cw_server_list_newest_by_name(list, "i-10")->id, "i-10@50");
+    ck_assert_ptr_null(cw_server_list_newest_by_name(list, "i-"));
     cw_server_list_release(list);
 }
 END_TEST
--- a/tests/test_server_leave.c
+++ b/tests/test_server_leave.c
@@ -4,7 +4,7 @@
  */
 #include <string.h>
 
-#include "balance/leave_memory.h"
+#include "balance/leaving_servers.h"
 #include "balance/server_pool.h"
 #include "loop_fixture.h"
 
@@ -106,11 +106,11 @@
     list(pool, ids, 1, start);
     (void)cw_server_pool_note_leaving(pool, hash_of(pool, "a@1"), grace, start);
     server = cw_server_pool_find(pool, "a@1");
-    ck_assert(cw_server_takes(server, true, start + grace - 1));
-    ck_assert(!cw_server_takes(server, true, start + grace));
-    ck_assert(!cw_server_takes(server, false, start));
+    ck_assert(cw_server_accepts(server, true, start + grace - 1));
+    ck_assert(!cw_server_accepts(server, true, start + grace));
+    ck_assert(!cw_server_accepts(server, false, start));
     list(pool, ids, 1, start + CW_MS(500));
-    ck_assert(!cw_server_takes(server, true, start + grace));
+    ck_assert(!cw_server_accepts(server, true, start + grace));
     cw_server_pool_free(pool);
 }
 END_TEST
--- a/tests/test_server_signals.c
+++ b/tests/test_server_signals.c
@@ -41,7 +41,7 @@
     ck_assert_ptr_null(decoded_of(503, "Retry-After", "0").malformed_name);
     ck_assert(!decoded_of(200, "Retry-After", "3").has_rest);
     ck_assert(!decoded_of(429, "Retry-After", "3").has_rest);
-    ck_assert_int_eq(decoded_of(503, "Retry-After", "99999999").rest, CW_SECONDS(CW_SERVER_REST_MOST_S));
+    ck_assert_int_eq(decoded_of(503, "Retry-After", "99999999").rest, CW_SECONDS(CW_SERVER_REST_MAX_S));
     ck_assert_str_eq(decoded_of(503, "Retry-After", "99999999").malformed_name, "Retry-After");
     for (index = 0; index < sizeof(wrong) / sizeof(wrong[0]); index++) {
         ck_assert_msg(!decoded_of(503, "Retry-After", wrong[index]).has_rest, "%s", wrong[index]);
@@ -78,7 +78,7 @@
     ck_assert_double_eq(decoded("server-limit", "6.6").limit_per_s, 6.6);
     ck_assert(decoded("Server-Limit", "0").has_limit);
     ck_assert_double_eq(decoded("Server-Limit", "0").limit_per_s, 0);
-    ck_assert_double_eq(decoded("Server-Limit", "99999999999999").limit_per_s, CW_SERVER_LIMIT_MOST);
+    ck_assert_double_eq(decoded("Server-Limit", "99999999999999").limit_per_s, CW_SERVER_LIMIT_MAX);
     for (index = 0; index < sizeof(wrong) / sizeof(wrong[0]); index++) {
         ck_assert_msg(!decoded("Server-Limit", wrong[index]).has_limit, "%s", wrong[index]);
         ck_assert_str_eq(decoded("Server-Limit", wrong[index]).malformed_name, "Server-Limit");
@@ -149,8 +149,8 @@
     cw_server_limit_t limit = {0};
 
     (void)cw_server_limit_note_named(&limit, 0, start, start);
-    ck_assert(cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_FORGOTTEN_MS) - 1));
-    ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_FORGOTTEN_MS)));
+    ck_assert(cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_EXPIRY_MS) - 1));
+    ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_EXPIRY_MS)));
     ck_assert_int_eq(cw_server_limit_note_named(&limit, 0, start + CW_SECONDS(20), start + CW_SECONDS(20)),
                      CW_LIMIT_BEGUN);
 }
--- a/tests/test_server_view.c
+++ b/tests/test_server_view.c
@@ -60,7 +60,7 @@
 static cw_view_result_t offer(const cw_server_reading_t *reading, cw_time_us_t now)
 {
     cw_server_list_t *before;
-    cw_view_result_t  result = cw_server_view_take(&view, reading, now, &before);
+    cw_view_result_t  result = cw_server_view_apply(&view, reading, now, &before);
 
     cw_server_list_release(before);
     return result;
@@ -69,7 +69,7 @@
 static cw_view_result_t read_at(const char *names, uint64_t revision, uint64_t sequence, cw_time_us_t now)
 {
     cw_server_reading_t reading = {
-        .list = list_of(names, sequence, 0), .revision = revision, .latest = revision, .true_at = now};
+        .list = list_of(names, sequence, 0), .revision = revision, .latest = revision, .valid_at = now};
 
     return offer(&reading, now);
 }
@@ -128,7 +128,7 @@
     ck_assert_int_eq(read_at("ab", 110, 1, start + CW_MS(600)), CW_VIEW_OLDER);
     cw_server_view_confirm(&view, 100, start); /* an earlier word, late */
     ck_assert_uint_eq(view.revision, 120);
-    ck_assert_int_eq(view.true_at, start + CW_MS(500));
+    ck_assert_int_eq(view.valid_at, start + CW_MS(500));
 }
 END_TEST
 
@@ -209,7 +209,7 @@
 
 START_TEST(a_list_that_may_be_older_than_the_missing_does_not_bring_a_server_back)
 {
-    cw_server_reading_t paged = {.revision = 100, .latest = 105, .true_at = start + CW_MS(500)};
+    cw_server_reading_t paged = {.revision = 100, .latest = 105, .valid_at = start + CW_MS(500)};
 
     ck_assert_int_eq(read_at("abc", 90, 5, start), CW_VIEW_CHANGED);
     paged.list = list_of("ab", 6, 0); /* its last page is of revision 105 */
@@ -246,7 +246,7 @@
 static cw_view_result_t read_one(const char *id, uint64_t revision, uint64_t sequence, cw_time_us_t now)
 {
     cw_server_reading_t reading = {
-        .list = with_server(id, sequence), .revision = revision, .latest = revision, .true_at = now};
+        .list = with_server(id, sequence), .revision = revision, .latest = revision, .valid_at = now};
 
     return offer(&reading, now);
 }
@@ -279,7 +279,7 @@
 
 START_TEST(leaving_is_of_one_incarnation)
 {
-    cw_server_reading_t leaving = {.list = with_server("a@1000", 3), .revision = 90, .latest = 90, .true_at = start};
+    cw_server_reading_t leaving = {.list = with_server("a@1000", 3), .revision = 90, .latest = 90, .valid_at = start};
 
     leaving.list->entries[0].draining = true;
     ck_assert_int_eq(offer(&leaving, start), CW_VIEW_CHANGED);
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -123,11 +123,11 @@
     cw_server_pool_t *pool = new_pool(&dropped);
 
     ck_assert_str_eq(choose(pool, 0, &full), "near");
-    cw_server_pool_begin(cw_server_pool_find(pool, "near"), 0);
-    cw_server_pool_begin(cw_server_pool_find(pool, "near"), 0);
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "near"), 0);
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "near"), 0);
     ck_assert_str_eq(choose(pool, 0, &full), "far");
-    cw_server_pool_begin(cw_server_pool_find(pool, "far"), 0);
-    cw_server_pool_begin(cw_server_pool_find(pool, "far"), 0);
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "far"), 0);
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "far"), 0);
     ck_assert_str_eq(choose(pool, 0, &full), "none");
     ck_assert(full);
     cw_server_pool_free(pool);
@@ -141,14 +141,14 @@
     cw_server_pool_t  *pool = new_pool(&dropped);
     cw_server_report_t report = {.hash = cw_server_pool_find(pool, "near")->hash, .under_way = 2};
 
-    cw_server_pool_report(pool, 5, &report, 1, 0);
+    cw_server_pool_apply_report(pool, 5, &report, 1, 0);
     ck_assert_str_eq(choose(pool, 0, &full), "far");
     report.under_way = 1;
-    cw_server_pool_report(pool, 5, &report, 1, CW_MS(10));
+    cw_server_pool_apply_report(pool, 5, &report, 1, CW_MS(10));
     ck_assert_str_eq(choose(pool, CW_MS(10), &full), "near");
     report.under_way = 2;
-    cw_server_pool_report(pool, 5, &report, 1, CW_MS(20));
-    cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_LIFE_MS), CW_MS(20) + CW_MS(CW_POOL_REPORT_LIFE_MS) + 1);
+    cw_server_pool_apply_report(pool, 5, &report, 1, CW_MS(20));
+    cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_EXPIRY_MS), CW_MS(20) + CW_MS(CW_POOL_REPORT_EXPIRY_MS) + 1);
     ck_assert_uint_eq(cw_server_pool_find(pool, "near")->others, 0);
     cw_server_pool_free(pool);
 }
@@ -228,13 +228,13 @@
     const cw_server_t *near = cw_server_pool_find(pool, "near");
     cw_server_report_t report = {.hash = near->hash, .under_way = 2, .waiting = 7};
 
-    cw_server_pool_report(pool, 5, &report, 1, 0);
-    cw_server_pool_report(pool, 6, &report, 1, 0);
+    cw_server_pool_apply_report(pool, 5, &report, 1, 0);
+    cw_server_pool_apply_report(pool, 6, &report, 1, 0);
     ck_assert_uint_eq(near->others_waiting, 14);
     report.waiting = 1;
-    cw_server_pool_report(pool, 5, &report, 1, CW_MS(20));
+    cw_server_pool_apply_report(pool, 5, &report, 1, CW_MS(20));
     ck_assert_uint_eq(near->others_waiting, 8);
-    cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_LIFE_MS), CW_MS(10) + CW_MS(CW_POOL_REPORT_LIFE_MS));
+    cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_EXPIRY_MS), CW_MS(10) + CW_MS(CW_POOL_REPORT_EXPIRY_MS));
     ck_assert_uint_eq(near->others_waiting, 1);
     cw_server_pool_free(pool);
 }
@@ -259,14 +259,14 @@
     cw_server_t       *far = cw_server_pool_find(pool, "far");
     cw_server_report_t report[2] = {{.hash = near->hash, .under_way = 2, .waiting = 1},
                                     {.hash = far->hash, .under_way = 5}};
-    cw_sum_filter_t    filter = {.context = "far", .takes_node = takes_low_nodes, .takes_server = takes_all_but};
+    cw_sum_filter_t    filter = {.context = "far", .includes_node = takes_low_nodes, .includes_server = takes_all_but};
     cw_server_report_t sums[4];
     size_t             left_out;
 
-    cw_server_pool_report(pool, 5, report, 2, 0);
-    cw_server_pool_report(pool, 6, report, 1, 0);
-    cw_server_pool_report(pool, 50, report, 2, 0); /* a node of another zone */
-    cw_server_pool_begin(near, 0);
+    cw_server_pool_apply_report(pool, 5, report, 2, 0);
+    cw_server_pool_apply_report(pool, 6, report, 1, 0);
+    cw_server_pool_apply_report(pool, 50, report, 2, 0); /* a node of another zone */
+    cw_server_pool_begin_request(near, 0);
     ck_assert_uint_eq(cw_server_pool_sum(pool, &filter, sums, 4, 0, &left_out), 1);
     ck_assert_uint_eq(sums[0].hash, near->hash);
     ck_assert_uint_eq(sums[0].under_way, 5);
@@ -287,7 +287,7 @@
     bool              full;
     cw_server_pool_t *pool = new_pool(&dropped);
 
-    cw_server_pool_fault(cw_server_pool_find(pool, "near"), 0);
+    cw_server_pool_record_fault(cw_server_pool_find(pool, "near"), 0);
     ck_assert_str_eq(choose(pool, CW_MS(1), &full), "far");
     ck_assert_str_eq(choose(pool, CW_SECONDS(1), &full), "near");
     cw_server_pool_free(pool);
@@ -355,12 +355,12 @@
     cw_server_pool_t *pool = new_pool(&dropped);
     cw_server_pace_t  pace = {.hash = cw_server_pool_find(pool, "near")->hash, .served = 10, .time = 30000};
 
-    cw_server_pool_learn(pool, 5, &pace, 1, 0);
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, 0);
     ck_assert_double_gt(cw_server_pool_find(pool, "near")->pace, 1.5);
     ck_assert_str_eq(choose(pool, 0, &full), "far");
     pace.served = 20; /* the next ten were answered in half the usual time */
     pace.time = 35000;
-    cw_server_pool_learn(pool, 5, &pace, 1, 0);
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, 0);
     ck_assert_double_lt(cw_server_pool_find(pool, "near")->pace, 1.6);
     cw_server_pool_free(pool);
 }
@@ -374,11 +374,11 @@
     cw_server_pool_t *pool = new_pool(&dropped);
     cw_server_pace_t  pace = {.hash = cw_server_pool_find(pool, "near")->hash, .served = 10, .time = 10000};
 
-    cw_server_pool_learn(pool, 5, &pace, 1, CW_SECONDS(10));
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, CW_SECONDS(10));
     ck_assert_int_eq(cw_server_pool_find(pool, "near")->answered_others_at, 0);
     pace.served = 11;
     pace.time = 11000;
-    cw_server_pool_learn(pool, 5, &pace, 1, CW_SECONDS(30));
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, CW_SECONDS(30));
     ck_assert_int_eq(cw_server_pool_find(pool, "near")->answered_others_at, CW_SECONDS(10));
     cw_server_pool_free(pool);
 }
@@ -391,11 +391,11 @@
     cw_server_list_t *empty = cw_server_list_create();
     cw_server_pace_t  pace = {.hash = cw_server_pool_find(pool, "near")->hash, .served = 10, .time = 10000};
 
-    cw_server_pool_learn(pool, 5, &pace, 1, 0);
-    cw_server_pool_learn(pool, 6, &pace, 1, 0);
-    ck_assert_uint_eq(cw_server_pool_paces(pool), 2);
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, 0);
+    cw_server_pool_apply_paces(pool, 6, &pace, 1, 0);
+    ck_assert_uint_eq(cw_server_pool_pace_count(pool), 2);
     cw_server_pool_update(pool, empty, 0);
-    ck_assert_uint_eq(cw_server_pool_paces(pool), 0);
+    ck_assert_uint_eq(cw_server_pool_pace_count(pool), 0);
     cw_server_list_release(empty);
     cw_server_pool_free(pool);
 }
@@ -409,11 +409,11 @@
     cw_server_t      *near = cw_server_pool_find(pool, "near");
 
     ck_assert_ptr_eq(cw_server_pool_find_hash(pool, near->hash), near);
-    cw_server_pool_begin(near, 0);
+    cw_server_pool_begin_request(near, 0);
     cw_server_pool_update(pool, empty, 0);
     ck_assert_ptr_null(cw_server_pool_find_hash(pool, near->hash));
     ck_assert_uint_eq(dropped, 2);
-    cw_server_pool_end(pool, near);
+    cw_server_pool_end_request(pool, near);
     ck_assert_uint_eq(dropped, 3);
     cw_server_list_release(empty);
     cw_server_pool_free(pool);
@@ -498,8 +498,8 @@
             memmove(&list.items[index + 1], &list.items[index + 2], (list.count - index - 2) * sizeof(list.items[0]));
             list.count--;
         } else if (list.items[index].last > list.items[index].low) {
-            (void)cw_range_list_cut(&list, index,
-                                    list.items[index].low + (list.items[index].last - list.items[index].low) / 2 + 1);
+            (void)cw_range_list_split(&list, index,
+                                      list.items[index].low + (list.items[index].last - list.items[index].low) / 2 + 1);
         }
         list.items[index].owner.fence = 1000 + version;
         snprintf(list.items[index].owner.id, sizeof(list.items[index].owner.id), "i-%d", (int)((random >> 20) % 9));
--- a/tests/test_slot_broker.c
+++ b/tests/test_slot_broker.c
@@ -79,7 +79,7 @@
                            .service = cw_server_pool_find(world->pool, "a")->service_hash,
                            .objective = CW_MS(500),
                            .lease = CW_SECONDS(2),
-                           .wait_most = CW_SECONDS(2)};
+                           .max_slot_wait = CW_SECONDS(2)};
 }
 
 static const cw_slot_reply_t *ask(broker_world_t *world, const cw_slot_ask_t *asked, cw_time_us_t now)
@@ -218,7 +218,7 @@
 
     init(&world);
     asked = ask_of(&world, fill(&world));
-    asked.wait_most = 0;
+    asked.max_slot_wait = 0;
     ck_assert_int_eq(ask(&world, &asked, start)->outcome, CW_SLOT_REFUSED);
     clear(&world);
 }
@@ -370,7 +370,7 @@
     for (now = start; now < start + CW_SECONDS(1); now += CW_MS(5)) {
         asked = ask_of(&world, ticket++);
         asked.server = hash_of(&world, "a");
-        asked.wait_most = 0;
+        asked.max_slot_wait = 0;
         if (ask(&world, &asked, now)->outcome == CW_SLOT_GRANTED) {
             granted++;
             give_back(&world, asked.ticket, CW_SLOT_ANSWERED, NULL, now + CW_MS(1));
--- a/tests/test_slot_limits.c
+++ b/tests/test_slot_limits.c
@@ -80,7 +80,7 @@
                            .server = world->server->hash,
                            .objective = CW_MS(WORK_MS),
                            .lease = CW_SECONDS(1),
-                           .wait_most = 0};
+                           .max_slot_wait = 0};
 
     cw_slot_broker_ask(world->broker, &asked, usual, now);
     return world->reply.outcome;
--- a/tests/test_zones.c
+++ b/tests/test_zones.c
@@ -14,14 +14,14 @@
 
 /* ---- zones ---- */
 
-static void apply(cw_zone_service_t *zones, const char *zone, cw_time_us_t before_true_at, cw_time_us_t now)
+static void apply(cw_zone_service_t *zones, const char *zone, cw_time_us_t before_valid_at, cw_time_us_t now)
 {
     cw_name_set_t out = {0};
 
     if (zone != NULL) {
         cw_name_set_add(&out, zone);
     }
-    cw_zone_service_apply(zones, &out, before_true_at, now, NULL, NULL);
+    cw_zone_service_apply(zones, &out, before_valid_at, now, NULL, NULL);
     cw_name_set_clear(&out);
 }
 
@@ -146,7 +146,7 @@
             cw_cold_rate_free(rate);
         }
         ck_assert_uint_eq(sharers, cw_cold_rate_sharers(bears));
-        ck_assert_double_le(sharers * CW_COLD_SENDS, bears);
+        ck_assert_double_le(sharers * CW_COLD_SENDS_PER_SECOND, bears);
     }
 }
 END_TEST
@@ -160,14 +160,14 @@
     size_t          index;
 
     for (now = start; now < start + CW_SECONDS(5); now += CW_MS(7)) {
-        if (cw_cold_sends_are_left(&sends, now) && count < 64) {
+        if (cw_cold_sends_allowed(&sends, now) && count < 64) {
             cw_cold_sends_note(&sends, now);
             sent[count++] = now;
         }
     }
-    ck_assert_uint_ge(count, 4 * CW_COLD_SENDS);
-    for (index = 0; index + CW_COLD_SENDS < count; index++) {
-        ck_assert_int_gt(sent[index + CW_COLD_SENDS] - sent[index], SECOND_US);
+    ck_assert_uint_ge(count, 4 * CW_COLD_SENDS_PER_SECOND);
+    for (index = 0; index + CW_COLD_SENDS_PER_SECOND < count; index++) {
+        ck_assert_int_gt(sent[index + CW_COLD_SENDS_PER_SECOND] - sent[index], SECOND_US);
     }
 }
 END_TEST
@@ -315,11 +315,11 @@
     server = cw_server_pool_find(world.pool, "a");
     for (now = start; now < start + CW_SECONDS(1); now += CW_MS(5)) {
         if (cw_server_pool_may_send(world.pool, server, false, now)) {
-            cw_server_pool_begin(server, now);
+            cw_server_pool_begin_request(server, now);
             sent++;
         }
     }
-    ck_assert_uint_eq(sent, CW_COLD_SENDS);
+    ck_assert_uint_eq(sent, CW_COLD_SENDS_PER_SECOND);
     ck_assert(!cw_server_is_cold(server, start + CW_SECONDS(3)));
     clear(&world);
     cw_cold_rate_free(rate);
