--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -15,7 +15,7 @@
 private_kb() { awk '/^(Private_Dirty|Private_Clean):/ {s += $2} END {print s}' "/proc/$1/smaps_rollup"; }
 ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
 
-usual_cluster 3
+standard_cluster 3
 reads=$(sum_metric cedarwinch_store_reads_total)
 writes=$(sum_metric cedarwinch_store_writes_total)
 opened=$(sum_metric cedarwinch_server_connections_total)
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -211,7 +211,7 @@
 
 # What a server's record tells: that it has ended, and that its last half second brought no request.
 server_ended() { grep -q '"stop"' "$WORK/server-$1.json"; }
-rested_before_end() {
+idle_before_end() {
     local last_run stop
     last_run=$(jq -s '[.[]|select(.event=="run").ns]|max // 0' "$WORK/server-$1.json")
     stop=$(jq -s '[.[]|select(.event=="stop").ns]|max // 0' "$WORK/server-$1.json")
@@ -219,14 +219,14 @@
 }
 
 # Three services' servers as the tests use them: six of maps (divided by key), three of hires.
-usual_servers() {
+standard_servers() {
     local i
     for i in 1 2 3 4 5 6; do cluster_server "m$i" --service maps --zone "z$(((i - 1) % 3 + 1))" --keyed --work-ms "${WORK_MS:-15}"; done
     for i in 1 2 3; do cluster_server "h$i" --service hires --zone "z$i" --work-ms 15 --hangs; done
 }
-usual_cluster() {
+standard_cluster() {
     cluster_start "${1:-3}"
-    usual_servers
+    standard_servers
     cluster_configure "$(configuration 1)"
     cluster_wait_ready
     cluster_wait_served
@@ -239,7 +239,7 @@
 ${NODE_SETTINGS:-}"
     group_of() { case $1 in z1 | z2) echo east ;; *) echo west ;; esac; }
     cluster_start 6
-    usual_servers
+    standard_servers
     cluster_server m7 --service maps --zone z4 --keyed --work-ms 15
     cluster_server h4 --service hires --zone z4 --work-ms 15 --hangs
     cluster_configure "$(configuration 1)"
@@ -308,4 +308,4 @@
     done
 }
 # How often a leader resigned because its orders did not reach servers that answer others.
-resigned_cut_off() { cat "$WORK"/node*.log | grep -c "orders do not reach servers that answer others"; }
+cut_off_resignations() { cat "$WORK"/node*.log | grep -c "orders do not reach servers that answer others"; }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -3,7 +3,7 @@
 # Five nodes, nine servers, callers of two kinds; the leader is killed, a server leaves, the store falls silent. A report.
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
-usual_cluster 5
+standard_cluster 5
 echo "5 nodes, 9 servers, one store on $NET.0/24"
 (cluster_callers demo --rate 100 --count 1500) &
 callers=$!
--- a/sim/lease_events.c
+++ b/sim/lease_events.c
@@ -105,7 +105,7 @@
 
 bool sim_is_rough(const sim_world_t *world)
 {
-    return world->now < world->settings.calm_at;
+    return world->now < world->settings.faults_end_at;
 }
 
 void sim_violation(sim_world_t *world, const char *format, ...)
--- a/sim/lease_faults.c
+++ b/sim/lease_faults.c
@@ -9,11 +9,11 @@
 
 enum { TICK_MS = 20, FAULTS_MS = 100, REQUEST_MS = 3, SETTLE_S = 14 };
 
-void cw_sim_settings_rough(cw_sim_settings_t *settings, uint64_t seed)
+void cw_sim_settings_with_faults(cw_sim_settings_t *settings, uint64_t seed)
 {
     *settings = (cw_sim_settings_t){.seed = seed,
                                     .length = CW_SECONDS(90),
-                                    .calm_at = CW_SECONDS(60),
+                                    .faults_end_at = CW_SECONDS(60),
                                     .store_lost = 0.1,
                                     .store_late = 0.1,
                                     .order_lost = 0.1,
@@ -142,7 +142,7 @@
     }
     world->result->served_at_end = true;
     for (cell = 0; cell < CW_CELLS; cell++) {
-        if (world->served_at[cell] < world->settings.calm_at + CW_SECONDS(SETTLE_S)) {
+        if (world->served_at[cell] < world->settings.faults_end_at + CW_SECONDS(SETTLE_S)) {
             world->result->served_at_end = false;
         }
     }
@@ -177,7 +177,7 @@
     world->result = result;
     world->random = settings->seed * 0x2545f4914f6cdd1du + 1;
     world->now = CW_SECONDS(1);
-    world->settings.calm_at += world->now;
+    world->settings.faults_end_at += world->now;
     sim_servers_start(world);
     for (index = 0; index < CW_SIM_NODES; index++) {
         sim_node_start(world, index);
--- a/sim/lease_internal.h
+++ b/sim/lease_internal.h
@@ -5,7 +5,7 @@
 #ifndef CEDARWINCH_SIM_LEASE_INTERNAL_H
 #define CEDARWINCH_SIM_LEASE_INTERNAL_H
 
-#include "lease_world.h"
+#include "lease_sim.h"
 
 typedef struct sim_world sim_world_t;
 
--- a/sim/lease_world.h
+++ b/sim/lease_sim.h
@@ -1,5 +1,5 @@
 /**
- * @file lease_world.h
+ * @file lease_sim.h
  * @brief Deterministic simulation of leadership, assignments and grants: the router's own state machines over a model
  *        of the store, the servers and the links between them, in logical time.
  *
@@ -8,8 +8,8 @@
  * each grant taken: its fence is above all fences with which other servers had the cell. Checked at the end: the record
  * in the store is whole, and all cells are served again.
  */
-#ifndef CEDARWINCH_SIM_LEASE_WORLD_H
-#define CEDARWINCH_SIM_LEASE_WORLD_H
+#ifndef CEDARWINCH_SIM_LEASE_SIM_H
+#define CEDARWINCH_SIM_LEASE_SIM_H
 
 #include "assignment/assigner.h"
 #include "lease/leadership.h"
@@ -26,18 +26,18 @@
 typedef struct cw_sim_settings {
     uint64_t     seed;
     cw_time_us_t length;
-    cw_time_us_t calm_at;    /**< no faults from here on */
-    double       store_lost; /**< of writes: done, not answered */
-    double       store_late; /**< of writes: done 1 to 6 s later, not answered */
-    double       order_lost; /**< of orders: carried out, not answered */
-    double       order_late; /**< of orders: carried out 2 to 12 s later, not answered */
-    double       outages;    /**< of the store, a second */
-    double       kills;      /**< of a node, a second */
-    double       freezes;    /**< of a node, a second */
-    double       cuts;       /**< of a node from the store, from servers or from nodes, a second */
-    double       crashes;    /**< of a server, a second */
-    double       herd_kills; /**< of all nodes at once, a second */
-    double       moves;      /**< of cells at random, a second */
+    cw_time_us_t faults_end_at; /**< no faults from here on */
+    double       store_lost;    /**< of writes: done, not answered */
+    double       store_late;    /**< of writes: done 1 to 6 s later, not answered */
+    double       order_lost;    /**< of orders: carried out, not answered */
+    double       order_late;    /**< of orders: carried out 2 to 12 s later, not answered */
+    double       outages;       /**< of the store, a second */
+    double       kills;         /**< of a node, a second */
+    double       freezes;       /**< of a node, a second */
+    double       cuts;          /**< of a node from the store, from servers or from nodes, a second */
+    double       crashes;       /**< of a server, a second */
+    double       herd_kills;    /**< of all nodes at once, a second */
+    double       moves;         /**< of cells at random, a second */
     bool         trace;
 } cw_sim_settings_t;
 
@@ -53,7 +53,7 @@
     bool     served_at_end; /**< every cell, in the last seconds */
 } cw_sim_result_t;
 
-void cw_sim_settings_rough(cw_sim_settings_t *settings, uint64_t seed);
+void cw_sim_settings_with_faults(cw_sim_settings_t *settings, uint64_t seed);
 void cw_sim_run(const cw_sim_settings_t *settings, cw_sim_result_t *result);
 
 #endif
--- a/sim/main.c
+++ b/sim/main.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "lease_world.h"
+#include "lease_sim.h"
 
 enum { EXIT_VIOLATIONS = 1, EXIT_WRONG_INPUT = 2, ERRORS_MAX = 10 };
 
@@ -36,7 +36,7 @@
         cw_sim_settings_t settings;
         cw_sim_result_t   result;
 
-        cw_sim_settings_rough(&settings, seed);
+        cw_sim_settings_with_faults(&settings, seed);
         settings.trace = trace;
         cw_sim_run(&settings, &result);
         bad += result.violations > 0 || !result.served_at_end ? 1 : 0;
--- a/standins/verdict/lives.c
+++ b/standins/verdict/incarnations.c
@@ -1,8 +1,8 @@
 /**
- * @file lives.c
+ * @file incarnations.c
  * @brief Names of lives.
  */
-#include "lives.h"
+#include "incarnations.h"
 
 #include <string.h>
 
--- a/standins/verdict/lives.h
+++ b/standins/verdict/incarnations.h
@@ -1,5 +1,5 @@
 /**
- * @file lives.h
+ * @file incarnations.h
  * @brief Lives of servers by the id that callers know them by.
  */
 #ifndef CEDARWINCH_STANDINS_VERDICT_LIVES_H
--- a/standins/verdict/leaves.c
+++ b/standins/verdict/leaves.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "lives.h"
+#include "incarnations.h"
 #include "nodes.h"
 
 enum { TOLD_MAX = 4096 };
--- a/standins/verdict/limits.c
+++ b/standins/verdict/limits.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <uthash.h>
 
-#include "lives.h"
+#include "incarnations.h"
 #include "nodes.h"
 
 enum { SLACK = 5 };
--- a/tests/process/configuration.sh
+++ b/tests/process/configuration.sh
@@ -2,7 +2,7 @@
 # Changes of the configuration come into force at every node. They still do after the store has forgotten its history, and
 # no node goes back to a lower version.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 versions() { local n; for n in 1 2 3; do curl -sf "http://$NET.$n:8081/metrics" | awk '/^cedarwinch_configuration_version/ {print $2}'; done | sort -u | xargs; }
 status() { curl -s -o /dev/null -w '%{http_code}' "http://$NET.$1:8080$2" -H 'Host: maps.example' -H "X-Request-Id: c$RANDOM$RANDOM" -H 'X-Deadline-Ms: 900'; }
 all_have() { [ "$(versions)" = "$1" ]; }
--- a/tests/process/dead_servers_listed.sh
+++ b/tests/process/dead_servers_listed.sh
@@ -2,7 +2,7 @@
 # Two servers are killed and their entries stay in the list: their keys go to servers that live, though the dead ones look
 # idle. Bound in polls: a hold (5 s), and as long again.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 served() {
     local key
     for key in $(seq 0 4096 65535); do
--- a/tests/process/fatal_signal.sh
+++ b/tests/process/fatal_signal.sh
@@ -2,7 +2,7 @@
 # A node that is ended by a fatal signal writes one last log line, from which the place in the code can be found, and then
 # ends as it would without a handler.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 1
+standard_cluster 1
 
 last_line() { tail -1 "$WORK/node1.log"; }
 field() { last_line | jq -r ".$1 // \"\""; }
--- a/tests/process/foreign_entries.sh
+++ b/tests/process/foreign_entries.sh
@@ -16,7 +16,7 @@
 }
 cluster_start 3
 foreign_all a
-usual_servers
+standard_servers
 cluster_configure "$(configuration 1)"
 cluster_wait_ready
 cluster_wait_served
--- a/tests/process/hand_over.sh
+++ b/tests/process/hand_over.sh
@@ -4,7 +4,7 @@
 NODE_SETTINGS="cpu_share: 0.1"
 cluster_start 1
 NODE_SETTINGS="cpu_share: 0.5"
-usual_servers
+standard_servers
 cluster_configure "$(configuration 1)"
 cluster_wait_ready
 cluster_wait_served
--- a/tests/process/history_forgotten.sh
+++ b/tests/process/history_forgotten.sh
@@ -5,7 +5,7 @@
 STORE_ENDPOINTS=4
 STORE_PAGE=2
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 listed() { curl -sf "http://$NET.$1:8081/status" | jq -r '.servers[] | select(.draining == false) | .service' | grep -c hires; }
 has() { local n; for n in 1 2 3; do [ "$(listed "$n")" = "$1" ] || return 1; done; }
 until_true has 3
@@ -24,7 +24,7 @@
     curl -sf -X POST "http://$STORE/control?forget=1" >/dev/null
     wait "$callers"
     until_true server_ended "h$turn"
-    check "$how: no request in the leaving server's last half second" rested_before_end "h$turn"
+    check "$how: no request in the leaving server's last half second" idle_before_end "h$turn"
     check "$how: most requests are answered" at_least "$(sum_of "$how" s200)" 590
     cluster_server "h$((turn + 3))" --service hires --zone z1 --work-ms 15 --hangs
     until_true has 3
--- a/tests/process/hot_key.sh
+++ b/tests/process/hot_key.sh
@@ -3,7 +3,7 @@
 # ownership is violated. The time at which the moves begin is not checked.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 WORK_MS=40 # long enough that one key with half of the traffic uses most of its server
-usual_cluster 3
+standard_cluster 3
 hot() { while :; do cluster_callers "hot$1" --rate 130 --count 650 --hot 50; set -- "$(($1 + 1))"; done; }
 hot 1 &
 PIDS+=("$!")
--- a/tests/process/intents.sh
+++ b/tests/process/intents.sh
@@ -2,7 +2,7 @@
 # Operators' intents are the way in: check, plan, confirm; races, stale plans, lost answers; tenants stay apart.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 2
-usual_servers
+standard_servers
 cluster_server lp --service liffeyspoke/maps --keyed --work-ms 10
 cluster_server rm --service rimac/pages --work-ms 10
 token=$(printf %s sesame | sha256sum | cut -d' ' -f1)
--- a/tests/process/keys_taken_away.sh
+++ b/tests/process/keys_taken_away.sh
@@ -6,7 +6,7 @@
 STORE_ENDPOINTS=4
 NODE_SETTINGS=$'credential_scheme: Token\ncredentials_stale_after_ms: 4000\ncredentials_fail_closed: true'
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 
 keyed() { # VERSION KEYS: the default configuration with tenants; KEYS are the keys of the tenant "red"
     configuration "$1" | jq -c --argjson keys "$2" \
--- a/tests/process/kill_all.sh
+++ b/tests/process/kill_all.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # All nodes are killed at once. All lasting state is in the store, so owners keep their keys and service continues.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 cluster_callers before --rate 100 --count 200
 owners() { curl -sf "http://$STORE/api/objects/cedarwinch-assignments/maps" | jq -c '[.spec.ranges[]|.[2]]|unique|sort'; }
 check "records of assignments stand in the store" [ -n "$(owners)" ]
--- a/tests/process/kill_leader.sh
+++ b/tests/process/kill_leader.sh
@@ -2,7 +2,7 @@
 # The leader is killed and started again, then a server is killed. No request is run twice, no key has two owners, and all
 # keys are served again.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 cluster_callers before --rate 100 --count 200
 first=$(leader)
 (cluster_callers during --rate 80 --count 900) &
--- a/tests/process/list_by_changes.sh
+++ b/tests/process/list_by_changes.sh
@@ -3,7 +3,7 @@
 # noticed all the same, also after the store has forgotten its history.
 STORE_PAGE=2
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 by_changes() { local n; for n in 1 2 3; do curl -sf "http://$NET.$n:8081/metrics" | awk '/^cedarwinch_list_changes_total/ {print $2}'; done | sort -n | tail -1; }
 changed() { [ "$(by_changes)" -gt "$1" ]; }
 listed() { curl -sf "http://$NET.$1:8081/status" | jq -r '.servers[] | select(.draining == false) | .service' | grep -c "$2"; }
--- a/tests/process/log_reader.sh
+++ b/tests/process/log_reader.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # A reader of the log that does not read costs lines, not requests.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 2
+standard_cluster 2
 mkfifo "$WORK/pipe"
 sleep 600 <"$WORK/pipe" & # holds the pipe open and never reads
 PIDS+=("$!")
--- a/tests/process/one_reader.sh
+++ b/tests/process/one_reader.sh
@@ -3,7 +3,7 @@
 # killed, which watches the store as well, the others still get the next versions.
 CLUSTER_ZONES=1
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 4
+standard_cluster 4
 MEMBERS="1 2 3 4"
 metric() { curl -sf "http://$NET.$1:8081/metrics" | awk -v name="$2" '$1 == name {print $2}'; }
 versions() { local n; for n in $MEMBERS; do metric "$n" cedarwinch_configuration_version; done | sort -u | xargs; }
--- a/tests/process/peers_cut.sh
+++ b/tests/process/peers_cut.sh
@@ -10,7 +10,7 @@
     cluster_callers "$2" --rate 80 --count 400
 }
 
-usual_cluster 3
+standard_cluster 3
 until_true knows_peers 1 2
 until_true knows_peers 2 2
 until_true knows_peers 3 2
--- a/tests/process/pipelined_stop.sh
+++ b/tests/process/pipelined_stop.sh
@@ -6,7 +6,7 @@
 WORK_MS=120
 maps="maps.example,/docks/,GET,2000,1" # three repeatable requests in a row that run concurrently, then one that may not be repeated
 KINDS=(--kind "$maps" --kind "$maps" --kind "$maps" --kind "maps.example,/hire/,POST,2000,0")
-usual_cluster 3
+standard_cluster 3
 (cluster_callers piped --pipeline 6 --rate 90 --count 1500) &
 callers=$!
 for n in 1 2 3; do
--- a/tests/process/planned_stop.sh
+++ b/tests/process/planned_stop.sh
@@ -2,7 +2,7 @@
 # Nodes are stopped by SIGTERM and started again, one after the other, under load. No request is lost.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 NODE_SETTINGS="stop_grace_ms: 5000"
-usual_cluster 3
+standard_cluster 3
 (cluster_callers rolling --rate 60 --count 1100) &
 callers=$!
 not_ready() { [ "$(curl -s -o /dev/null -w '%{http_code}' "http://$NET.$1:8081/readyz")" != 200 ]; }
--- a/tests/process/readers_and_relays_killed.sh
+++ b/tests/process/readers_and_relays_killed.sh
@@ -42,7 +42,7 @@
     done
 }
 
-usual_cluster "$NODES_STARTED"
+standard_cluster "$NODES_STARTED"
 until_true all_know_each_other $((NODES_STARTED - 1))
 leading=$(leader)
 lost=west
--- a/tests/process/region_cut.sh
+++ b/tests/process/region_cut.sh
@@ -17,7 +17,7 @@
 until_true region_serves_all_keys "$kept"
 check "outside, all keys are served" region_serves_all_keys "$kept"
 check "the leader is the same" [ "$(leader)" = "$leading" ]
-check "it has not resigned" at_most "$(resigned_cut_off)" 0
+check "it has not resigned" at_most "$(cut_off_resignations)" 0
 until_true region_serves_any "$lost"
 (KINDS=("${ANY_SERVER[@]}"); region_callers "$lost" inside --rate 40 --count 200)
 check "inside, servers there run what any may run" at_least "$(sum_of inside s200)" 190
--- a/tests/process/region_cut_leader.sh
+++ b/tests/process/region_cut_leader.sh
@@ -14,7 +14,7 @@
 check "a node outside leads" leader_of_region "$kept"
 until_true region_serves_all_keys "$kept"
 check "outside, all keys are served" region_serves_all_keys "$kept"
-check "the new leader has not resigned" at_most "$(resigned_cut_off)" 0
+check "the new leader has not resigned" at_most "$(cut_off_resignations)" 0
 until_true region_refuses_all_keys "$lost"
 check "inside, all keys are refused" region_refuses_all_keys "$lost"
 wait "$outside"
--- a/tests/process/rehearsal.sh
+++ b/tests/process/rehearsal.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # What docs/OPERATIONS.md tells: a refused and a failed request are found by id, status shows owners, alarms show.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 ask() { curl -s -o /dev/null -w '%{http_code}' "http://$NET.1:8080$1" -H 'Host: maps.example' -H "X-Request-Id: $2" -H 'X-Shard-Key: 5' -H "X-Deadline-Ms: $3" "${@:4}"; }
 check "no route" [ "$(ask /nowhere lost-1 500)" = 404 ]
 for i in 1 2 3 4 5 6; do kill -STOP "${SERVER_PIDS[m$i]}"; done
--- a/tests/process/relays.sh
+++ b/tests/process/relays.sh
@@ -25,7 +25,7 @@
 }
 lost_lines() { cat "$WORK"/node*.log | grep -c '"event":"peer lost"'; }
 
-usual_cluster "$NODES_STARTED"
+standard_cluster "$NODES_STARTED"
 until_true all_know_each_other $((NODES_STARTED - 1))
 until_true test "$(relays | wc -l)" -ge 6
 reports=$(datagrams_to_other_zones report)
--- a/tests/process/restart_all.sh
+++ b/tests/process/restart_all.sh
@@ -3,7 +3,7 @@
 # only the seeds and the leader.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 6
-usual_servers
+standard_servers
 cluster_configure "$(configuration 1)"
 cluster_wait_ready
 cluster_wait_served
--- a/tests/process/server_connection_stalled.sh
+++ b/tests/process/server_connection_stalled.sh
@@ -13,7 +13,7 @@
 late() { jq -s '[.[]|select(.event=="end" and .ms > 2500)]|length' "$WORK/callers-$1.json"; }
 has_served() { [ "$(grep -c '"event":"run"' "$WORK/server-$1.json")" -ge "$2" ]; }
 
-usual_cluster 3
+standard_cluster 3
 STALLED=0
 (cluster_callers during --rate 80 --count 960) &
 callers=$!
--- a/tests/process/silent_watch.sh
+++ b/tests/process/silent_watch.sh
@@ -3,7 +3,7 @@
 # itself. Each change is in force everywhere within a few times its bound (2 s), far below the time (26 s) for which the
 # store may hold a call.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 4
+standard_cluster 4
 versions() { local n; for n in 1 2 3 4; do curl -sf "http://$NET.$n:8081/metrics" | awk '/^cedarwinch_configuration_version/ {print $2}'; done | sort -u | xargs; }
 all_have() { [ "$(versions)" = "$1" ]; }
 control() { curl -sf -X POST "http://$STORE/control?$1" >/dev/null; }
--- a/tests/process/slots.sh
+++ b/tests/process/slots.sh
@@ -17,7 +17,7 @@
     done
 }
 
-usual_cluster "$NODES_STARTED"
+standard_cluster "$NODES_STARTED"
 until_true all_know_each_other
 cluster_callers calm --rate 100 --count 300
 check "all answered on a calm day" at_least "$(sum_of calm s200)" 299
--- a/tests/process/start_strained.sh
+++ b/tests/process/start_strained.sh
@@ -2,7 +2,7 @@
 # Nodes are killed and started again while other nodes still know them, while the store does not answer or begins to answer
 # again, and with SIGHUP before the first answer of the store. No node ends, and all are ready at the end.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 6
+standard_cluster 6
 (cluster_callers strained --rate 60 --count 400) &
 callers=$!
 control() { curl -s -m 2 -X POST "http://$STORE/control?$1" >/dev/null; }
--- a/tests/process/store_connection_stalled.sh
+++ b/tests/process/store_connection_stalled.sh
@@ -13,7 +13,7 @@
     until link stall "$1" store && [ "$LINK_REPLY" != "ok 0" ]; do sleep 0.05; done
 }
 
-usual_cluster 3
+standard_cluster 3
 sleep 4 # a process that has just started is no reader
 (cluster_callers during --rate 80 --count 1200) &
 callers=$!
@@ -27,7 +27,7 @@
 kill -TERM "${SERVER_PIDS[h1]}"
 for n in 1 2 3; do stall "n$n"; done
 until_true server_ended h1
-check "a server that leaves gets no request in its last half second" rested_before_end h1
+check "a server that leaves gets no request in its last half second" idle_before_end h1
 wait "$callers"
 check "most requests are answered meanwhile" at_least "$(sum_of during s200)" 1150
 cluster_callers after --rate 100 --count 200
--- a/tests/process/store_down.sh
+++ b/tests/process/store_down.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # The store is down for six seconds and answers nothing: requests are still served, and owners keep their keys.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 curl -sf -X POST "http://$STORE/control?down=6000&how=silent" >/dev/null
 cluster_callers down --rate 80 --count 640
 check "all but a few requests are answered" at_least "$(sum_of down s200)" 630
--- a/tests/process/store_region_cut.sh
+++ b/tests/process/store_region_cut.sh
@@ -7,7 +7,7 @@
 all_have() { [ "$(versions)" = "$1" ]; }
 owners() { curl -sf "http://$STORE/api/objects/cedarwinch-assignments/maps" | jq -c '[.spec.ranges[]|.[2]]|unique|sort'; }
 
-usual_cluster 3
+standard_cluster 3
 before=$(owners)
 link cut all store
 cluster_configure "$(configuration 2)"
--- a/tests/process/store_turns_leader_away.sh
+++ b/tests/process/store_turns_leader_away.sh
@@ -4,7 +4,7 @@
 # Callers use the other nodes only, since the leader does not know that the server leaves.
 STORE_ENDPOINTS=4
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 turn=0
 for how in reset busy silent; do
     turn=$((turn + 1))
@@ -19,7 +19,7 @@
     kill -TERM "${SERVER_PIDS[h$turn]}"
     wait "$callers"
     until_true server_ended "h$turn"
-    check "$how: no request in the leaving server's last half second" rested_before_end "h$turn"
+    check "$how: no request in the leaving server's last half second" idle_before_end "h$turn"
     check "$how: most answered" at_least "$(sum_of "$how" s200)" 600
     cluster_server "h$((turn + 3))" --service hires --zone z1 --work-ms 15 --hangs
 done
--- a/tests/process/tenant_limit.sh
+++ b/tests/process/tenant_limit.sh
@@ -3,7 +3,7 @@
 # within the limit in every window, most of the limit must be used, and requests of other tenants must be served.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 RATE=20 WINDOW_S=5 BURST=0 SLACK=20
-usual_cluster 5
+standard_cluster 5
 cluster_server pages --service rimac/pages --work-ms 10
 cat >"$WORK/rimac.yaml" <<YAML
 tenant: rimac
--- a/tests/process/tenant_limit_pair_cut.sh
+++ b/tests/process/tenant_limit_pair_cut.sh
@@ -6,7 +6,7 @@
 . "$(dirname "$0")/lib/limited_tenant.sh"
 COUNT=${COUNT:-4} CUT_S=${CUT_S:-7}
 
-usual_cluster "$COUNT"
+standard_cluster "$COUNT"
 until_true all_in_touch
 limited_callers limited $((2 * (COUNT - 1) * (CUT_S + 2) + 4)) &
 callers=$!
--- a/tests/process/tenant_limit_restart_all.sh
+++ b/tests/process/tenant_limit_restart_all.sh
@@ -6,7 +6,7 @@
 . "$(dirname "$0")/lib/limited_tenant.sh"
 COUNT=${COUNT:-18}
 
-usual_cluster "$COUNT"
+standard_cluster "$COUNT"
 until_true all_in_touch
 limited_callers limited 20 &
 callers=$!
--- a/tests/process/zone_out.sh
+++ b/tests/process/zone_out.sh
@@ -25,7 +25,7 @@
 plan_id() { awk '/^plan/ {print $2}' "$1"; }
 zones_out() { curl -sf "http://$STORE/api/objects/evacuations" | jq -r '.items[].metadata.name' | xargs; }
 
-usual_cluster 3
+standard_cluster 3
 (cluster_callers out --rate 60 --count 900) &
 callers=$!
 until_true has_run 30
--- a/tests/process/zone_power_loss.sh
+++ b/tests/process/zone_power_loss.sh
@@ -31,7 +31,7 @@
     echo $((beyond - zone))
 }
 
-usual_cluster "$NODES_STARTED"
+standard_cluster "$NODES_STARTED"
 until_true know_all "${!NODE_PIDS[@]}"
 until_true have_list "${!NODE_PIDS[@]}"
 lead=$(leader)
--- a/tests/test_lease_sim.c
+++ b/tests/test_lease_sim.c
@@ -4,7 +4,7 @@
  */
 #include <stdio.h>
 
-#include "lease_world.h"
+#include "lease_sim.h"
 #include "loop_fixture.h"
 
 enum { SEEDS = 60 };
@@ -14,7 +14,7 @@
     cw_sim_settings_t settings;
     cw_sim_result_t   result;
 
-    cw_sim_settings_rough(&settings, seed);
+    cw_sim_settings_with_faults(&settings, seed);
     cw_sim_run(&settings, &result);
     ck_assert_msg(result.violations == 0, "seed %llu: %s", (unsigned long long)seed, result.violation[0]);
     ck_assert_msg(result.served_at_end, "seed %llu: not served at the end", (unsigned long long)seed);
@@ -43,7 +43,7 @@
     cw_sim_result_t   first;
     cw_sim_result_t   second;
 
-    cw_sim_settings_rough(&settings, 5);
+    cw_sim_settings_with_faults(&settings, 5);
     cw_sim_run(&settings, &first);
     cw_sim_run(&settings, &second);
     ck_assert_uint_eq(first.requests, second.requests);
@@ -54,7 +54,7 @@
 
 START_TEST(a_calm_run_serves_nearly_all)
 {
-    cw_sim_settings_t settings = {.seed = 3, .length = CW_SECONDS(60), .calm_at = 0, .moves = 1};
+    cw_sim_settings_t settings = {.seed = 3, .length = CW_SECONDS(60), .faults_end_at = 0, .moves = 1};
     cw_sim_result_t   result;
 
     cw_sim_run(&settings, &result);
