--- a/src/router/list_exchange.c
+++ b/src/router/list_exchange.c
@@ -10,11 +10,12 @@
 
 enum {
     RETRY_MS = 300,       /* a window takes 0.1 s if the sending node serves one node at a time, and 0.3 s with three */
-    SLOW_RETRY_MS = 2000, /* the leader sends the list after WHOLE_WAIT_MS and WHOLE_WAIT_NODE_MS (router_push.c) */
+    SLOW_RETRY_MS = 2000, /* the leader sends the list after WHOLE_WAIT_MS and WHOLE_WAIT_PER_NODE_MS (router_push.c) */
     UNANSWERED_MAX = 2,   /* nodes asked one after the other before the slow retry */
     REDIRECT_MS = 20,     /* the named node may not have received the last page itself yet */
-    HEARTBEAT_TIMEOUT_MS = 1000, /* three intervals of the leader's heartbeats, LEADER_PAUSE_MS each */
-    HOLDERS_MAX = 64,            /* nodes of the zone known to have a list: more than are asked during one transfer */
+    /* Three intervals of the leader's heartbeats, IDLE_INTERVAL_MS each (router_peers.c). */
+    HEARTBEAT_TIMEOUT_MS = 1000,
+    HOLDERS_MAX = 64,   /* nodes of the zone known to have a list: more than are asked during one transfer */
     TRANSFERS_MAX = 10, /* simultaneous transfers: as many as small links fit into this node's link, so that each
                          * ends soon and its receiver serves others */
     TRANSFER_BYTES_PER_S = 800000, /* a third of 20 Mbit/s */
@@ -40,34 +41,34 @@
 
 /** A node of the zone and the list that it has. */
 typedef struct holder {
-    uint32_t          address;
-    cw_list_version_t has;
+    uint32_t     address;
+    cw_list_id_t has;
 } holder_t;
 
 struct cw_list_exchange {
     cw_list_exchange_owner_t owner;
 
     /* requests */
-    cw_list_version_t wanted;    /**< newest list that the leader named; number 0: none */
-    cw_time_us_t      wanted_at; /**< last heartbeat that named a list */
-    cw_list_version_t
-        target; /**< the list being requested: the wanted one, or an earlier one of its term; number 0: none */
-    cw_list_version_t rejected;         /**< it was received whole, but has not come into force */
-    uint32_t          missing;          /**< first page of the target that has not been received */
-    uint32_t          window_end;       /**< pages below this one have been requested */
-    uint32_t          unanswered;       /**< requests since the last page was received */
-    cw_time_us_t      next_request_at;  /**< no request is sent before */
-    uint32_t          redirect_address; /**< node that a redirect named; 0: holders are asked in rotation */
-    uint32_t          round_robin;      /**< rotation through the holders */
-    uint32_t          last_asked;       /**< node to which the last request was sent */
-    holder_t          holders[HOLDERS_MAX];
-    size_t            holder_count;
-    size_t            next_holder; /**< index of the one to be replaced when the table is full */
+    cw_list_id_t wanted;    /**< newest list that the leader named; version 0: none */
+    cw_time_us_t wanted_at; /**< last heartbeat that named a list */
+    /** The list being requested: the wanted one, or an earlier one of its term; version 0: none. */
+    cw_list_id_t target;
+    cw_list_id_t rejected;         /**< list that was received whole, but has not come into force */
+    uint32_t     missing;          /**< first page of the target that has not been received */
+    uint32_t     window_end;       /**< pages below this one have been requested */
+    uint32_t     unanswered;       /**< requests since the last page was received */
+    cw_time_us_t next_request_at;  /**< no request is sent before this time */
+    uint32_t     redirect_address; /**< node that a redirect named; 0: holders are asked in rotation */
+    uint32_t     round_robin;      /**< rotation through the holders */
+    uint32_t     last_asked;       /**< node to which the last request was sent */
+    holder_t     holders[HOLDERS_MAX];
+    size_t       holder_count;
+    size_t       next_holder; /**< index of the one to be replaced when the table is full */
 
     /* replies */
     double            allowance; /**< bytes that may be sent now */
     cw_time_us_t      filled_at;
-    cw_list_version_t sent; /**< list that was sent last; `served` are the nodes that received it */
+    cw_list_id_t      sent; /**< list that was sent last; `served` are the nodes that received it */
     transfer_t        transfers[TRANSFERS_MAX];
     size_t            transfer_count;       /* simultaneous transfers allowed */
     waiting_request_t waiting[WAITING_MAX]; /* in order of arrival */
@@ -99,14 +100,14 @@
     free(exchange);
 }
 
-static bool is_same(cw_list_version_t one, cw_list_version_t other)
+static bool is_same(cw_list_id_t one, cw_list_id_t other)
 {
-    return one.term == other.term && one.number == other.number;
+    return one.term == other.term && one.version == other.version;
 }
 
 /* ---- requests ---- */
 
-static void set_target(cw_list_exchange_t *exchange, cw_list_version_t target)
+static void set_target(cw_list_exchange_t *exchange, cw_list_id_t target)
 {
     exchange->target = target;
     exchange->missing = 0;
@@ -118,8 +119,7 @@
     return exchange->missing > 0 && exchange->unanswered <= UNANSWERED_MAX;
 }
 
-void cw_list_exchange_set_wanted(cw_list_exchange_t *exchange, cw_list_version_t wanted, cw_list_version_t has,
-                                 cw_time_us_t now)
+void cw_list_exchange_set_wanted(cw_list_exchange_t *exchange, cw_list_id_t wanted, cw_list_id_t has, cw_time_us_t now)
 {
     if (wanted.term < exchange->wanted.term) {
         return; /* sent by an earlier leader */
@@ -133,9 +133,9 @@
     }
     exchange->wanted = wanted;
     exchange->wanted_at = now;
-    if (has.term == wanted.term && has.number != 0) {
-        set_target(exchange, (cw_list_version_t){0});
-    } else if (exchange->target.term != wanted.term || exchange->target.number == 0 || !is_receiving(exchange)) {
+    if (has.term == wanted.term && has.version != 0) {
+        set_target(exchange, (cw_list_id_t){0});
+    } else if (exchange->target.term != wanted.term || exchange->target.version == 0 || !is_receiving(exchange)) {
         if (!is_same(exchange->target, wanted)) {
             set_target(exchange, wanted);
         }
@@ -154,9 +154,10 @@
     return NULL;
 }
 
-static bool covers_target(const cw_list_exchange_t *exchange, cw_list_version_t has)
+static bool covers_target(const cw_list_exchange_t *exchange, cw_list_id_t has)
 {
-    return exchange->target.number != 0 && has.term == exchange->target.term && has.number >= exchange->target.number;
+    return exchange->target.version != 0 && has.term == exchange->target.term &&
+           has.version >= exchange->target.version;
 }
 
 /* Called when a further node has the list: the nodes that did not reply were busy with others, or have ended. */
@@ -184,12 +185,11 @@
     return holder;
 }
 
-void cw_list_exchange_note_holder(cw_list_exchange_t *exchange, uint32_t address, cw_list_version_t has,
-                                  cw_time_us_t now)
+void cw_list_exchange_record_holder(cw_list_exchange_t *exchange, uint32_t address, cw_list_id_t has, cw_time_us_t now)
 {
     holder_t *holder = find_holder(exchange, address);
 
-    if (holder == NULL && (has.number == 0 || has.term < exchange->wanted.term)) {
+    if (holder == NULL && (has.version == 0 || has.term < exchange->wanted.term)) {
         return;
     }
     holder = holder == NULL ? add_holder(exchange, address) : holder;
@@ -236,7 +236,7 @@
 {
     uint32_t address;
 
-    if (exchange->target.number == 0 || is_same(exchange->target, exchange->rejected) ||
+    if (exchange->target.version == 0 || is_same(exchange->target, exchange->rejected) ||
         now < exchange->next_request_at || now - exchange->wanted_at > CW_MS(HEARTBEAT_TIMEOUT_MS)) {
         return;
     }
@@ -246,13 +246,13 @@
     }
 }
 
-void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t next_missing,
+void cw_list_exchange_page_received(cw_list_exchange_t *exchange, cw_list_id_t of, uint32_t next_missing,
                                     uint32_t pages, cw_time_us_t now)
 {
-    if (exchange->target.number == 0 || of.term != exchange->target.term || of.number < exchange->target.number) {
+    if (exchange->target.version == 0 || of.term != exchange->target.term || of.version < exchange->target.version) {
         return;
     }
-    if (of.number > exchange->target.number) {
+    if (of.version > exchange->target.version) {
         set_target(exchange, of);
     }
     exchange->missing = next_missing;
@@ -265,10 +265,10 @@
     }
 }
 
-void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_version_t of, uint32_t other_holder,
-                                 cw_time_us_t now)
+void cw_list_exchange_redirected(cw_list_exchange_t *exchange, cw_list_id_t of, uint32_t other_holder, cw_time_us_t now)
 {
-    if (!is_same(of, exchange->target) || exchange->target.number == 0 || other_holder == exchange->owner.own_address) {
+    if (!is_same(of, exchange->target) || exchange->target.version == 0 ||
+        other_holder == exchange->owner.own_address) {
         return;
     }
     exchange->redirect_address = other_holder;
@@ -326,7 +326,8 @@
     exchange->waiting_count = kept;
 }
 
-/* Keeps a request until a transfer ends. It is dropped if it is too old then: its node has asked another one. */
+/* Keeps a request until a transfer ends. A request that is too old by that time is dropped, since its sender has asked
+ * another node. */
 static void enqueue_waiting(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
                             cw_time_us_t now)
 {
@@ -337,7 +338,7 @@
     }
 }
 
-static void redirect(cw_list_exchange_t *exchange, uint32_t address, cw_list_version_t of)
+static void redirect(cw_list_exchange_t *exchange, uint32_t address, cw_list_id_t of)
 {
     uint32_t other_holder;
 
@@ -350,7 +351,7 @@
     }
 }
 
-static void set_sent_list(cw_list_exchange_t *exchange, cw_list_version_t of)
+static void set_sent_list(cw_list_exchange_t *exchange, cw_list_id_t of)
 {
     if (!is_same(of, exchange->sent)) {
         exchange->sent = of;
@@ -413,8 +414,8 @@
     }
 }
 
-void cw_list_exchange_take_request(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
-                                   cw_time_us_t now)
+void cw_list_exchange_handle_request(cw_list_exchange_t *exchange, uint32_t address, const cw_list_window_t *window,
+                                     cw_time_us_t now)
 {
     transfer_t *transfer = find_transfer(exchange, address, now);
 
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -1,6 +1,6 @@
 /**
  * @file router_report.c
- * @brief Builds a report of this node: requests under way at each server, servers' service times, keys of recent
+ * @brief Builds a report of this node: requests in flight at each server, servers' service times, keys of recent
  * requests, and the leader's heartbeat.
  */
 #include <string.h>
@@ -22,7 +22,7 @@
     Cwp__ServerLoad      loads[LOADS_MAX];
     Cwp__ServerLoad     *load_pointers[LOADS_MAX];
     Cwp__ServerPace      paces[LOADS_MAX];
-    Cwp__ServerPace     *pace_pointers[LOADS_MAX];
+    Cwp__ServerPace     *latency_pointers[LOADS_MAX];
     Cwp__QueueLength     queues[QUEUES_MAX];
     Cwp__QueueLength    *queue_pointers[QUEUES_MAX];
     Cwp__KeySamples      samples[SAMPLES_MAX];
@@ -63,7 +63,7 @@
 }
 
 /* Adds the service times that have changed since they were last sent, to the leader or to all nodes. */
-static void add_paces(cw_router_t *router, bool to_leader)
+static void add_latencies(cw_router_t *router, bool to_leader)
 {
     cw_server_t *server;
     cw_server_t *next;
@@ -82,10 +82,10 @@
         pace->served = server->served;
         pace->time = server->served_time;
         *sent = server->served;
-        builder.pace_pointers[count++] = pace;
+        builder.latency_pointers[count++] = pace;
     }
     builder.report.n_paces = count;
-    builder.report.paces = builder.pace_pointers;
+    builder.report.paces = builder.latency_pointers;
 }
 
 static void add_queue(void *context, const char *service, uint32_t queued)
@@ -122,8 +122,8 @@
     builder.sample_pointers[builder.sample_count++] = samples;
 }
 
-/* While changes wait to be published, the heartbeat states the next number, which no node has yet. It states that the
- * last tables were valid until the first of these changes. */
+/* While changes wait to be published, the heartbeat carries the next version, which no node has yet, and states that
+ * the last tables were valid until the first of these changes. */
 static void add_tables(const cw_router_t *router, cw_time_us_t now)
 {
     const cw_table_publication_t *publication = &router->table_publication;
@@ -150,7 +150,7 @@
     builder.leader.servers_hash = router->server_view.list == NULL ? 0 : router->server_view.hash;
     builder.leader.list_revision = router->server_view.revision;
     builder.leader.configuration_age_ms = cw_configuration_freshness_pack(&router->freshness, now);
-    builder.leader.nodes = cw_fleet_size_to_state(&router->fleet_size, router->peak_nodes, now);
+    builder.leader.nodes = cw_fleet_size_to_announce(&router->fleet_size, router->peak_nodes, now);
     builder.leader.servers_replaced_ms = builder.servers_replaced_ms;
     builder.leader.n_servers_replaced_ms =
         cw_replaced_versions_ages(&router->replaced_servers, now, builder.servers_replaced_ms);
@@ -223,8 +223,8 @@
     if ((parts & CW_REPORT_NAMES) != 0 || now < router->send_names_until) {
         add_names(router);
     }
-    if ((parts & (CW_REPORT_PACES | CW_REPORT_PACES_TO_LEADER)) != 0) {
-        add_paces(router, (parts & CW_REPORT_PACES_TO_LEADER) != 0);
+    if ((parts & (CW_REPORT_LATENCIES | CW_REPORT_LATENCIES_TO_LEADER)) != 0) {
+        add_latencies(router, (parts & CW_REPORT_LATENCIES_TO_LEADER) != 0);
     }
     if ((parts & CW_REPORT_LOADS) != 0) {
         add_requests(router, now);
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -2,7 +2,7 @@
  * @file router_view.c
  * @brief The list of servers and the tables of keys by which this node routes, and their age.
  *
- * The leader sends both in pages, each under a number. For a node that has the newest number, each heartbeat of the
+ * The leader sends both in pages, each with a version. For a node that has the newest version, each heartbeat of the
  * leader confirms them. Without a fresh heartbeat a node reads the store itself: the list, and the records of
  * assignments, by whose owners it then routes. This is safe because the store is linearizable, and every change is
  * written there before servers are ordered to carry it out.
@@ -18,20 +18,21 @@
 
 enum {
     LIST_READS_PER_DRAIN = 4, /* reads of the list during `drain`, in which a leaving server may still get requests */
-    LAGGING_LIST_READS_PER_DRAIN = 10, /* the same if what is read may lack the last changes */
+    LAGGING_LIST_READS_PER_DRAIN = 10, /* the same if the list that is read may lack the last changes */
     FLEET_LIST_READS_PER_DRAIN = 2,    /* the same at each node of a large fleet without the leader's heartbeat */
     LIST_STALE_PERCENT = 60,           /* of `drain`: age at which nodes that are not readers read the list, too */
     LIST_SPREAD_PERCENT = 20,          /* of `drain`: additional spread at nodes that receive the leader's heartbeat */
     MIN_SERVERS_PER_NODE = 10,         /* servers that a list is assumed to have at least */
     FIRST_READ_RETRY_MS = 700,
-    LEADER_WAIT_MS = 100,       /* a starting node has the leader's heartbeat by then: seeds answer within 50 ms */
-    LEADER_LIST_WAIT_MS = 4000, /* by then the leader's list has come from nodes of the zone or from the leader */
+    LEADER_WAIT_MS = 100, /* a starting node receives the leader's heartbeat in this time: seeds answer within 50 ms */
+    LEADER_LIST_WAIT_MS = 4000, /* the leader's list arrives in this time, from nodes of the zone or from the leader */
     READER_TABLES_STALE_PERCENT = 25, /* of the tables' validity: age at which readers of a large fleet read them */
     TABLES_STALE_PERCENT = 50,        /* the same for other nodes, for which a reader mostly confirms them before */
     HEARTBEAT_STALE_PERCENT = 45,     /* of `drain`: after so long without the leader's heartbeat a node reads itself */
     TABLES_READ_INTERVAL_MS = 700,
-    STORE_LOST_PAUSE_PERCENT = 80 /* of `drain`: see read_pause. The bounds apply to a machine again only when the store
-                                   * has been back for longer (contact-s of the sheets) */
+    /* Of `drain`, see read_interval. The time bounds apply to a machine again only when the store has been back for
+     * longer than this interval. */
+    STORE_LOST_INTERVAL_PERCENT = 80
 };
 
 /* ---- the list of servers ---- */
@@ -50,7 +51,7 @@
     difference->added += before == NULL ? 1 : 0;
     if (after == NULL) {
         difference->removed++;
-        cw_router_crashes_note_gone(difference->router, before);
+        cw_router_crashes_record_gone(difference->router, before);
     }
 }
 
@@ -168,18 +169,18 @@
            cw_peer_link_count_alive(router->link, router->silence, now) >= CW_FLEET_MANY_NODES;
 }
 
-/* Pause between two reads. While the store does not answer, calls of many nodes would burden it, and each call has a
- * cost: so nodes of a large fleet pause for longer, except the readers. */
-static cw_time_us_t read_pause(const cw_router_t *router, cw_time_us_t usual, cw_time_us_t now)
+/* Interval between two reads. While the store does not answer, calls of many nodes would burden it, and each call has a
+ * cost: so the interval is longer at the nodes of a large fleet, except the readers. */
+static cw_time_us_t read_interval(const cw_router_t *router, cw_time_us_t usual, cw_time_us_t now)
 {
-    cw_time_us_t longer = router->settings.drain * STORE_LOST_PAUSE_PERCENT / 100;
+    cw_time_us_t longer = router->settings.drain * STORE_LOST_INTERVAL_PERCENT / 100;
     bool         is_slowed = router->store_availability.is_lost && !router->is_reader && is_in_large_fleet(router, now);
 
     return is_slowed && longer > usual ? longer : usual;
 }
 
-/* Pause between two reads of the list while the store answers. */
-static cw_time_us_t usual_read_pause(const cw_router_t *router, cw_time_us_t now)
+/* Interval between two reads of the list while the store answers. */
+static cw_time_us_t usual_read_interval(const cw_router_t *router, cw_time_us_t now)
 {
     if (cw_router_has_authority(router, now)) {
         return router->settings.drain / (router->servers_lag > 0 ? LAGGING_LIST_READS_PER_DRAIN : LIST_READS_PER_DRAIN);
@@ -190,11 +191,11 @@
 
 static void read_servers(cw_router_t *router, cw_time_us_t now)
 {
-    cw_time_us_t pause = usual_read_pause(router, now);
+    cw_time_us_t interval = usual_read_interval(router, now);
     bool         from_copy = router->server_view.list == NULL && !cw_router_has_authority(router, now);
 
-    pause = from_copy ? CW_MS(FIRST_READ_RETRY_MS) : read_pause(router, pause, now);
-    if (router->reading_servers || now - router->servers_read_at < pause) {
+    interval = from_copy ? CW_MS(FIRST_READ_RETRY_MS) : read_interval(router, interval, now);
+    if (router->reading_servers || now - router->servers_read_at < interval) {
         return;
     }
     router->reading_servers = true;
@@ -286,8 +287,8 @@
         cw_server_view_confirm(&router->server_view, heartbeat->list_revision, now - CW_MS(heartbeat->list_age_ms));
         return;
     }
-    valid_at = cw_replaced_versions_true_at(router->view_list_version, heartbeat->servers,
-                                            heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
+    valid_at = cw_replaced_versions_valid_at(router->view_list_version, heartbeat->servers,
+                                             heartbeat->servers_replaced_ms, heartbeat->n_servers_replaced_ms, now);
     cw_server_view_confirm(&router->server_view, router->server_view.revision, valid_at);
 }
 
@@ -300,9 +301,9 @@
     if (router->view_tables_version >= heartbeat->tables) {
         validate_tables(router, now);
     } else {
-        validate_tables(router, cw_replaced_versions_true_at(router->view_tables_version, heartbeat->tables,
-                                                             heartbeat->tables_replaced_ms,
-                                                             heartbeat->n_tables_replaced_ms, now));
+        validate_tables(router, cw_replaced_versions_valid_at(router->view_tables_version, heartbeat->tables,
+                                                              heartbeat->tables_replaced_ms,
+                                                              heartbeat->n_tables_replaced_ms, now));
     }
 }
 
@@ -332,7 +333,7 @@
         return;
     }
     router->leader_heartbeat_at = now;
-    cw_router_note_nodes(router, heartbeat->nodes);
+    cw_router_record_nodes(router, heartbeat->nodes);
     cw_router_adopt_versions(router, peer, heartbeat);
     cw_router_check_view(router, heartbeat, now);
     cw_router_list_exchange_heartbeat(router, heartbeat, now);
@@ -385,7 +386,7 @@
     cw_time_us_t           valid_at = read->sent_at;
     cw_assignment_record_t record;
 
-    if (read->from_copy) { /* used for a shorter time; owners that no longer hold the keys say so */
+    if (read->from_copy) { /* used for a shorter time; owners that no longer hold the keys reply that they do not */
         valid_at -= tables_validity(router) * TABLES_STALE_PERCENT / 100;
     }
     router->table_reads_pending--;
@@ -408,7 +409,7 @@
     size_t index;
 
     if (router->configuration == NULL || router->table_reads_pending > 0 ||
-        now - router->tables_read_at < read_pause(router, CW_MS(TABLES_READ_INTERVAL_MS), now)) {
+        now - router->tables_read_at < read_interval(router, CW_MS(TABLES_READ_INTERVAL_MS), now)) {
         return;
     }
     router->tables_read_at = now;
@@ -445,14 +446,14 @@
     return true;
 }
 
-/* Logs one line when the leader becomes silent, and one when the tables become too old for routing. */
+/* Logs one line when the leader's heartbeat is overdue, and one when the tables become too old for routing. */
 static void log_staleness(cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
     bool expired = router->tables_valid_at > 0 &&
                    now >= router->tables_valid_at + router->settings.hold * CW_TABLES_VALID_PERCENT / 100;
     cw_event_t event;
 
-    if (!is_heartbeat_fresh && !router->leader_silent && router->leader_heartbeat_at > 0 &&
+    if (!is_heartbeat_fresh && !router->leader_overdue && router->leader_heartbeat_at > 0 &&
         cw_event_begin(&event, CW_EVENT_LEADER_SILENT)) {
         cw_event_text(&event, CW_FIELD_LEADER, router->leader_node);
         cw_event_ms(&event, CW_FIELD_SILENT_MS, now - router->leader_heartbeat_at);
@@ -463,7 +464,7 @@
         cw_event_ms(&event, CW_FIELD_VIEW_AGE_MS, now - router->tables_valid_at);
         cw_event_end(&event);
     }
-    router->leader_silent = !is_heartbeat_fresh;
+    router->leader_overdue = !is_heartbeat_fresh;
     router->tables_expired = expired;
 }
 
@@ -480,7 +481,7 @@
 
 /* A starting node receives the leader's list from nodes of its zone. Reading the list takes a call for each page of the
  * store, and after reading a later revision the node rejects the pages that it receives. So it reads the list only if
- * that does not arrive in time. */
+ * the leader's list does not arrive in time. */
 static bool is_first_read_due(const cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
     cw_time_us_t wait = CW_MS(is_heartbeat_fresh ? LEADER_LIST_WAIT_MS : LEADER_WAIT_MS);
@@ -491,7 +492,7 @@
 
 /* Age of the list at which this node reads it. A list that the leader cannot renew for a moment becomes stale at all
  * nodes at the same time, so that their reads are spread (list_read_delay.h). In a small fleet without the leader's
- * heartbeat they are not, since the nodes read little. */
+ * heartbeat the reads are not spread, since the nodes read little. */
 static cw_time_us_t list_max_age(const cw_router_t *router, bool is_heartbeat_fresh, cw_time_us_t now)
 {
     cw_time_us_t window = read_window(router, now);
--- a/src/router/router_view_pages.c
+++ b/src/router/router_view_pages.c
@@ -1,10 +1,12 @@
 /**
  * @file router_view_pages.c
- * @brief Handles the leader's pages of the list and of the tables, and its hashes of what this node may already have.
+ * @brief Handles the leader's pages of the list and of the tables, and its hashes, by which a node finds that its own
+ * copy is equal.
  *
- * A page belongs to a term, a number and a base. All pages with the same ones together are the whole list (base 0), or
- * what changed since the list of number `base`. They are applied when the last one has been received, if what this node
- * has is not older than the base. The result is acknowledged to the leader at once.
+ * A page belongs to a term, a version and a base. All pages of the same term, version and base together are the whole
+ * list (base 0), or what changed since the list of version `base`. They are applied when the last one has been
+ * received, if the list or tables of this node are not older than the base. The result is acknowledged to the leader at
+ * once.
  */
 #include <string.h>
 
@@ -52,9 +54,9 @@
     return count;
 }
 
-/* Tells other nodes of the zone that they can request the list from this one. Without that they would learn it only
- * from the next report, and reports of a large zone are seconds apart. A relay is the first node of its zone to have
- * the list and tells all others; any other node tells a few, each node different ones. */
+/* Announces to other nodes of the zone that they can request the list from this one. Otherwise they would learn this
+ * only from the next report, and reports of a large zone are seconds apart. A relay is the first node of its zone to
+ * have the list and announces it to all others; any other node announces it to a few, each node to different ones. */
 static void announce_whole_list(cw_router_t *router)
 {
     size_t           count = count_zone_peers(router);
@@ -109,7 +111,7 @@
     }
     peer->servers = ack->servers > peer->servers ? ack->servers : peer->servers;
     peer->tables = ack->tables > peer->tables ? ack->tables : peer->tables;
-    cw_router_list_exchange_note_holder(router, peer, cw_router_now(router));
+    cw_router_list_exchange_record_holder(router, peer, cw_router_now(router));
 }
 
 /* ---- the list of servers ---- */
@@ -141,7 +143,7 @@
         report_whole_page(router, peer, page, page->pages);
         return;
     }
-    update = cw_view_updates_take_list(router->view_updates, page, cw_router_now(router));
+    update = cw_view_updates_add_list_page(router->view_updates, page, cw_router_now(router));
     if (update == NULL) {
         return;
     }
@@ -169,7 +171,7 @@
     (void)router;
     if (cw_event_begin(&event, CW_EVENT_VIEW_TAKEN)) {
         cw_event_number(&event, CW_FIELD_TERM, (int64_t)position->term);
-        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)position->number);
+        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)position->version);
         cw_event_number(&event, CW_FIELD_CHANGED, (int64_t)entries);
         cw_event_end(&event);
     }
@@ -201,7 +203,7 @@
     if (!is_usable(router, &position, router->view_tables_version) || !is_table_page_accepted(router, peer, page)) {
         return;
     }
-    update = cw_view_updates_take_tables(router->view_updates, page, cw_router_now(router));
+    update = cw_view_updates_add_table_page(router->view_updates, page, cw_router_now(router));
     if (update == NULL || !cw_view_assembly_is_whole(&update->assembly)) {
         return;
     }
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -26,7 +26,7 @@
     MANY_SERVERS = 2100,    /* of one service */
     HUGE_LIST = 40000,      /* servers */
     PAGES_MAX = 512,        /* of a list */
-    LONG_FREEZE_MS = 120000 /* all peers are forgotten: among MANY_NODES, one may be silent for 60 s */
+    LONG_FREEZE_MS = 120000 /* all peers are forgotten: among MANY_NODES, a peer may count as lost only after 60 s */
 };
 
 #define OTHER "10.0.0.9"
@@ -248,7 +248,7 @@
 
 /* ---- tests ---- */
 
-START_TEST(all_kinds_of_datagrams_come_before_anything_is_known)
+START_TEST(all_kinds_of_datagrams_are_received_before_anything_is_known)
 {
     node_fixture_t *node = node_fixture_create();
     char           *status;
@@ -292,7 +292,7 @@
 }
 END_TEST
 
-START_TEST(a_configuration_comes_before_the_list_and_the_other_way_round)
+START_TEST(a_configuration_is_received_before_the_list_and_after_it)
 {
     node_fixture_t *first = node_fixture_create();
     node_fixture_t *second = node_fixture_create();
@@ -312,7 +312,7 @@
 }
 END_TEST
 
-START_TEST(pages_come_out_of_order_twice_and_of_several_terms)
+START_TEST(pages_are_received_out_of_order_twice_and_of_several_terms)
 {
     node_fixture_t  *node = node_fixture_create();
     Cwp__ServersPage second = page_position(TERM, 5, 0, 1, 2);
@@ -329,7 +329,7 @@
     /* Not applied: the page before it, which names the removed servers, is missing. */
     receive_servers(node, &early, "i-c");
     ck_assert_uint_eq(node->router.server_view.list->count, 2);
-    receive_servers(node, &first, "i-d"); /* an earlier number */
+    receive_servers(node, &first, "i-d"); /* an earlier version */
     ck_assert_uint_eq(node->router.server_view.list->count, 2);
     receive_table(node, TERM, 1, 2, "s");
     receive_table(node, TERM + 1, 0, 2, "t");
@@ -382,7 +382,7 @@
     static Cwp__ServerLoad   loads[MANY_LOADS];
     static Cwp__ServerLoad  *load_pointers[MANY_LOADS];
     static Cwp__ServerPace   paces[MANY_LOADS];
-    static Cwp__ServerPace  *pace_pointers[MANY_LOADS];
+    static Cwp__ServerPace  *latency_pointers[MANY_LOADS];
     static Cwp__QueueLength  queues[MANY_LOADS];
     static Cwp__QueueLength *queue_pointers[MANY_LOADS];
     node_fixture_t          *node = node_fixture_create();
@@ -398,7 +398,7 @@
         paces[index] = (Cwp__ServerPace)CWP__SERVER_PACE__INIT;
         paces[index].server = index;
         paces[index].served = 3;
-        pace_pointers[index] = &paces[index];
+        latency_pointers[index] = &paces[index];
         queues[index] = (Cwp__QueueLength)CWP__QUEUE_LENGTH__INIT;
         queues[index].service = index;
         queues[index].queued = 1;
@@ -407,7 +407,7 @@
     report.incarnation = 5;
     report.loads = load_pointers;
     report.n_loads = MANY_LOADS;
-    report.paces = pace_pointers;
+    report.paces = latency_pointers;
     report.n_paces = MANY_LOADS;
     report.queues = queue_pointers;
     report.n_queues = MANY_LOADS;
@@ -596,7 +596,7 @@
 }
 END_TEST
 
-START_TEST(a_list_that_does_not_come_is_read)
+START_TEST(a_list_that_does_not_arrive_is_read)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -621,7 +621,7 @@
 /* ---- lists that become old at all nodes at the same time ---- */
 
 /* Age of the list of a node with this name when the node begins to read it again. */
-static cw_time_us_t age_when_read(const char *name, bool hears_leader)
+static cw_time_us_t age_when_read(const char *name, bool is_leader_received)
 {
     node_fixture_t *node = node_fixture_create();
     cw_router_t    *router = &node->router;
@@ -637,7 +637,7 @@
     while (node->list_reads == reads) {
         ck_assert_int_lt(cw_router_now(router) - begun, router->settings.drain);
         router->loop.time += CW_TICK_MS;
-        router->leader_heartbeat_at = hears_leader ? cw_router_now(router) : 0;
+        router->leader_heartbeat_at = is_leader_received ? cw_router_now(router) : 0;
         router->is_reader = false;
         cw_router_view_tick(router, cw_router_now(router));
     }
@@ -646,7 +646,7 @@
     return begun;
 }
 
-START_TEST(nodes_that_hear_the_leader_do_not_all_read_at_once)
+START_TEST(nodes_that_receive_heartbeats_do_not_all_read_at_once)
 {
     enum { NODES = 40, AT_ONCE_MAX = NODES / 4 };
     cw_time_us_t drain = CW_SECONDS(2);
@@ -668,37 +668,38 @@
 }
 END_TEST
 
-START_TEST(a_node_that_does_not_hear_the_leader_does_not_wait_for_it)
+START_TEST(a_node_that_receives_no_heartbeat_does_not_wait_for_one)
 {
     ck_assert_int_le(age_when_read("n-1", false), CW_SECONDS(2) * 60 / 100 + CW_MS(CW_TICK_MS));
 }
 END_TEST
 
-/* ---- the leader's number, but other contents ---- */
+/* ---- the leader's version, but other contents ---- */
+/* ---- the leader's version, but other contents ---- */
 
-static void receive_list(node_fixture_t *node, uint64_t number)
+static void receive_list(node_fixture_t *node, uint64_t version)
 {
     Cwp__ServersPage page = CWP__SERVERS_PAGE__INIT;
 
     page.term = TERM;
-    page.number = number;
+    page.number = version;
     page.pages = 1;
     page.revision = 1;
     receive_servers(node, &page, "i-1");
 }
 
-/* Delivers heartbeats that name the number of the list, with a hash that differs from that of the list in force. */
-static void receive_heartbeats(node_fixture_t *node, uint64_t number, int milliseconds)
+/* Delivers heartbeats that name the version of the list, with a hash that differs from that of the list in force. */
+static void receive_heartbeats(node_fixture_t *node, uint64_t version, int milliseconds)
 {
     int passed;
 
     for (passed = 0; passed < milliseconds; passed += 200) {
         tick_during(node, 200);
-        receive_heartbeat(node, TERM, number, 0);
+        receive_heartbeat(node, TERM, version, 0);
     }
 }
 
-START_TEST(list_that_has_long_differed_under_the_leaders_number_is_requested_again)
+START_TEST(list_that_has_long_differed_under_the_leaders_version_is_requested_again)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -726,14 +727,14 @@
 }
 END_TEST
 
-START_TEST(tables_that_have_long_differed_under_the_leaders_number_are_requested_again)
+START_TEST(tables_that_have_long_differed_under_the_leaders_version_are_requested_again)
 {
     node_fixture_t *node = node_fixture_create();
-    int             beats;
+    int             heartbeats;
 
     receive_table(node, TERM, 0, 1, "s");
     ck_assert_uint_ne(node->router.view_tables_version, 0);
-    for (beats = 0; beats < 10; beats++) {
+    for (heartbeats = 0; heartbeats < 10; heartbeats++) {
         tick_during(node, 200);
         receive_heartbeat(node, TERM, 0, 1);
     }
@@ -764,10 +765,10 @@
     TCase *cases = tcase_create("before anything is known");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, all_kinds_of_datagrams_come_before_anything_is_known);
+    tcase_add_test(cases, all_kinds_of_datagrams_are_received_before_anything_is_known);
     tcase_add_test(cases, a_list_is_empty_then_huge_then_empty);
-    tcase_add_test(cases, a_configuration_comes_before_the_list_and_the_other_way_round);
-    tcase_add_test(cases, pages_come_out_of_order_twice_and_of_several_terms);
+    tcase_add_test(cases, a_configuration_is_received_before_the_list_and_after_it);
+    tcase_add_test(cases, pages_are_received_out_of_order_twice_and_of_several_terms);
     tcase_add_test(cases, transfers_have_the_greatest_number_of_pages_and_one_more);
     tcase_add_test(cases, report_has_more_entries_than_there_is_room_for);
     tcase_add_test(cases, more_than_a_thousand_nodes_are_known_and_forgotten_after_a_freeze);
@@ -777,13 +778,13 @@
     tcase_add_test(cases, order_to_an_invalid_address_is_not_sent);
     tcase_add_test(cases, status_is_returned_whatever_the_name_of_another_node);
     tcase_add_test(cases, a_node_that_sees_a_leader_waits_for_its_list_and_does_not_read);
-    tcase_add_test(cases, a_list_that_does_not_come_is_read);
+    tcase_add_test(cases, a_list_that_does_not_arrive_is_read);
     tcase_add_test(cases, a_node_that_sees_no_leader_reads_soon);
-    tcase_add_test(cases, nodes_that_hear_the_leader_do_not_all_read_at_once);
-    tcase_add_test(cases, a_node_that_does_not_hear_the_leader_does_not_wait_for_it);
-    tcase_add_test(cases, list_that_has_long_differed_under_the_leaders_number_is_requested_again);
+    tcase_add_test(cases, nodes_that_receive_heartbeats_do_not_all_read_at_once);
+    tcase_add_test(cases, a_node_that_receives_no_heartbeat_does_not_wait_for_one);
+    tcase_add_test(cases, list_that_has_long_differed_under_the_leaders_version_is_requested_again);
     tcase_add_test(cases, list_that_keeps_differing_is_requested_rarely);
-    tcase_add_test(cases, tables_that_have_long_differed_under_the_leaders_number_are_requested_again);
+    tcase_add_test(cases, tables_that_have_long_differed_under_the_leaders_version_are_requested_again);
     tcase_add_test(cases, loop_is_initialised_completely_or_not_at_all);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
