--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -9,7 +9,7 @@
 
 enum {
     FIRST_TABLES_WAIT_MS = 1000,
-    RENEWALS_PER_LEASE = 4,
+    RENEWALS_PER_HOLD = 4,
     ORDER_TIMEOUT_MS = 350,
     RELEASE_TIMEOUT_MS = 1500,
     LATE_ORDER_S = 13
@@ -197,7 +197,7 @@
     cw_assigner_settings_t   settings = {.hold = router->settings.hold,
                                          .hold_long = router->settings.hold_long,
                                          .max_hold = router->settings.hold_long,
-                                         .renew_every = router->settings.hold / RENEWALS_PER_LEASE,
+                                         .renew_every = router->settings.hold / RENEWALS_PER_HOLD,
                                          .order_timeout = CW_MS(ORDER_TIMEOUT_MS),
                                          .release_timeout = CW_MS(RELEASE_TIMEOUT_MS),
                                          .late_order_time = CW_SECONDS(LATE_ORDER_S),
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -23,9 +23,9 @@
 #include "router/configuration_freshness.h"
 #include "router/configuration_newest.h"
 #include "router/fleet_size.h"
+#include "router/forward_queue.h"
 #include "router/leader_tenure.h"
 #include "router/list_history.h"
-#include "router/pass_on_queue.h"
 #include "router/replaced_versions.h"
 #include "router/router.h"
 #include "router/signal_notices.h"
@@ -127,7 +127,7 @@
     cw_time_us_t silence;             /**< a node from which nothing is received for so long counts as lost */
     cw_time_us_t reported_zone_at;    /**< last report to the nodes of this zone */
     cw_time_us_t reported_all_at;     /**< last report to nodes of all zones */
-    cw_time_us_t reported_full_at;    /**< last report that contained names and latencies */
+    cw_time_us_t reported_full_at;    /**< last report that contained names and paces */
     cw_time_us_t reported_leader_at;  /**< last report to the leader */
     cw_time_us_t key_samples_sent_at; /**< last time that key samples were sent to the leader */
     /** Reports contain this node's name until this time, since another node is new or back. */
@@ -230,8 +230,8 @@
 /** Optional parts of a report; each is left out where no receiver needs it. */
 enum {
     CW_REPORT_NAMES = 1,
-    CW_REPORT_LATENCIES = 2,
-    CW_REPORT_LATENCIES_TO_LEADER = 4,
+    CW_REPORT_PACES = 2,
+    CW_REPORT_PACES_TO_LEADER = 4,
     CW_REPORT_LOADS = 8,
     CW_REPORT_KEYS = 16
 };
@@ -265,7 +265,7 @@
 /** Number of nodes of the largest zone, as far as this node knows. */
 uint32_t cw_router_largest_zone(const cw_router_t *router);
 
-/* ---- router_pass_on.c ---- */
+/* ---- router_forward.c ---- */
 /** Creates the queue of updates that this node, as a relay, forwards. */
 void cw_router_forward_init(cw_router_t *router);
 /** Forwards a page of changes, which the leader has sent to this relay, to the other nodes of its zone. */
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -107,7 +107,7 @@
         return 0;
     }
     router->reported_full_at = now;
-    return CW_REPORT_NAMES | CW_REPORT_LATENCIES;
+    return CW_REPORT_NAMES | CW_REPORT_PACES;
 }
 
 static void send_to_all(cw_router_t *router, uint32_t parts, cw_time_us_t now)
@@ -164,7 +164,7 @@
         if (is_leader(router, peer)) {
             uint32_t loads = cw_router_is_covered(router, peer, now) ? 0 : CW_REPORT_LOADS;
             /* service times: the leader must know soon which owners answer, since its own orders may not reach them */
-            size_t length = cw_router_pack_report(router, CW_REPORT_KEYS | CW_REPORT_LATENCIES_TO_LEADER | loads, now);
+            size_t length = cw_router_pack_report(router, CW_REPORT_KEYS | CW_REPORT_PACES_TO_LEADER | loads, now);
 
             cw_peer_link_send_packed(router->link, peer, length);
             router->reported_leader_at = now;
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -31,8 +31,7 @@
     cw_server_pool_apply_report(router->pool, peer->address, reports, index, now);
 }
 
-static void apply_latencies(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received,
-                            cw_time_us_t now)
+static void apply_paces(cw_router_t *router, const cw_peer_t *peer, const Cwp__NodeReport *received, cw_time_us_t now)
 {
     static cw_server_pace_t paces[LOADS_MAX];
     size_t                  index;
@@ -149,7 +148,7 @@
         cw_router_handle_queues(router, peer->address, peer->distance == CW_DISTANCE_ZONE, received->queues,
                                 received->n_queues, now);
     }
-    apply_latencies(router, peer, received, now);
+    apply_paces(router, peer, received, now);
     cw_router_list_exchange_record_holder(router, peer, now);
     for (index = 0; router->leadership.leading && index < received->n_samples; index++) {
         const Cwp__KeySamples *samples = received->samples[index];
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -22,7 +22,7 @@
     Cwp__ServerLoad      loads[LOADS_MAX];
     Cwp__ServerLoad     *load_pointers[LOADS_MAX];
     Cwp__ServerPace      paces[LOADS_MAX];
-    Cwp__ServerPace     *latency_pointers[LOADS_MAX];
+    Cwp__ServerPace     *pace_pointers[LOADS_MAX];
     Cwp__QueueLength     queues[QUEUES_MAX];
     Cwp__QueueLength    *queue_pointers[QUEUES_MAX];
     Cwp__KeySamples      samples[SAMPLES_MAX];
@@ -63,7 +63,7 @@
 }
 
 /* Adds the service times that have changed since they were last sent, to the leader or to all nodes. */
-static void add_latencies(cw_router_t *router, bool to_leader)
+static void add_paces(cw_router_t *router, bool to_leader)
 {
     cw_server_t *server;
     cw_server_t *next;
@@ -82,10 +82,10 @@
         pace->served = server->served;
         pace->time = server->served_time;
         *sent = server->served;
-        builder.latency_pointers[count++] = pace;
+        builder.pace_pointers[count++] = pace;
     }
     builder.report.n_paces = count;
-    builder.report.paces = builder.latency_pointers;
+    builder.report.paces = builder.pace_pointers;
 }
 
 static void add_queue(void *context, const char *service, uint32_t queued)
@@ -223,8 +223,8 @@
     if ((parts & CW_REPORT_NAMES) != 0 || now < router->send_names_until) {
         add_names(router);
     }
-    if ((parts & (CW_REPORT_LATENCIES | CW_REPORT_LATENCIES_TO_LEADER)) != 0) {
-        add_latencies(router, (parts & CW_REPORT_LATENCIES_TO_LEADER) != 0);
+    if ((parts & (CW_REPORT_PACES | CW_REPORT_PACES_TO_LEADER)) != 0) {
+        add_paces(router, (parts & CW_REPORT_PACES_TO_LEADER) != 0);
     }
     if ((parts & CW_REPORT_LOADS) != 0) {
         add_requests(router, now);
--- a/tests/test_pass_on.c
+++ b/tests/test_forward.c
@@ -1,5 +1,5 @@
 /**
- * @file test_pass_on.c
+ * @file test_forward.c
  * @brief What a relay sends to nodes of its zone: changes unchanged, whole lists on request, whole tables never.
  */
 #include <arpa/inet.h>
@@ -131,8 +131,8 @@
 
 int main(void)
 {
-    Suite *suite = suite_create("pass on");
-    TCase *cases = tcase_create("pass on");
+    Suite *suite = suite_create("forward");
+    TCase *cases = tcase_create("forward");
 
     tcase_add_test(cases, whole_lists_are_sent_on_request_and_whole_tables_never);
     tcase_add_test(cases, forwarded_pages_are_taken_from_the_allowance);
--- a/tests/test_pass_on_queue.c
+++ b/tests/test_forward_queue.c
@@ -1,5 +1,5 @@
 /**
- * @file test_pass_on_queue.c
+ * @file test_forward_queue.c
  * @brief Updates that a relay forwards: only complete ones, within an allowance, to nodes that lack them.
  *
  * Pattern of load: a change of many pages, and a zone of hundreds of nodes.
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "loop_fixture.h"
-#include "router/pass_on_queue.h"
+#include "router/forward_queue.h"
 
 enum { NODES = 200, PAGE_BYTES = 5000, PAGES = 10, BYTES_PER_S = 1000000 };
 
@@ -240,8 +240,8 @@
 
 int main(void)
 {
-    Suite *suite = suite_create("pass_on_queue");
-    TCase *cases = tcase_create("pass_on_queue");
+    Suite *suite = suite_create("forward_queue");
+    TCase *cases = tcase_create("forward_queue");
 
     tcase_add_test(cases, nothing_is_forwarded_before_all_pages_are_received);
     tcase_add_test(cases, each_node_gets_each_page_once_within_the_allowance);
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -382,7 +382,7 @@
     static Cwp__ServerLoad   loads[MANY_LOADS];
     static Cwp__ServerLoad  *load_pointers[MANY_LOADS];
     static Cwp__ServerPace   paces[MANY_LOADS];
-    static Cwp__ServerPace  *latency_pointers[MANY_LOADS];
+    static Cwp__ServerPace  *pace_pointers[MANY_LOADS];
     static Cwp__QueueLength  queues[MANY_LOADS];
     static Cwp__QueueLength *queue_pointers[MANY_LOADS];
     node_fixture_t          *node = node_fixture_create();
@@ -398,7 +398,7 @@
         paces[index] = (Cwp__ServerPace)CWP__SERVER_PACE__INIT;
         paces[index].server = index;
         paces[index].served = 3;
-        latency_pointers[index] = &paces[index];
+        pace_pointers[index] = &paces[index];
         queues[index] = (Cwp__QueueLength)CWP__QUEUE_LENGTH__INIT;
         queues[index].service = index;
         queues[index].queued = 1;
@@ -407,7 +407,7 @@
     report.incarnation = 5;
     report.loads = load_pointers;
     report.n_loads = MANY_LOADS;
-    report.paces = latency_pointers;
+    report.paces = pace_pointers;
     report.n_paces = MANY_LOADS;
     report.queues = queue_pointers;
     report.n_queues = MANY_LOADS;
