--- a/fuzz/fuzz_http.c
+++ b/fuzz/fuzz_http.c
@@ -16,7 +16,7 @@
 enum { TURNS = 12 };
 
 /** The listener and the client. */
-typedef struct fuzz_world {
+typedef struct fuzz_fixture {
     uv_loop_t             loop;
     cw_http_listener_t   *listener;
     cw_upstream_t        *upstream;
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -30,7 +30,8 @@
 }
 trap cluster_end EXIT
 
-# Waits until a command succeeds. There is no timeout of its own: the time limit of the test runner ends a wait in vain.
+# Waits until a command succeeds, without a timeout of its own: if it never succeeds, the time limit of the test runner ends the
+# wait.
 until_true() { until "$@" >/dev/null 2>&1; do sleep 0.05; done; }
 
 # Address of the store for a node. If STORE_ENDPOINTS (number of endpoints) is set, the first endpoint serves operators and
--- a/scripts/includes.sh
+++ b/scripts/includes.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Checks the directions of includes. Folders under src/ do not include each other in circles, private headers (*_internal.h)
-# are included in their own folder only, no other folder than cli includes the router, and only platform/ includes platform/.
+# Checks the directions of includes. Folders under src/ form no cycle of includes, private headers (*_internal.h) are
+# included in their own folder only, no other folder than cli includes the router, and only platform/ includes platform/.
 # Inside src/router the files router*.c and router*.h are the parts of a node, which share its state. All others except main.c
-# are modules: they include no file of the parts, only adapter.h and loop_start.* include uv.h, and headers form no circle.
+# are modules: they include no file of the parts, only adapter.h and loop_start.* include uv.h, and headers form no cycle.
 set -u
 bad=0
 fail() { echo "includes: $*" >&2; bad=1; }
--- a/sim/lease_internal.h
+++ b/sim/lease_internal.h
@@ -1,12 +1,13 @@
 /**
  * @file lease_internal.h
- * @brief State of the simulation.
+ * @brief State of a run of the simulation, and the functions that its files share.
  */
 #ifndef CEDARWINCH_SIM_LEASE_INTERNAL_H
 #define CEDARWINCH_SIM_LEASE_INTERNAL_H
 
 #include "lease_sim.h"
 
+/** State of a run: the store, the nodes, the servers and the events to come. */
 typedef struct sim_world sim_world_t;
 
 /** An event at a logical time. */
@@ -45,7 +46,7 @@
 /** Table that a node routes by. */
 typedef struct sim_table {
     uint64_t     term;
-    uint64_t     number;
+    uint64_t     version; /**< version of the tables within the term */
     char         owner[CW_CELLS][CW_SERVER_ID_MAX];
     bool         routable[CW_CELLS];
     cw_time_us_t valid_until;
@@ -65,7 +66,7 @@
     cw_assigner_t  *assigner;
     cw_store_port_t port;
     uint64_t        assigner_term;
-    uint64_t        number; /**< number of the tables that it sent as a leader */
+    uint64_t        tables_version; /**< version of the tables that it sent as a leader */
     bool            tables_due;
     cw_time_us_t    heartbeat_sent_at;
     cw_time_us_t    heartbeat_at; /**< latest heartbeat of a leader with authority */
@@ -91,7 +92,7 @@
     sim_server_t      servers[CW_SIM_ADDRESSES];
     uint64_t          incarnations;                         /**< number of incarnations of servers so far */
     uint64_t          fences[CW_CELLS];                     /**< highest fence of a grant that a server accepted */
-    char              fence_of[CW_CELLS][CW_SERVER_ID_MAX]; /**< the server that has it */
+    char              fence_of[CW_CELLS][CW_SERVER_ID_MAX]; /**< the server that accepted it */
     cw_time_us_t      served_at[CW_CELLS];
     cw_server_list_t *list;
 };
--- a/sim/lease_nodes.c
+++ b/sim/lease_nodes.c
@@ -20,7 +20,7 @@
 };
 
 /** A leader's heartbeat with its table, on its way to one node. */
-typedef struct sim_word {
+typedef struct sim_heartbeat {
     sim_node_t *to;
     uint64_t    incarnation;
     uint64_t    term;
@@ -45,7 +45,7 @@
 {
     sim_node_t *node = context;
 
-    node->number++;
+    node->tables_version++;
     node->tables_due = true;
 }
 
@@ -87,7 +87,7 @@
     node->assigner_term = node->leadership.lock.term;
     node->assigner =
         cw_assigner_create("service", node->assigner_term, node->leadership.settings.incarnation, &settings, &ports);
-    node->number = 0;
+    node->tables_version = 0;
     node->world->result->leaders++;
 }
 
@@ -247,7 +247,7 @@
                                         heartbeat->has_authority, world->now);
         if (heartbeat->has_authority && !node->leadership.leading &&
             (heartbeat->term > node->table.term ||
-             (heartbeat->term == node->table.term && heartbeat->table.number >= node->table.number))) {
+             (heartbeat->term == node->table.term && heartbeat->table.version >= node->table.version))) {
             node->table = heartbeat->table;
             node->table.term = heartbeat->term;
             node->table.valid_until = world->now + CW_MS(TABLE_VALID_MS);
@@ -271,7 +271,7 @@
     if (has_authority) {
         set_table(&node->table, cw_assigner_ranges(node->assigner), false);
         node->table.term = node->assigner_term;
-        node->table.number = node->number;
+        node->table.version = node->tables_version;
         node->table.valid_until = world->now + CW_MS(TABLE_VALID_MS);
         node->heartbeat_at = world->now;
     }
@@ -314,7 +314,7 @@
     if (reply->result == CW_STORE_DONE && !node->leadership.leading && node->heartbeat_at < read->sent_at &&
         cw_assignment_record_from_json(&record, reply->value)) {
         set_table(&node->table, &record.ranges, true);
-        node->table.number = 0;
+        node->table.version = 0;
         node->table.valid_until = read->sent_at + CW_MS(TABLE_VALID_MS);
         cw_range_list_clear(&record.ranges);
     }
--- a/sim/lease_servers.c
+++ b/sim/lease_servers.c
@@ -269,7 +269,7 @@
 /* ---- requests ---- */
 
 /** A request on its way to a server. */
-typedef struct sim_sending {
+typedef struct sim_request {
     char     id[CW_SERVER_ID_MAX];
     uint32_t cell;
 } sim_request_t;
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -231,7 +231,7 @@
 }
 
 /* A release contains the new owner's fence: the server refuses grants with an older one from then on. */
-inline note_release_fence(s) {
+inline record_release_fence(s) {
 #ifdef NO_SEEN_FENCE
     skip
 #else
@@ -341,7 +341,7 @@
     :: atomic { /* a release is answered */
         MAY_ORDER(i) && phase[i] == RELEASING && incarnation[former[i]] == former_incarnation[i] ->
         held_until[former[i]] = 0;
-        note_release_fence(former[i]);
+        record_release_fence(former[i]);
         end_release(i)
     }
     :: atomic { /* no release is needed: the former owner's incarnation has ended */
--- a/src/base/event_names.h
+++ b/src/base/event_names.h
@@ -134,10 +134,12 @@
     X(DETAIL, "detail")
 
 #define CW_EVENT_SYMBOL(symbol, name, level, limit) CW_EVENT_##symbol,
+/** Events, in the order of the table. */
 typedef enum cw_event_kind { CW_EVENT_TABLE(CW_EVENT_SYMBOL) CW_EVENT_KINDS } cw_event_kind_t;
 #undef CW_EVENT_SYMBOL
 
 #define CW_FIELD_SYMBOL(symbol, name) CW_FIELD_##symbol,
+/** Fields of events, in the order of the table. */
 typedef enum cw_event_field { CW_EVENT_FIELD_TABLE(CW_FIELD_SYMBOL) CW_EVENT_FIELDS } cw_event_field_t;
 #undef CW_FIELD_SYMBOL
 
--- a/src/base/fatal_signal.c
+++ b/src/base/fatal_signal.c
@@ -26,8 +26,8 @@
     REQUEST_MAX = 64,
     BUILD_MAX = 41,  /* 20 bytes of a build id in hexadecimal, and NUL */
     FRAMES_MAX = 32, /* return addresses shown; the daemon's stack usually has at most some 20 */
-    STACK_BYTES =
-        128 * 1024,    /* of the alternate stack; handlers of other libraries that use SA_ONSTACK run on it, too */
+    /* Size of the alternate stack. Handlers of other libraries that use SA_ONSTACK run on it, too. */
+    STACK_BYTES = 128 * 1024,
     NOTE_BUILD_ID = 3, /* NT_GNU_BUILD_ID */
     NOTE_ALIGNMENT = 4,
     MS_DIGITS = 3,
@@ -269,7 +269,7 @@
     }
 }
 
-/* The first object that dl_iterate_phdr passes is the program itself; 1 ends the iteration after it. */
+/* The first object that dl_iterate_phdr passes is the program itself; the result 1 ends the iteration after it. */
 static int on_object(struct dl_phdr_info *object, size_t size, void *context)
 {
     int index;
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -161,10 +161,12 @@
     X(TURN, "cedarwinch_turn_seconds", "time that answers waited for an earlier one of their connection")
 
 #define CW_METRIC_SYMBOL(symbol, name, type, help) CW_METRIC_##symbol,
+/** Counters and gauges, in the order of the table. */
 typedef enum cw_metric { CW_METRIC_TABLE(CW_METRIC_SYMBOL) CW_METRICS } cw_metric_t;
 #undef CW_METRIC_SYMBOL
 
 #define CW_HISTOGRAM_SYMBOL(symbol, name, help) CW_HISTOGRAM_##symbol,
+/** Histograms, in the order of the table. */
 typedef enum cw_histogram { CW_HISTOGRAM_TABLE(CW_HISTOGRAM_SYMBOL) CW_HISTOGRAMS } cw_histogram_t;
 #undef CW_HISTOGRAM_SYMBOL
 
@@ -177,7 +179,7 @@
 /** Adds one latency of a route to a histogram. The first 31 routes have histograms of their own; all others share one,
  * "other". */
 void cw_histogram_add(cw_histogram_t histogram, const char *route, cw_time_us_t value);
-/** Appends all metrics but those by tenant as Prometheus text. */
+/** Appends all metrics except those by tenant as Prometheus text. */
 void cw_metrics_append(cw_bytes_t *text);
 /** All metrics as Prometheus text; the caller frees it with free(). */
 char *cw_metrics_text(size_t *length);
--- a/src/base/tenant_metrics.c
+++ b/src/base/tenant_metrics.c
@@ -12,8 +12,8 @@
 #include "base/memory.h"
 
 enum {
-    TENANTS_MAX =
-        16384 /* tenants counted separately, some 150 bytes each; tenants that come later are counted as others */
+    /* Tenants counted separately, some 150 bytes each. Tenants that come later are counted as "(others)". */
+    TENANTS_MAX = 16384
 };
 
 typedef struct tenant_row {
--- a/src/base/tenant_metrics.h
+++ b/src/base/tenant_metrics.h
@@ -19,12 +19,13 @@
       "requests above the tenant's requests at once")
 
 #define CW_TENANT_METRIC_SYMBOL(symbol, name, help) CW_TENANT_##symbol,
+/** Counters by tenant, in the order of the table. */
 typedef enum cw_tenant_metric { CW_TENANT_METRIC_TABLE(CW_TENANT_METRIC_SYMBOL) CW_TENANT_METRICS } cw_tenant_metric_t;
 #undef CW_TENANT_METRIC_SYMBOL
 
 enum {
-    CW_TENANT_METRICS_LARGEST =
-        20 /**< tenants shown by name: those with the most requests; all others are "(others)" */
+    /** Tenants shown by name: those with the most requests. All others are shown as "(others)". */
+    CW_TENANT_METRICS_LARGEST = 20
 };
 
 /** Adds to a counter of a tenant. */
--- a/src/cli/run_report.h
+++ b/src/cli/run_report.h
@@ -36,7 +36,7 @@
 /** Names of the outcomes, for column heads and legends. */
 extern const char *const cw_report_outcome_names[CW_OUTCOMES];
 
-/** Requests by outcome: those of a service in one second, or a sum of such. */
+/** Numbers of requests by outcome: of one service in one second, or in several seconds together. */
 typedef struct cw_report_cell {
     uint32_t counts[CW_OUTCOMES];
 } cw_report_cell_t;
--- a/src/config/router_settings.h
+++ b/src/config/router_settings.h
@@ -40,32 +40,32 @@
     size_t           zone_region_count;
     cw_endpoint_t    store;
     cw_event_level_t log_level;
-    cw_time_us_t     leader_hold;       /**< lease of a leader */
-    cw_time_us_t     first_read_within; /**< nodes that start together spread their first looks for a leader over it */
+    cw_time_us_t     leader_hold;       /**< duration of a leader's lease */
+    cw_time_us_t     first_read_within; /**< nodes that start together spread their first reads of the lock over it */
     cw_time_us_t     hold;              /**< duration of a grant while the store can be reached */
     cw_time_us_t     hold_long;         /**< duration of a grant while the store cannot be reached */
     cw_time_us_t     drain;             /**< a leaving server receives no request after this time */
-    cw_time_us_t     configuration_within; /**< a change of the configuration is in force on this node within it */
-    cw_time_us_t     zone_out_within;  /**< a zone out of service receives no request after it; 0: none is ever out */
-    cw_time_us_t     heartbeat;        /**< interval at which servers write their entries of the list */
-    cw_time_us_t     stop_grace;       /**< a planned stop ends within this time */
-    double           remote_byte_cost; /**< of sending a megabyte to another region, as milliseconds of waiting */
-    uint32_t         link_mbps;        /**< bandwidth of this node's link, Mbit/s */
-    double           cpu_share;        /**< cores that this node may use; a fraction is allowed */
-    cw_time_us_t     retry_window;     /**< window of the retry budget of a service, in which are allowed */
-    double           retry_ratio;      /**< this many retries per request */
-    double           retry_extra;      /**< and this many in addition, over all nodes */
-    cw_time_us_t     limit_window;     /**< window in which a tenant's limit holds over all nodes, */
-    double           limit_overshoot;  /**< with at most this excess, as a share of the limit, */
-    double           limit_slack;      /**< and this excess, as a number of requests */
-    char             credential_scheme[32];   /**< scheme of callers' keys in the header Authorization */
-    cw_time_us_t     credentials_stale_after; /**< age at which evidence that no key was revoked is stale; 0: never */
-    bool             credentials_fail_closed; /**< refuse callers with keys while this evidence is stale */
-    uint32_t         pipeline_depth;          /**< requests of one caller's connection that are served concurrently */
-    size_t           pipeline_bytes;  /**< answers of a connection that wait for an earlier one; then reading pauses */
-    uint32_t         memory_mb;       /**< memory that this node may use; 0: not known */
-    size_t           body_bytes_most; /**< callers' bodies that are held in memory at the same time */
-    cw_time_us_t     body_wait;       /**< time that a request waits for memory for its body */
+    cw_time_us_t     configuration_within; /**< a change of the configuration is in force here within this time */
+    cw_time_us_t zone_out_within;  /**< a zone taken out receives no request after this time; 0: no zone is ever out */
+    cw_time_us_t heartbeat;        /**< interval at which servers write their entries of the list */
+    cw_time_us_t stop_grace;       /**< a planned stop ends within this time */
+    double       remote_byte_cost; /**< of sending a megabyte to another region, as milliseconds of waiting */
+    uint32_t     link_mbps;        /**< bandwidth of this node's link, Mbit/s */
+    double       cpu_share;        /**< cores that this node may use; a fraction is allowed */
+    cw_time_us_t retry_window;     /**< window of the retry budget of a service */
+    double       retry_ratio;      /**< retries allowed in a window, per request */
+    double       retry_extra;      /**< additional retries allowed in a window, over all nodes */
+    cw_time_us_t limit_window;     /**< window in which a tenant's limit applies over all nodes */
+    double       limit_overshoot;  /**< excess allowed in a window, as a share of the limit */
+    double       limit_slack;      /**< additional excess allowed in a window, as a number of requests */
+    char         credential_scheme[32];   /**< scheme of callers' keys in the header Authorization */
+    cw_time_us_t credentials_stale_after; /**< age at which evidence that no key was revoked is stale; 0: never */
+    bool         credentials_fail_closed; /**< refuse callers with keys while this evidence is stale */
+    uint32_t     pipeline_depth;          /**< requests of one caller's connection that are served concurrently */
+    size_t       pipeline_bytes;  /**< answers of a connection that may wait for an earlier one before reading stops */
+    uint32_t     memory_mb;       /**< memory that this node may use; 0: not known */
+    size_t       body_bytes_most; /**< callers' bodies that are held in memory at the same time */
+    cw_time_us_t body_wait;       /**< time that a request waits for memory for its body */
 } cw_router_settings_t;
 
 /** Reads and checks a file. Returns CW_ERROR_PARSE, with findings that name line and column, if it has errors, and
--- a/src/config/yaml_tree.h
+++ b/src/config/yaml_tree.h
@@ -30,11 +30,11 @@
     CW_YAML_DIGEST_BYTES = 32 /**< SHA-256 */
 };
 
-/** A mapping that is being read, with the keys that the caller has asked for. */
+/** A mapping that is being read, with the keys that the caller has read. */
 typedef struct cw_yaml_mapping {
     cw_yaml_document_t *document;
     yaml_node_t        *node;
-    const char         *known[CW_YAML_KEYS_MAX]; /**< keys asked for so far */
+    const char         *known[CW_YAML_KEYS_MAX]; /**< keys read so far, also absent ones */
     size_t              known_count;
 } cw_yaml_mapping_t;
 
@@ -51,7 +51,7 @@
 /** Begins to read a mapping. A node of another kind is reported, and all keys are then read as absent. what:
  * description of the mapping for the finding. */
 void cw_yaml_open(cw_yaml_mapping_t *mapping, cw_yaml_document_t *document, yaml_node_t *node, const char *what);
-/** Reports the keys that were not asked for and those that are given twice; called after all keys were read. */
+/** Reports the keys that the caller has not read and the keys that are given twice; called after all keys were read. */
 void cw_yaml_finish(const cw_yaml_mapping_t *mapping);
 
 /** Value node of a key, or NULL if it is absent; if it is required, its absence is reported. */
--- a/src/intent/intent.h
+++ b/src/intent/intent.h
@@ -28,7 +28,7 @@
 } cw_intent_t;
 
 /** Parses and checks a text. Returns CW_ERROR_PARSE, with findings that name line and column, if anything in it is
- * wrong. regions: the regions that exist, any other one is a finding; NULL: not known, none is. */
+ * wrong. regions: the regions that exist, any other region is a finding; NULL: not known, any region is accepted. */
 int cw_intent_parse(cw_intent_t *intent, const char *text, size_t length, const char *file_name,
                     const cw_name_set_t *regions, cw_findings_t *findings);
 /** Parses and checks a file as cw_intent_parse does a text; CW_ERROR_IO if the file cannot be read. */
--- a/src/intent/intent_tenant.h
+++ b/src/intent/intent_tenant.h
@@ -8,9 +8,9 @@
 #include "config/yaml_tree.h"
 #include "intent/intent.h"
 
-/** Reads the tenant's keys of the intent's mapping and adds the tenant to intent->configuration. */
+/** Reads the fields of the intent's mapping that concern the tenant, and adds the tenant to intent->configuration. */
 void cw_intent_read_tenant(cw_intent_t *intent, cw_yaml_mapping_t *mapping);
-/** Reads the key `regions` of a tenant or a route. */
+/** Reads the field `regions` of a tenant or a route. */
 void cw_intent_read_regions(const cw_intent_t *intent, cw_name_set_t *regions, cw_yaml_mapping_t *mapping);
 
 #endif
--- a/src/intent/key_file.c
+++ b/src/intent/key_file.c
@@ -12,8 +12,8 @@
 
 enum {
     PATH_BYTES = 4096,
-    KEY_BYTES =
-        4096 /* a quarter of the default limit for the head of a request: enough for any key that a caller can send */
+    /* A quarter of the default limit for the head of a request: enough for any key that a caller can send. */
+    KEY_BYTES = 4096
 };
 
 static const char blanks[] = " \t\r\n";
@@ -49,7 +49,7 @@
     return count < 0 ? -1 : length;
 }
 
-/* Digest of the key, without the blanks around it. Accepted is what a caller can send as its key
+/* Computes the digest of the key, without the blanks around it. A key is accepted if a caller can send it
  * (tenancy/caller_identity.c). Returns NULL or a description of the error. */
 static const char *digest_text(cw_key_digest_t *digest, char *text, size_t length)
 {
--- a/src/intent/plan.c
+++ b/src/intent/plan.c
@@ -22,7 +22,7 @@
     service->name = strdup(from->name);
 }
 
-/* Copies all entries, or all but those of one tenant. */
+/* Copies all entries. except: a tenant whose entries are left out; NULL: none. */
 static void copy_entries(cw_configuration_t *to, const cw_configuration_t *from, const char *except)
 {
     size_t index;
--- a/src/intent/zone_plan.c
+++ b/src/intent/zone_plan.c
@@ -15,7 +15,7 @@
 typedef struct service_servers {
     size_t        in_zone;    /**< in the zone of the plan */
     size_t        left;       /**< in other zones that are in service */
-    cw_name_set_t zones_left; /**< the names of those other zones */
+    cw_name_set_t zones_left; /**< the names of the zones that `left` counts */
 } service_servers_t;
 
 static bool accepts_requests(const cw_server_entry_t *entry)
--- a/standins/callers/main.c
+++ b/standins/callers/main.c
@@ -6,7 +6,7 @@
  * attempt, and a last line with sums. Each attempt has an id of its own; the path consists of the prefix of the kind
  * and the number of the request.
  *
- * With --pipeline, so many requests are sent at once on a connection of their own, and none is retried.
+ * With --pipeline N, N requests are sent at once on a new connection, and none is retried.
  */
 #include <argtable2.h>
 #include <inttypes.h>
@@ -42,7 +42,7 @@
     uint64_t              unread;     /**< requests that followed one whose answer closed the connection */
     kind_t                kinds[KINDS_MAX];
     size_t                kind_count;
-    uv_timer_t            pace_timer;
+    uv_timer_t            send_timer;
     uint64_t              sent;
     uint64_t              total; /**< requests to send */
     uint64_t              per_s;
@@ -267,7 +267,7 @@
     printf("}\n");
 }
 
-static void on_pace_timer(uv_timer_t *timer)
+static void on_send_timer(uv_timer_t *timer)
 {
     callers_t *callers = timer->data;
     uint64_t   due = (uv_now(&callers->loop) - callers->started_ms) * callers->per_s / 1000;
@@ -311,10 +311,10 @@
 
 static int run(callers_t *callers)
 {
-    callers->pace_timer.data = callers;
+    callers->send_timer.data = callers;
     callers->started_ms = uv_now(&callers->loop);
-    uv_timer_init(&callers->loop, &callers->pace_timer);
-    uv_timer_start(&callers->pace_timer, on_pace_timer, 0, 5);
+    uv_timer_init(&callers->loop, &callers->send_timer);
+    uv_timer_start(&callers->send_timer, on_send_timer, 0, 5);
     uv_run(&callers->loop, UV_RUN_DEFAULT);
     print_summary(callers);
     return callers->wrong == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
--- a/standins/link/link_datagrams.c
+++ b/standins/link/link_datagrams.c
@@ -30,7 +30,7 @@
 };
 
 /** A datagram that is sent after a delay. */
-typedef struct late_datagram {
+typedef struct delayed_datagram {
     uv_timer_t     timer;
     node_socket_t *from;
     node_socket_t *to;
--- a/standins/link/link_rules.h
+++ b/standins/link/link_rules.h
@@ -25,7 +25,7 @@
 /** Faults that last until the command `heal`; the comments name the unit of the fault's value. */
 typedef enum link_fault {
     LINK_CUT,         /**< nothing passes in either direction, on open connections and new ones */
-    LINK_CUT_ONE_WAY, /**< the same in one direction */
+    LINK_CUT_ONE_WAY, /**< nothing passes in one direction; the other one is not affected */
     LINK_DELAY,       /**< milliseconds in each direction */
     LINK_LOSE,        /**< percent of datagrams that are lost */
     LINK_DOUBLE,      /**< percent of datagrams that are sent twice */
--- a/standins/link/link_streams.c
+++ b/standins/link/link_streams.c
@@ -20,17 +20,17 @@
 };
 
 /** Bytes that are sent at due_ms; length 0: the sender has shut down its side. */
-typedef struct late_bytes {
-    uint64_t           due_ms;
-    struct late_bytes *next;
-    size_t             length;
-    char               bytes[];
+typedef struct delayed_bytes {
+    uint64_t              due_ms;
+    struct delayed_bytes *next;
+    size_t                length;
+    char                  bytes[];
 } delayed_bytes_t;
 
 typedef struct stream stream_t;
 
 /** One direction of a connection. */
-typedef struct stream_way {
+typedef struct stream_direction {
     stream_t         *stream;
     uv_tcp_t         *source;
     uv_tcp_t         *target;
@@ -43,7 +43,7 @@
     uint64_t          due_ms; /**< due time of the bytes read last */
     bool              is_reading;
     bool              source_ended; /**< the sender has shut down its side */
-    bool              target_ended; /**< the shutdown has been passed on to the receiver */
+    bool              target_ended; /**< the shutdown has been forwarded to the receiver */
 } stream_direction_t;
 
 /** A connection. */
--- a/standins/server/main.c
+++ b/standins/server/main.c
@@ -8,8 +8,8 @@
  * request that still contains the caller's credential gets a record of its own. As soon as a signal has been in force,
  * the arrival of each request is recorded, too.
  *
- * SIGTERM: states that it drains, serves on for DRAIN_MS, and ends. SIGUSR1: puts the next signal of --signals into
- * force; SIGUSR2: ends the signal in force.
+ * SIGTERM: announces in its entry and its answers that it leaves, serves for another DRAIN_MS, and ends. SIGUSR1: puts
+ * the next signal of --signals into force; SIGUSR2: ends the signal in force.
  */
 #include <argtable2.h>
 #include <inttypes.h>
@@ -86,7 +86,7 @@
     uint32_t              queue_max;
     uint32_t              work_ms;
     uint32_t              heartbeat_ms;
-    uint32_t              cold_ms; /**< time of the warm-up after the start, which its entry in the store states */
+    uint32_t              cold_ms; /**< duration of the warm-up after the start, for its entry in the store */
     uint64_t              started_ms;
     uint64_t              born_ms;    /* time of the start, by the wall clock */
     const char           *crash_path; /* a request whose path contains this text ends the process; NULL: none */
--- a/standins/server/signals.h
+++ b/standins/server/signals.h
@@ -1,6 +1,6 @@
 /**
  * @file signals.h
- * @brief Signals of the stand-in for a server: what its answers state about the server itself.
+ * @brief Signals of the stand-in for a server: what the server reports about itself in its answers.
  */
 #ifndef CEDARWINCH_STANDINS_SERVER_SIGNALS_H
 #define CEDARWINCH_STANDINS_SERVER_SIGNALS_H
@@ -12,7 +12,7 @@
 
 enum { SIGNALS_MAX = 16 };
 
-/** What the server states at one time. */
+/** What the server reports about itself at one time. */
 typedef struct signals_item {
     double limit_per_s; /**< rate limit of the server; below 0: none */
     double rest_s;      /**< it refuses all requests with 503 and this Retry-After in seconds; 0: it does not */
--- a/standins/verdict/leaves.c
+++ b/standins/verdict/leaves.c
@@ -15,8 +15,8 @@
 
 static const uint64_t drain_ns = 2000000000;
 
-/** The first answer with a server's announcement that a node passed on. */
-typedef struct notice {
+/** The first answer with a server's announcement that a node forwarded. */
+typedef struct leave_notice {
     char     node[48];
     char     server[64]; /* id without the incarnation */
     uint64_t at;
--- a/standins/verdict/limits.c
+++ b/standins/verdict/limits.c
@@ -19,10 +19,10 @@
 static const uint64_t settle_ns = 3000000000;
 static const uint64_t notice_settle_ns = 500000000;
 
-/** The first answer with a server's current limit that a node passed on. */
-typedef struct notice {
-    char           key[120];        /**< name of the node, a blank, incarnation of the server */
-    uint64_t       limit_stated_at; /**< limit_stated_at of the server, which identifies the period of the limit */
+/** The first answer with a server's current limit that a node forwarded. */
+typedef struct limit_notice {
+    char           key[120];          /**< name of the node, a blank, incarnation of the server */
+    uint64_t       limit_reported_at; /**< limit_reported_at of the server, which identifies the period of the limit */
     uint64_t       at;
     UT_hash_handle hh;
 } limit_notice_t;
@@ -35,8 +35,8 @@
 /** One incarnation of a server. */
 typedef struct limited_server {
     char           server[64];
-    double         per_s;           /**< limit in requests per second; below 0: none */
-    uint64_t       limit_stated_at; /**< time at which it began to state a limit */
+    double         per_s;             /**< limit in requests per second; below 0: none */
+    uint64_t       limit_reported_at; /**< time at which it began to report a limit */
     uint64_t       reported_at;
     arrival_t     *arrivals;
     size_t         count;
@@ -81,7 +81,7 @@
     HASH_ITER(hh, servers, server, next)
     {
         if (incarnation_is_of(server->server, id) && server->per_s >= 0 &&
-            (latest == NULL || server->limit_stated_at > latest->limit_stated_at)) {
+            (latest == NULL || server->limit_reported_at > latest->limit_reported_at)) {
             latest = server;
         }
     }
@@ -112,8 +112,8 @@
         return;
     }
     notice = notice_of(record->node, server->server);
-    if (notice->limit_stated_at != server->limit_stated_at) {
-        notice->limit_stated_at = server->limit_stated_at;
+    if (notice->limit_reported_at != server->limit_reported_at) {
+        notice->limit_reported_at = server->limit_reported_at;
         notice->at = record->ns;
     }
 }
@@ -123,7 +123,7 @@
     limited_server_t *server = server_of(record->server);
 
     if (server->per_s < 0 && record->per_s >= 0) {
-        server->limit_stated_at = record->ns;
+        server->limit_reported_at = record->ns;
         server->window_start = server->count;
     }
     server->per_s = record->per_s;
@@ -134,11 +134,11 @@
     const char           *node = nodes_of_request(record->id);
     const limit_notice_t *notice;
 
-    if (server->per_s < 0 || node == NULL || record->ns < server->limit_stated_at + settle_ns) {
+    if (server->per_s < 0 || node == NULL || record->ns < server->limit_reported_at + settle_ns) {
         return false;
     }
     notice = notice_of(node, server->server);
-    return notice->at != 0 && notice->limit_stated_at == server->limit_stated_at &&
+    return notice->at != 0 && notice->limit_reported_at == server->limit_reported_at &&
            notice->at + notice_settle_ns <= record->ns && !nodes_in_trouble(node, record->ns, settle_ns);
 }
 
--- a/standins/verdict/limits.h
+++ b/standins/verdict/limits.h
@@ -1,6 +1,6 @@
 /**
  * @file limits.h
- * @brief Checks that servers that state a rate limit get no more requests than it allows.
+ * @brief Checks that servers that report a rate limit get no more requests than the limit allows.
  */
 #ifndef CEDARWINCH_STANDINS_VERDICT_LIMITS_H
 #define CEDARWINCH_STANDINS_VERDICT_LIMITS_H
@@ -10,7 +10,7 @@
 /**
  * Checks the rule LIMIT. It is violated if a server gets within four seconds more than five requests above one and a
  * half times the number that its limit allows. Counted are requests that arrive at least three seconds after the server
- * began to state a limit, from nodes that passed on an answer with this limit at least half a second before. Requests
+ * began to report a limit, from nodes that forwarded an answer with this limit at least half a second before. Requests
  * from nodes in trouble (killed, frozen or cut off), or within three seconds after the trouble, are not counted.
  *
  * The records must be sorted, and nodes_collect must have been called. Returns the number of counted arrivals.
--- a/standins/verdict/records.h
+++ b/standins/verdict/records.h
@@ -17,14 +17,14 @@
     char     id[80];     /**< of the request */
     char     method[16];
     char     node[48];    /**< of a caller: the node that it asked; of the test: the node in trouble */
-    char     limit[64];   /**< of a caller: id of the server that stated a limit in the answer; empty: none */
+    char     limit[64];   /**< of a caller: id of the server that reported a limit in the answer; empty: none */
     char     leaving[64]; /**< of a caller: id of the server that announced its leave in the answer; empty: none */
     uint64_t sent_ns;     /**< of a caller: when it sent the request */
     uint32_t low;         /**< first key of the range */
     uint32_t last;        /**< last key of the range, inclusive */
     uint64_t fence;
     double   rest_s;    /**< of a server: time for which it asked to get no requests */
-    double   per_s;     /**< of a server: the rate limit that it states from now on; below 0: none */
+    double   per_s;     /**< of a server: the rate limit that it reports from now on; below 0: none */
     int      status;    /**< of a caller: status of the answer; 0: no answer */
     bool     of_caller; /**< written by a caller; false: by a server or the test */
 } record_t;
--- a/tests/fault_soak/soak.sh
+++ b/tests/fault_soak/soak.sh
@@ -24,10 +24,10 @@
 #   tenants   no caller's key reaches a server, and each run names the tenant of the caller's key; none runs without a key
 #   revoked   no request with a revoked key runs after the time limit, and all nodes reject the key after a round
 #   limit     in each window, a tenant's runs on all servers are no more than its limit allows
-#   records   also: servers that state a rate limit in their answers get no more requests than it allows, servers that
+#   records   also: servers that report a rate limit in their answers get no more requests than it allows, servers that
 #             announce that they leave get none after two seconds, and servers that ask a node for rest get it (cw-verdict)
 #
-# Besides the faults, servers begin and cease to state rate limits and to refuse all requests, several of them at once. These
+# Besides the faults, servers begin and cease to report rate limits and to refuse all requests, several of them at once. These
 # signals have a generator of their own, so that the schedule of faults of a seed does not depend on them.
 # The last lines print the faults by kind and the number of findings. The exit code is 1 if there is a finding. KEEP=1 keeps the
 # records.
@@ -129,7 +129,7 @@
     REVOKED[$((KEY_TURN - 1))]=$(monotonic_ms)
 }
 
-# Draws the ends between which a fault of links lies: two nodes, a node and the store, or all ends and a server.
+# Draws the ends of a fault of links: two nodes, a node and the store, or all ends and a server.
 draw_ends() { # NODE KIND...; leaves them in ENDS
     local node=$1 other
     shift
--- a/tests/process/foreign_entries.sh
+++ b/tests/process/foreign_entries.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Other writers leave malformed entries among those of the servers: missing fields, fields of another type, an unknown
+# Other writers leave malformed entries among the servers' entries: missing fields, fields of another type, an unknown
 # state, no name, a service that no configuration names. The nodes must skip them and list all other servers, also while
 # the list is read page by page and by its changes.
 STORE_PAGE=3
--- a/tests/process/rehearsal.sh
+++ b/tests/process/rehearsal.sh
@@ -20,11 +20,11 @@
 check "a request that gets no slot in time is refused ($code)" [ "$code" = 503 ]
 for i in 1 2 3; do kill -CONT "${SERVER_PIDS[h$i]}"; done
 sleep 0.5
-explained() { "$BUILD/cedarwinch" explain "$1" "$WORK"/node*.log | tee "$WORK/story" | grep -q "$2"; }
+explained() { "$BUILD/cedarwinch" explain "$1" "$WORK"/node*.log | tee "$WORK/explained" | grep -q "$2"; }
 check "explain shows the refusal" explained refused-1 'refused.*no slot in time'
-check "explain shows the state of the node" grep -q 'this node: .*configuration accepted' "$WORK/story"
+check "explain shows the state of the node" grep -q 'this node: .*configuration accepted' "$WORK/explained"
 check "explain shows the request that exceeded its time limit" explained late-1 'failed.*time limit'
-check "explain shows the last change of the key's range" grep -q "the key's range: .*assignment" "$WORK/story"
+check "explain shows the last change of the key's range" grep -q "the key's range: .*assignment" "$WORK/explained"
 check "explain reports that no line names an unknown request" [ "$("$BUILD/cedarwinch" explain no-such "$WORK"/node1.log | grep -c 'no line names')" = 1 ]
 "$BUILD/cedarwinch" status "$NET.1:8081" "$NET.2:8081" "$NET.3:8081" >"$WORK/status"
 check "status shows each node" [ "$(grep -c '^n[123]' "$WORK/status")" = 3 ]
--- a/tests/test_intent.c
+++ b/tests/test_intent.c
@@ -12,18 +12,19 @@
 #include "platform_internal.h"
 #include "tenancy/tenant_gate.h"
 
-static const char good[] = "tenant: liffeyspoke\n"
-                           "requests_per_s: 100\n"
-                           "services:\n"
-                           "  - {name: maps, keyed: true, warm_ms: 2000}\n"
-                           "  - {name: hires}\n"
-                           "routes:\n"
-                           "  - {name: maps, host: maps.example, prefix: /docks/, service: maps, repeatable: true,\n"
-                           "     timeout_ms: 1000, aim_ms: 500, regions: [leinster, munster]}\n"
-                           "  - name: hires\n"
-                           "    host: maps.example\n"
-                           "    prefix: /hire/\n"
-                           "    split: [{service: hires, weight: 3}, {service: maps, weight: 1}]\n";
+static const char valid_intent[] =
+    "tenant: liffeyspoke\n"
+    "requests_per_s: 100\n"
+    "services:\n"
+    "  - {name: maps, keyed: true, warm_ms: 2000}\n"
+    "  - {name: hires}\n"
+    "routes:\n"
+    "  - {name: maps, host: maps.example, prefix: /docks/, service: maps, repeatable: true,\n"
+    "     timeout_ms: 1000, aim_ms: 500, regions: [leinster, munster]}\n"
+    "  - name: hires\n"
+    "    host: maps.example\n"
+    "    prefix: /hire/\n"
+    "    split: [{service: hires, weight: 3}, {service: maps, weight: 1}]\n";
 
 static size_t findings_of(const char *text)
 {
@@ -52,7 +53,7 @@
 {
     cw_intent_t intent;
 
-    parse(&intent, good);
+    parse(&intent, valid_intent);
     ck_assert_str_eq(intent.tenant, "liffeyspoke");
     ck_assert_uint_eq(intent.configuration->route_count, 2);
     ck_assert_str_eq(intent.configuration->routes[0].name, "liffeyspoke/maps");
@@ -107,7 +108,7 @@
     cw_plan_t         second;
     cw_plan_t         third;
 
-    ck_assert_int_eq(make(&first, good, NULL, 0), CW_OK);
+    ck_assert_int_eq(make(&first, valid_intent, NULL, 0), CW_OK);
     ck_assert_uint_eq(first.change_count, 5);
     ck_assert_uint_eq(first.configuration->version, 1);
     ck_assert_int_eq(make(&second, other, first.configuration, 10), CW_OK);
@@ -134,11 +135,11 @@
     cw_plan_t later;
     cw_plan_t edited;
 
-    snprintf(changed, sizeof(changed), "%s", good);
+    snprintf(changed, sizeof(changed), "%s", valid_intent);
     *strstr(changed, "1000") = '2';
-    ck_assert_int_eq(make(&plan, good, NULL, 5), CW_OK);
-    ck_assert_int_eq(make(&same, good, NULL, 5), CW_OK);
-    ck_assert_int_eq(make(&later, good, NULL, 6), CW_OK);
+    ck_assert_int_eq(make(&plan, valid_intent, NULL, 5), CW_OK);
+    ck_assert_int_eq(make(&same, valid_intent, NULL, 5), CW_OK);
+    ck_assert_int_eq(make(&later, valid_intent, NULL, 6), CW_OK);
     ck_assert_int_eq(make(&edited, changed, NULL, 5), CW_OK);
     ck_assert_str_eq(plan.id, same.id);
     ck_assert_str_ne(plan.id, later.id);
@@ -155,7 +156,7 @@
     cw_plan_t first;
     cw_plan_t second;
 
-    ck_assert_int_eq(make(&first, good, NULL, 0), CW_OK);
+    ck_assert_int_eq(make(&first, valid_intent, NULL, 0), CW_OK);
     ck_assert_int_eq(make(&second,
                           "tenant: thief\nservices: [{name: s}]\nroutes:\n"
                           "  - {name: r, host: maps.example, prefix: /docks/, service: s}\n",
@@ -208,7 +209,7 @@
     json_t               *value;
     cw_platform_problem_t problem;
 
-    ck_assert_int_eq(make(&plan, good, NULL, 0), CW_OK);
+    ck_assert_int_eq(make(&plan, valid_intent, NULL, 0), CW_OK);
     value = cw_platform_write_configuration(plan.configuration);
     read_back = cw_platform_parse_configuration(value, &problem);
     ck_assert_ptr_nonnull(read_back);
--- a/tests/test_platform_answer_delay.c
+++ b/tests/test_platform_answer_delay.c
@@ -14,7 +14,7 @@
 
     ck_assert_int_eq(cw_platform_answer_delay_timeout(&delay, max), CW_MS(CW_PLATFORM_ANSWER_TIMEOUT_MIN_MS));
     for (answer = 0; answer < 100; answer++) {
-        cw_platform_answer_delay_note(&delay, CW_MS(answer % 2 == 0 ? 4 : -1));
+        cw_platform_answer_delay_record(&delay, CW_MS(answer % 2 == 0 ? 4 : -1));
     }
     ck_assert_int_eq(cw_platform_answer_delay_timeout(&delay, max), CW_MS(CW_PLATFORM_ANSWER_TIMEOUT_MIN_MS));
 }
@@ -26,9 +26,9 @@
 {
     cw_platform_answer_delay_t delay = {0};
 
-    cw_platform_answer_delay_note(&delay, CW_MS(700));
+    cw_platform_answer_delay_record(&delay, CW_MS(700));
     ck_assert_int_ge(cw_platform_answer_delay_timeout(&delay, max), CW_MS(700));
-    cw_platform_answer_delay_note(&delay, CW_MS(700));
+    cw_platform_answer_delay_record(&delay, CW_MS(700));
     ck_assert_int_eq(cw_platform_answer_delay_timeout(&delay, max), max);
 }
 END_TEST
@@ -39,10 +39,10 @@
     int                        answer;
 
     for (answer = 0; answer < 20; answer++) {
-        cw_platform_answer_delay_note(&delay, CW_MS(700));
+        cw_platform_answer_delay_record(&delay, CW_MS(700));
     }
     for (answer = 0; answer < 10; answer++) { /* answers come twice a second */
-        cw_platform_answer_delay_note(&delay, CW_MS(4));
+        cw_platform_answer_delay_record(&delay, CW_MS(4));
     }
     ck_assert_int_eq(cw_platform_answer_delay_timeout(&delay, max), CW_MS(CW_PLATFORM_ANSWER_TIMEOUT_MIN_MS));
 }
--- a/tests/test_platform_configuration.c
+++ b/tests/test_platform_configuration.c
@@ -26,7 +26,7 @@
     return configuration;
 }
 
-static cw_configuration_t *read_good(const char *text)
+static cw_configuration_t *read_valid(const char *text)
 {
     cw_platform_problem_t problem;
     cw_configuration_t   *configuration = parse(text, &problem);
@@ -37,7 +37,7 @@
 
 START_TEST(decodes_all_fields_of_tenants_and_routes)
 {
-    cw_configuration_t *configuration = read_good(
+    cw_configuration_t *configuration = read_valid(
         "{\"version\":7,\"routes\":[" ROUTE_START ",\"route-type\":\"safe\",\"allow-anonymous\":true},"
         "{\"name\":\"u\",\"host\":\"h\",\"path-prefix\":\"/u/\",\"service\":\"s\",\"route-type\":\"upload\","
         "\"allowed-regions\":[\"cuyo\"]}],\"tenants\":["
@@ -194,8 +194,8 @@
 START_TEST(optional_fields_may_be_null)
 {
     cw_configuration_t *configuration =
-        read_good("{\"version\":3,\"routes\":[" ROUTE_START ",\"priority\":null,\"allow-anonymous\":null}],"
-                  "\"tenants\":[" TENANT ",\"rate-per-s\":null}],\"limits\":null}");
+        read_valid("{\"version\":3,\"routes\":[" ROUTE_START ",\"priority\":null,\"allow-anonymous\":null}],"
+                   "\"tenants\":[" TENANT ",\"rate-per-s\":null}],\"limits\":null}");
 
     ck_assert_double_eq(configuration->tenants[0].rate_per_s, 0);
     ck_assert(!configuration->routes[0].allows_anonymous);
@@ -251,7 +251,7 @@
 START_TEST(accepts_the_former_name_of_a_rate)
 {
     cw_configuration_t *configuration =
-        read_good(BODY_START ",\"tenants\":[{\"name\":\"t\",\"tokens\":[],\"requests_per_s\":40,\"concurrent\":3}]}");
+        read_valid(BODY_START ",\"tenants\":[{\"name\":\"t\",\"tokens\":[],\"requests_per_s\":40,\"concurrent\":3}]}");
 
     ck_assert_double_eq(configuration->tenants[0].rate_per_s, 40);
     ck_assert_uint_eq(configuration->tenants[0].concurrent, 3);
