--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Demo: five nodes, nine servers and callers of two kinds, while the leader is killed, a server leaves and the store stops
-# answering. Prints a report of what was done, whether the promises held, and the three measures.
+# answering. Prints a report of these events, whether the promises held, and the three measures.
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
 standard_cluster 5
--- a/scripts/includes.sh
+++ b/scripts/includes.sh
@@ -18,7 +18,7 @@
     [ "$from" != "$to" ] && [ -d "src/$to" ] && echo "$from $to"
 done < <(git ls-files 'src/*.c' 'src/*.h' | xargs grep -HoE '^#include "[^"]+"' | sed -E 's/:#include "([^"]+)"/:\1/') | sort -u >"$graph"
 cut -d' ' -f2 "$graph" | grep -qx router && grep ' router$' "$graph" | grep -v '^cli ' | while read -r line; do fail "includes the router: $line"; done
-tsort "$graph" >/dev/null 2>"$graph.loops" || { fail "circles among subjects:"; cat "$graph.loops" >&2; }
+tsort "$graph" >/dev/null 2>"$graph.loops" || { fail "cycles among the folders of src:"; cat "$graph.loops" >&2; }
 while IFS=: read -r file include; do
     case "$(basename "$file")" in router*.[ch] | main.c) continue ;; esac
     case "$include" in
@@ -27,6 +27,6 @@
     esac
 done < <(git ls-files 'src/router/*.c' 'src/router/*.h' | xargs grep -HoE '^#include ["<][^">]+[">]' | sed -E 's/:#include ["<]([^">]+)[">]/:\1/')
 git ls-files 'src/router/*.h' | xargs grep -HoE '^#include "router/[^"]+"' | sed -E 's,^src/([^:]+):#include "([^"]+)",\1 \2,' |
-    tsort >/dev/null 2>"$graph.loops" || { fail "circles among headers of src/router:"; cat "$graph.loops" >&2; }
+    tsort >/dev/null 2>"$graph.loops" || { fail "cycles among headers of src/router:"; cat "$graph.loops" >&2; }
 rm -f "$graph.loops"
 exit $bad
--- a/sim/lease_faults.c
+++ b/sim/lease_faults.c
@@ -36,7 +36,7 @@
 {
     uint32_t index;
 
-    if (sim_random_bool(world, 0.5)) { /* half of the faults strike a leader, if there is one */
+    if (sim_random_bool(world, 0.5)) { /* half of the faults concern a leader, if there is one */
         for (index = 0; index < CW_SIM_NODES; index++) {
             if (world->nodes[index].up && world->nodes[index].leadership.leading) {
                 return index;
--- a/sim/lease_nodes.c
+++ b/sim/lease_nodes.c
@@ -212,8 +212,8 @@
         for (index = 0; index < node->world->list->count && index < CW_SIM_ADDRESSES - 2; index++) {
             entries[index] = &node->world->list->entries[index];
         }
-        cw_assigner_plan_first(node->assigner, entries, index,
-                               node->world->now); /* four ranges, so that their bounds are bounds of cells */
+        /* At most four servers get a range each, so that the bounds of the ranges are bounds of cells. */
+        cw_assigner_plan_first(node->assigner, entries, index, node->world->now);
         return;
     }
     plan_moves(node);
--- a/sim/lease_servers.c
+++ b/sim/lease_servers.c
@@ -232,8 +232,8 @@
         }
         if (delivery->order.kind == CW_ORDER_RELEASE) {
             snprintf(delivery->handover, sizeof(delivery->handover), "h%llu", (unsigned long long)delivery->order.id);
-            back += CW_MS(
-                sim_random_below(world, WORK_MS)); /* a release is answered when requests on its keys have ended */
+            /* A release is answered when requests on its keys have ended. */
+            back += CW_MS(sim_random_below(world, WORK_MS));
         }
     }
     sim_schedule(world,
--- a/src/base/fatal_signal.c
+++ b/src/base/fatal_signal.c
@@ -311,8 +311,8 @@
     (void)backtrace(&frame, 1); /* loads the unwinder now, so that the handler does not allocate memory */
     action.sa_flags = SA_SIGINFO | (int)SA_RESETHAND;
     if (sigaltstack(&stack, NULL) == 0) {
-        action.sa_flags |=
-            SA_ONSTACK; /* without an alternate stack, every fault but a stack overflow is still reported */
+        /* Without an alternate stack, every fault except a stack overflow is still reported. */
+        action.sa_flags |= SA_ONSTACK;
     }
     sigemptyset(&action.sa_mask);
     for (index = 0; index < sizeof(signals) / sizeof(signals[0]); index++) {
--- a/src/cli/explain.c
+++ b/src/cli/explain.c
@@ -74,14 +74,14 @@
            key <= json_integer_value(json_object_get(line->fields, "last"));
 }
 
-static void print_assignment(const cw_log_lines_t *lines, size_t place)
+static void print_assignment(const cw_log_lines_t *lines, size_t position)
 {
-    const cw_log_line_t *line = &lines->items[place];
+    const cw_log_line_t *line = &lines->items[position];
     const json_t        *key = json_object_get(line->fields, "key");
     const char          *service = json_string_value(json_object_get(line->fields, "service"));
     size_t               index;
 
-    for (index = place; json_is_integer(key) && index > 0; index--) {
+    for (index = position; json_is_integer(key) && index > 0; index--) {
         if (is_assignment_of_key(&lines->items[index - 1], json_integer_value(key), service)) {
             print_line(&lines->items[index - 1], "      the key's range: ");
             return;
@@ -90,15 +90,15 @@
 }
 
 /* Prints the last loss of the server that the line names, in the 30 s before it. */
-static void print_server_loss(const cw_log_lines_t *lines, size_t place)
+static void print_server_loss(const cw_log_lines_t *lines, size_t position)
 {
-    const cw_log_line_t *line = &lines->items[place];
+    const cw_log_line_t *line = &lines->items[position];
     const char          *server = json_string_value(json_object_get(line->fields, "server"));
     size_t               index;
 
     server = server == NULL ? json_string_value(json_object_get(line->fields, "detail")) : server;
-    for (index = place; server != NULL && index > 0 && line->time - lines->items[index - 1].time < server_loss_window_s;
-         index--) {
+    for (index = position;
+         server != NULL && index > 0 && line->time - lines->items[index - 1].time < server_loss_window_s; index--) {
         const cw_log_line_t *other = &lines->items[index - 1];
         const char          *named = json_string_value(json_object_get(other->fields, "server"));
 
@@ -109,28 +109,28 @@
     }
 }
 
-static void print_node_state(const cw_log_lines_t *lines, size_t place)
+static void print_node_state(const cw_log_lines_t *lines, size_t position)
 {
     static const char *const events[STATE_EVENTS] = {"start",      "leader seen", "configuration accepted",
                                                      "store lost", "store back",  "servers changed"};
-    const cw_log_line_t     *line = &lines->items[place];
+    const cw_log_line_t     *line = &lines->items[position];
     size_t                   index;
 
     for (index = 0; index < STATE_EVENTS; index++) {
-        const cw_log_line_t *state = last_of(lines, place, events[index], line->node);
+        const cw_log_line_t *state = last_of(lines, position, events[index], line->node);
 
         if (state != NULL) {
             print_line(state, "      this node: ");
         }
     }
-    print_assignment(lines, place);
-    print_server_loss(lines, place);
+    print_assignment(lines, position);
+    print_server_loss(lines, position);
 }
 
 /* Prints the cause of a line and, for each event that explains it, the last line before it. */
-static void print_cause(const cw_log_lines_t *lines, size_t place)
+static void print_cause(const cw_log_lines_t *lines, size_t position)
 {
-    const cw_log_line_t        *line = &lines->items[place];
+    const cw_log_line_t        *line = &lines->items[position];
     const char                 *words = cw_explain_cause(line);
     const cw_explain_related_t *related = cw_explain_related(line);
     size_t                      event;
@@ -140,7 +140,7 @@
         printf("      cause: %s\n", words);
     }
     for (event = 0; related != NULL && related->events[event] != NULL; event++) {
-        for (index = place; index > 0; index--) {
+        for (index = position; index > 0; index--) {
             if (cw_explain_is_related(line, &lines->items[index - 1], related->events[event])) {
                 print_line(&lines->items[index - 1], "      rests on: ");
                 break;
--- a/src/cli/explain_cause.c
+++ b/src/cli/explain_cause.c
@@ -13,7 +13,7 @@
     const char          *event;
     const char          *reason;     /**< beginning of the line's reason; NULL: any */
     const char          *limit_mode; /**< the line's limit mode; NULL: any */
-    const char          *words;
+    const char          *explanation;
     cw_explain_related_t related;
 } cause_t;
 
@@ -135,7 +135,7 @@
 {
     const cause_t *cause = cause_of(line);
 
-    return cause == NULL ? NULL : cause->words;
+    return cause == NULL ? NULL : cause->explanation;
 }
 
 const cw_explain_related_t *cw_explain_related(const cw_log_line_t *line)
--- a/src/cli/run_report.c
+++ b/src/cli/run_report.c
@@ -112,20 +112,20 @@
     uint32_t key;
 
     for (key = 0; key < KEYS; key++) {
-        size_t place;
+        size_t rank;
 
         if (requests[key] == 0) {
             continue;
         }
-        for (place = service->hot_count; place > 0 && service->hot[place - 1].requests < requests[key]; place--) {
-            if (place < CW_REPORT_HOT_KEYS) {
-                service->hot[place] = service->hot[place - 1];
+        for (rank = service->hot_count; rank > 0 && service->hot[rank - 1].requests < requests[key]; rank--) {
+            if (rank < CW_REPORT_HOT_KEYS) {
+                service->hot[rank] = service->hot[rank - 1];
             }
         }
-        if (place < CW_REPORT_HOT_KEYS) {
-            memset(&service->hot[place], 0, sizeof(service->hot[place]));
-            service->hot[place].key = key;
-            service->hot[place].requests = requests[key];
+        if (rank < CW_REPORT_HOT_KEYS) {
+            memset(&service->hot[rank], 0, sizeof(service->hot[rank]));
+            service->hot[rank].key = key;
+            service->hot[rank].requests = requests[key];
             service->hot_count += service->hot_count < CW_REPORT_HOT_KEYS ? 1 : 0;
         }
     }
@@ -159,7 +159,7 @@
 {
     uint32_t *requests = allocate(KEYS, sizeof(*requests));
     size_t    index;
-    size_t    place;
+    size_t    rank;
 
     for (index = 0; index < lines->count; index++) {
         double key = cw_log_line_number(&lines->items[index], "key");
@@ -170,13 +170,13 @@
     }
     choose_hot_keys(service, requests);
     free(requests);
-    for (place = 0; place < service->hot_count; place++) {
-        service->hot[place].by_second = allocate(report->seconds, sizeof(uint32_t));
+    for (rank = 0; rank < service->hot_count; rank++) {
+        service->hot[rank].by_second = allocate(report->seconds, sizeof(uint32_t));
     }
     for (index = 0; index < lines->count; index++) {
-        for (place = 0; is_keyed_outcome_of(&lines->items[index], service) && place < service->hot_count; place++) {
-            if (cw_log_line_number(&lines->items[index], "key") == service->hot[place].key) {
-                count_hot_key(report, &service->hot[place], &lines->items[index]);
+        for (rank = 0; is_keyed_outcome_of(&lines->items[index], service) && rank < service->hot_count; rank++) {
+            if (cw_log_line_number(&lines->items[index], "key") == service->hot[rank].key) {
+                count_hot_key(report, &service->hot[rank], &lines->items[index]);
             }
         }
     }
@@ -292,11 +292,11 @@
 void cw_run_report_clear(cw_run_report_t *report)
 {
     size_t index;
-    size_t place;
+    size_t rank;
 
     for (index = 0; index < report->service_count; index++) {
-        for (place = 0; place < report->services[index].hot_count; place++) {
-            free(report->services[index].hot[place].by_second);
+        for (rank = 0; rank < report->services[index].hot_count; rank++) {
+            free(report->services[index].hot[rank].by_second);
         }
         free(report->services[index].by_second);
     }
--- a/src/config/router_settings.c
+++ b/src/config/router_settings.c
@@ -26,10 +26,10 @@
     STOP_GRACE_MS = 6000,
     LINK_MBPS = 1000,
     LINK_MBPS_MAX = 1000000,
-    REMOTE_BYTE_COST_MS_PER_MB = 30000, /* sending a body of 60 KB costs 1.8 s, longer than usual objectives: it stays
-                                         * in its region while that has a slot in time. A kilobyte costs 30 ms, about
-                                         * the latency of the way itself: it leaves the region as soon as a queue
-                                         * forms */
+    /* Sending a body of 60 KB costs 1.8 s, longer than usual objectives: the request stays in its region while the
+     * region has a slot in time. A kilobyte costs 30 ms, about the latency of the link itself: such a request leaves
+     * the region as soon as a queue forms. */
+    REMOTE_BYTE_COST_MS_PER_MB = 30000,
     RETRY_WINDOW_MS = 10000,
     RETRY_EXTRA = 20,
     PIPELINE_DEPTH = 16,
--- a/src/config/router_settings.h
+++ b/src/config/router_settings.h
@@ -20,7 +20,7 @@
     uint16_t port; /**< 0: the system chooses one */
 } cw_endpoint_t;
 
-enum { CW_SEEDS_MAX = 16 };
+enum { CW_SEEDS_MAX = 16 /**< greatest number of seeds of a node */ };
 
 /** Settings of a node. Durations are in microseconds here and in milliseconds in the file. */
 typedef struct cw_router_settings {
--- a/standins/link/link_datagrams.c
+++ b/standins/link/link_datagrams.c
@@ -161,7 +161,7 @@
     socket->end = end;
     socket->bound = *bound;
     socket->next = datagrams->sockets;
-    datagrams->sockets = socket; /* never freed: lives as long as the process */
+    datagrams->sockets = socket; /* never freed: used until the process ends */
     uv_udp_init(datagrams->loop, &socket->socket);
     socket->socket.data = socket;
     error = uv_udp_bind(&socket->socket, (const struct sockaddr *)known, 0);
--- a/standins/link/link_datagrams.h
+++ b/standins/link/link_datagrams.h
@@ -9,9 +9,10 @@
 
 #include "link_rules.h"
 
+/** A forwarder of datagrams between nodes. */
 typedef struct link_datagrams link_datagrams_t;
 
-/** Creates a forwarder without nodes. It lives as long as the process. */
+/** Creates a forwarder without nodes. It exists until the process ends. */
 link_datagrams_t *link_datagrams_create(uv_loop_t *loop, link_rules_t *rules);
 /** Binds the address by which others know a node; datagrams received there are sent to the address that the node binds.
  * Returns 0 or an error of libuv. */
--- a/standins/link/link_streams.c
+++ b/standins/link/link_streams.c
@@ -425,7 +425,7 @@
 int link_streams_add(link_streams_t *streams, const link_end_t *from, const link_end_t *to,
                      const struct sockaddr_in *listen, const struct sockaddr_in *target)
 {
-    stream_listener_t *listener = calloc(1, sizeof(*listener)); /* never freed: lives as long as the process */
+    stream_listener_t *listener = calloc(1, sizeof(*listener)); /* never freed: used until the process ends */
     int                error;
 
     if (listener == NULL) {
--- a/standins/link/link_streams.h
+++ b/standins/link/link_streams.h
@@ -9,9 +9,10 @@
 
 #include "link_rules.h"
 
+/** A forwarder of connections, with its listeners and open connections. */
 typedef struct link_streams link_streams_t;
 
-/** Creates a forwarder without listeners. It lives as long as the process. */
+/** Creates a forwarder without listeners. It exists until the process ends. */
 link_streams_t *link_streams_create(uv_loop_t *loop, link_rules_t *rules);
 /** Listens for connections from an end to another one, and forwards them to the target. Returns 0 or an error of libuv.
  */
--- a/standins/store/store.h
+++ b/standins/store/store.h
@@ -23,7 +23,11 @@
 
 #include "net/http_listener.h"
 
-enum { STORE_PAGE_ITEMS = 50, STORE_HISTORY = 500, STORE_ENDPOINTS_MAX = 16 };
+enum {
+    STORE_PAGE_ITEMS = 50,   /**< items of a listing in one answer, by default */
+    STORE_HISTORY = 500,     /**< greatest number of changes in the history */
+    STORE_ENDPOINTS_MAX = 16 /**< ports that the store can listen at */
+};
 
 /** A stored object, in a list sorted by kind and name. */
 typedef struct store_object {
--- a/standins/verdict/limits.c
+++ b/standins/verdict/limits.c
@@ -12,6 +12,7 @@
 #include "incarnations.h"
 #include "nodes.h"
 
+/* The bounds of the rule; limits.h describes them. */
 enum { SLACK = 5 };
 
 static const double   factor = 1.5;
--- a/standins/verdict/rests.c
+++ b/standins/verdict/rests.c
@@ -9,6 +9,7 @@
 
 #include "nodes.h"
 
+/* The bounds of the rule; rests.h describes them. */
 enum { ARRIVALS_MAX = 2 };
 
 static const uint64_t settle_ns = 500000000;
--- a/tests/test_product.c
+++ b/tests/test_product.c
@@ -106,8 +106,8 @@
     pair.read_end = ends[0];
     pair.write_end = ends[1];
     cw_event_log_open(pair.write_end, "n1", level);
-    cw_event_log_flush(CW_SECONDS(1000) +
-                       CW_SECONDS(rand() % 100000) * 2); /* a new second, so the limits of lines restart */
+    /* A new second, so the limits of lines restart. */
+    cw_event_log_flush(CW_SECONDS(1000) + CW_SECONDS(rand() % 100000) * 2);
     return pair;
 }
 
