--- a/src/router/pass_on_queue.h
+++ b/src/router/pass_on_queue.h
@@ -13,8 +13,8 @@
  *
  * No I/O, no clock.
  */
-#ifndef CEDARWINCH_ROUTER_PASS_ON_QUEUE_H
-#define CEDARWINCH_ROUTER_PASS_ON_QUEUE_H
+#ifndef CEDARWINCH_ROUTER_FORWARD_QUEUE_H
+#define CEDARWINCH_ROUTER_FORWARD_QUEUE_H
 
 #include <stdbool.h>
 
