--- a/sim/lease_servers.c
+++ b/sim/lease_servers.c
@@ -232,8 +232,8 @@
         }
         if (delivery->order.kind == CW_ORDER_RELEASE) {
             snprintf(delivery->handover, sizeof(delivery->handover), "h%llu", (unsigned long long)delivery->order.id);
-            back += CW_MS(
-                sim_random_below(world, WORK_MS)); /* a release is answered when requests on its keys have ended */
+            /* A release is answered when requests on its keys have ended. */
+            back += CW_MS(sim_random_below(world, WORK_MS));
         }
     }
     sim_schedule(world,
@@ -269,7 +269,7 @@
 /* ---- requests ---- */
 
 /** A request on its way to a server. */
-typedef struct sim_sending {
+typedef struct sim_request {
     char     id[CW_SERVER_ID_MAX];
     uint32_t cell;
 } sim_request_t;
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -143,7 +143,7 @@
     X(CRASH_SUSPECTS, "cedarwinch_crash_suspects", "gauge", "requests remembered that were under way at crashes")      \
     X(LOSSES_DROPPED, "cedarwinch_losses_dropped_total", "counter",                                                    \
       "losses of servers, or reports of them, beyond what is remembered")                                              \
-    X(PAGES_NOT_FORWARDED, "cedarwinch_pages_not_passed_on_total", "counter",                                          \
+    X(PAGES_NOT_PASSED_ON, "cedarwinch_pages_not_passed_on_total", "counter",                                          \
       "pages of the leader that this relay dropped, since too many updates waited")                                    \
     X(LOG_DROPPED, "cedarwinch_log_lines_dropped", "gauge", "log lines not written")                                   \
     X(SERVERS, "cedarwinch_servers", "gauge", "servers listed")                                                        \
@@ -161,10 +161,12 @@
     X(TURN, "cedarwinch_turn_seconds", "time that answers waited for an earlier one of their connection")
 
 #define CW_METRIC_SYMBOL(symbol, name, type, help) CW_METRIC_##symbol,
+/** Counters and gauges, in the order of the table. */
 typedef enum cw_metric { CW_METRIC_TABLE(CW_METRIC_SYMBOL) CW_METRICS } cw_metric_t;
 #undef CW_METRIC_SYMBOL
 
 #define CW_HISTOGRAM_SYMBOL(symbol, name, help) CW_HISTOGRAM_##symbol,
+/** Histograms, in the order of the table. */
 typedef enum cw_histogram { CW_HISTOGRAM_TABLE(CW_HISTOGRAM_SYMBOL) CW_HISTOGRAMS } cw_histogram_t;
 #undef CW_HISTOGRAM_SYMBOL
 
@@ -177,7 +179,7 @@
 /** Adds one latency of a route to a histogram. The first 31 routes have histograms of their own; all others share one,
  * "other". */
 void cw_histogram_add(cw_histogram_t histogram, const char *route, cw_time_us_t value);
-/** Appends all metrics but those by tenant as Prometheus text. */
+/** Appends all metrics except those by tenant as Prometheus text. */
 void cw_metrics_append(cw_bytes_t *text);
 /** All metrics as Prometheus text; the caller frees it with free(). */
 char *cw_metrics_text(size_t *length);
