--- a/src/balance/cold_rate.c
+++ b/src/balance/cold_rate.c
@@ -12,10 +12,11 @@
 
 enum {
     SEND_WINDOW_MS = 1100, /* one second, plus the differences in network delay to the server */
-    CHANGE_PAUSE_MS =
-        2000, /* all others detect a stopped node within 1.5 seconds (CW_PEER_TIMEOUT_MS, plus a delayed report) */
-    MAX_NODES_EXPIRY_S =
-        60 /* a number of known nodes that has stayed lower for so long is accepted as the number of nodes */
+    /* Time without sends after the set of running nodes has changed: all others detect a stopped node within 1.5
+     * seconds (CW_PEER_TIMEOUT_MS, plus a delayed report). */
+    CHANGE_PAUSE_MS = 2000,
+    /* A number of known nodes that has stayed lower for so long is accepted as the number of nodes. */
+    MAX_NODES_EXPIRY_S = 60
 };
 
 bool cw_cold_sends_allowed(const cw_cold_sends_t *sends, cw_time_us_t now)
--- a/src/balance/cold_rate.h
+++ b/src/balance/cold_rate.h
@@ -44,9 +44,11 @@
 /** The nodes known to run, from which the sharers of each cold server are selected. */
 typedef struct cw_cold_rate cw_cold_rate_t;
 
-/** own_address: a number unique to this node, the same that other nodes pass to cw_cold_rate_set_nodes. */
+/** Creates a selection that knows no other node. own_address: a number unique to this node, the same that other nodes
+ * pass to cw_cold_rate_set_nodes. */
 cw_cold_rate_t *cw_cold_rate_create(uint32_t own_address);
-void            cw_cold_rate_free(cw_cold_rate_t *rate);
+/** Frees the selection. */
+void cw_cold_rate_free(cw_cold_rate_t *rate);
 /** Sets the other nodes known to run, in any order. After a change this node is no sharer for a while. */
 void cw_cold_rate_set_nodes(cw_cold_rate_t *rate, const uint32_t *addresses, size_t count, cw_time_us_t now);
 /** Number of sharers of a cold server that can handle this many requests a second; at least one. */
--- a/src/balance/crossing_cost.h
+++ b/src/balance/crossing_cost.h
@@ -33,6 +33,7 @@
     cw_time_us_t objective_left; /**< time left until its latency objective */
 } cw_crossing_input_t;
 
+/** Value of cw_crossing_input_t.wait: no slot is expected in the region. */
 #define CW_CROSSING_NO_SLOT INT64_MAX
 
 /** True if the request should wait in its region: the wait must not exceed the crossing cost, and the request must
--- a/src/balance/fair_turns.h
+++ b/src/balance/fair_turns.h
@@ -22,9 +22,11 @@
 /** Identifies requests that wait for the same resource: hash of the service, and the priority within it. */
 typedef uint64_t cw_turn_group_t;
 
+/** Creates an empty set of groups. */
 cw_fair_turns_t *cw_fair_turns_create(void);
-void             cw_fair_turns_free(cw_fair_turns_t *turns);
-/** rank: priority of the requests within the service. */
+/** Frees all groups. */
+void cw_fair_turns_free(cw_fair_turns_t *turns);
+/** Group of the requests that wait for a service with this rank, which is their priority within the service. */
 cw_turn_group_t cw_fair_turns_group(uint32_t service, uint32_t rank);
 /** Returns the turn that a request would get now; a lower one is served first. tenant: hash of its name; 0: none. */
 uint64_t cw_fair_turns_next(const cw_fair_turns_t *turns, cw_turn_group_t group, uint32_t tenant);
--- a/src/balance/leaving_servers.h
+++ b/src/balance/leaving_servers.h
@@ -21,8 +21,10 @@
 /** Hashes of leaving servers, each with the time of its announcement. */
 typedef struct cw_leaving_servers cw_leaving_servers_t;
 
+/** Creates an empty set. */
 cw_leaving_servers_t *cw_leaving_servers_create(void);
-void                  cw_leaving_servers_free(cw_leaving_servers_t *set);
+/** Frees the set. */
+void cw_leaving_servers_free(cw_leaving_servers_t *set);
 /** Adds the incarnation with this hash. False: it was in the set already. */
 bool cw_leaving_servers_add(cw_leaving_servers_t *set, uint32_t server, cw_time_us_t now);
 /** True if the set contains the incarnation with this hash. */
--- a/src/balance/limit_bucket.h
+++ b/src/balance/limit_bucket.h
@@ -3,8 +3,8 @@
  * @brief Token bucket of a server's rate limit: each request to the server costs one token.
  *
  * The bucket holds the tokens of a fraction of a second, at least one, and it starts empty. Otherwise each change of
- * the counting node would add a burst of a whole second's tokens. A rate close to zero still yields a token now and
- * then: without an answer no node would learn that the limit has ended.
+ * the broker (slot_broker.h) would add a burst of a whole second's tokens. A rate close to zero still yields a token
+ * now and then: without an answer no node would know that the limit has ended.
  *
  * No I/O, no clock.
  */
--- a/src/balance/queue_lengths.h
+++ b/src/balance/queue_lengths.h
@@ -20,8 +20,8 @@
 #include "base/time.h"
 
 enum {
-    CW_QUEUE_LENGTHS_MAX =
-        256 /**< entries: 32 services (the most in a report) of each of eight senders with queues at the same time */
+    /** Entries: 32 services (the most in a report) of each of eight senders with queues at the same time. */
+    CW_QUEUE_LENGTHS_MAX = 256
 };
 
 /** Sender of a report: a node, identified by its address, or all nodes of another zone, identified by the zone's
--- a/src/balance/server_choice.c
+++ b/src/balance/server_choice.c
@@ -8,13 +8,13 @@
 #include "balance/server_pool_internal.h"
 
 enum {
-    PACE_EXPIRY_S = 6,     /* a latency factor above 1 counts half its excess when not measured for so long */
+    PACE_EXPIRY_S = 6,     /* a pace above 1 counts half its excess when not measured for so long */
     SAMPLE_FRESH_MS = 200, /* validity of a load sample: the requests it counts take about as long */
     SUSPECT_FAULTS = 2     /* in a row; a single fault may be a connection that the server had closed as idle */
 };
 
 static const double busy_weight = 0.45;  /* additional cost factor of a server with all slots in use */
-static const double min_cold_pace = 1.5; /* least latency factor assumed for a cold server */
+static const double min_cold_pace = 1.5; /* least pace assumed for a cold server */
 
 bool cw_server_is_cold(const cw_server_t *server, cw_time_us_t now)
 {
--- a/src/balance/server_holdoff.c
+++ b/src/balance/server_holdoff.c
@@ -30,7 +30,7 @@
     server->limit_part = (cw_limit_bucket_t){0};
 }
 
-void cw_server_note_limit_refused(cw_server_t *server, cw_time_us_t wait, cw_time_us_t now)
+void cw_server_record_limit_refused(cw_server_t *server, cw_time_us_t wait, cw_time_us_t now)
 {
     server->limit_allows_at = now + wait;
 }
--- a/src/balance/server_limit.c
+++ b/src/balance/server_limit.c
@@ -16,8 +16,8 @@
     return limit->per_s > probes_per_s ? limit->per_s : probes_per_s;
 }
 
-cw_limit_change_t cw_server_limit_note_named(cw_server_limit_t *limit, double per_s, cw_time_us_t made_at,
-                                             cw_time_us_t now)
+cw_limit_change_t cw_server_limit_record_named(cw_server_limit_t *limit, double per_s, cw_time_us_t made_at,
+                                               cw_time_us_t now)
 {
     bool bound = cw_server_limit_binds(limit, now);
     bool is_same = limit->per_s == per_s;
@@ -42,7 +42,7 @@
     return CW_LIMIT_ENDED;
 }
 
-cw_limit_change_t cw_server_limit_note_unnamed(cw_server_limit_t *limit, cw_time_us_t now)
+cw_limit_change_t cw_server_limit_record_unnamed(cw_server_limit_t *limit, cw_time_us_t now)
 {
     if (!limit->is_named) {
         return CW_LIMIT_UNCHANGED;
@@ -54,7 +54,7 @@
     return end_limit(limit, now);
 }
 
-cw_limit_change_t cw_server_limit_note_ended(cw_server_limit_t *limit, cw_time_us_t made_at, cw_time_us_t now)
+cw_limit_change_t cw_server_limit_record_ended(cw_server_limit_t *limit, cw_time_us_t made_at, cw_time_us_t now)
 {
     if (!cw_server_limit_binds(limit, now) || made_at <= limit->named_at) {
         return CW_LIMIT_UNCHANGED;
--- a/src/balance/server_limit.h
+++ b/src/balance/server_limit.h
@@ -6,10 +6,10 @@
  *  - Each statement about a limit carries the time at which it was made. A statement older than the known state is
  *    ignored, since answers and notices of other nodes may arrive out of order.
  *  - A limit ends when CW_LIMIT_UNNAMED_ANSWERS answers in a row, to requests that ran, did not name it and no answer
- * has named it for CW_LIMIT_UNNAMED_PERIOD_MS: a server may name its limit in only some of its answers.
+ *    has named it for CW_LIMIT_UNNAMED_PERIOD_MS: a server may name its limit in only some of its answers.
  *  - A limit also ends when it was not named for CW_LIMIT_EXPIRY_MS, since a server that gets no requests has no
  *    answer in which it could omit the limit. For the same reason a server with a limit at or near 0 gets a probe
- *    request every CW_LIMIT_PROBE_MS: without an answer no node would learn that it accepts requests again.
+ *    request every CW_LIMIT_PROBE_MS: without an answer no node would know that it accepts requests again.
  *  - A limit belongs to one incarnation of a server; the next incarnation has none until it names one.
  *
  * No I/O; time is a parameter, microseconds of the node's steady clock.
@@ -51,11 +51,11 @@
 /** Requests a second that the server may get: its limit, at least one in CW_LIMIT_PROBE_MS. */
 double cw_server_limit_rate(const cw_server_limit_t *limit);
 /** The server named a limit at made_at, in an answer to this node or to another one. */
-cw_limit_change_t cw_server_limit_note_named(cw_server_limit_t *limit, double per_s, cw_time_us_t made_at,
-                                             cw_time_us_t now);
+cw_limit_change_t cw_server_limit_record_named(cw_server_limit_t *limit, double per_s, cw_time_us_t made_at,
+                                               cw_time_us_t now);
 /** An answer to a request that ran did not name the limit. */
-cw_limit_change_t cw_server_limit_note_unnamed(cw_server_limit_t *limit, cw_time_us_t now);
+cw_limit_change_t cw_server_limit_record_unnamed(cw_server_limit_t *limit, cw_time_us_t now);
 /** Another node determined at made_at that the limit had ended. */
-cw_limit_change_t cw_server_limit_note_ended(cw_server_limit_t *limit, cw_time_us_t made_at, cw_time_us_t now);
+cw_limit_change_t cw_server_limit_record_ended(cw_server_limit_t *limit, cw_time_us_t made_at, cw_time_us_t now);
 
 #endif
--- a/src/balance/server_load.h
+++ b/src/balance/server_load.h
@@ -12,7 +12,7 @@
     uint32_t running;      /**< requests that are being processed */
     uint32_t waiting;      /**< requests in its own queue */
     uint32_t slots;        /**< requests that it can process at once */
-    uint32_t work_percent; /**< present processing time in percent of the normal one; 0: not stated */
+    uint32_t work_percent; /**< present processing time in percent of the normal one; 0: not reported */
 } cw_server_load_t;
 
 #endif
--- a/src/balance/server_pool.c
+++ b/src/balance/server_pool.c
@@ -318,7 +318,7 @@
     cw_leaving_servers_expire(pool->leaving_servers, now);
 }
 
-bool cw_server_pool_note_leaving(cw_server_pool_t *pool, uint32_t hash, cw_time_us_t owner_grace, cw_time_us_t now)
+bool cw_server_pool_record_leaving(cw_server_pool_t *pool, uint32_t hash, cw_time_us_t owner_grace, cw_time_us_t now)
 {
     cw_server_t *server = cw_server_pool_by_hash(pool, hash);
 
@@ -382,7 +382,7 @@
     cw_server_pool_clear_faults(server);
 }
 
-void cw_server_pool_note_load(cw_server_t *server, const cw_server_load_t *sample, cw_time_us_t now)
+void cw_server_pool_record_load(cw_server_t *server, const cw_server_load_t *sample, cw_time_us_t now)
 {
     uint32_t all = sample->running + sample->waiting;
     uint32_t own = server->own > 0 ? server->own - 1 : 0; /* the answered request is not in the sample */
--- a/src/balance/server_pool.h
+++ b/src/balance/server_pool.h
@@ -2,9 +2,9 @@
  * @file server_pool.h
  * @brief This node's state of each server: its list entry, requests in flight from all nodes, its response speed.
  *
- * Many nodes that learn late of one another's requests would all choose the same servers at the same time. So each node
- * has its own order of preference among otherwise equal servers (affinity): most requests of a server then come from
- * the few nodes that prefer it, and a node knows its own requests exactly.
+ * Many nodes that receive one another's counts of requests late would all choose the same servers at the same time. So
+ * each node has its own order of preference among otherwise equal servers (affinity): most requests of a server then
+ * come from the few nodes that prefer it, and a node knows its own requests exactly.
  *
  * The requests of other nodes are those that they last reported (cw_server_pool_apply_report); cw_server_pool_expire
  * removes the counts of nodes that have stopped reporting. cw_server_pool_choose chooses a server for a request.
@@ -53,12 +53,12 @@
     uint32_t      others;       /**< requests of the other nodes in flight, as reported */
     uint32_t      own_waiting;  /**< requests that wait at this node for keys that the server owns, when last counted */
     uint32_t      others_waiting;        /**< the same at the other nodes, as reported */
-    double        pace;                  /**< latency factor: response time divided by the route's mean; 1: not known */
+    double        pace;                  /**< pace: response time divided by the route's mean; 1: not known */
     cw_time_us_t  pace_at;               /**< time of the last measurement of pace */
     uint32_t      sampled_others;        /**< requests of other nodes by the server's last load sample */
     cw_time_us_t  sampled_at;            /**< when that sample was received; 0: none */
     uint32_t      served;                /**< answers to this node since its start */
-    uint64_t      served_time;           /**< sum of their latency factors, in thousandths */
+    uint64_t      served_time;           /**< sum of their paces, in thousandths */
     uint32_t      served_sent;           /**< value of served in this node's last report to all nodes */
     uint32_t      served_sent_leader;    /**< value of served in its last report to the leader */
     cw_time_us_t  answered_others_at;    /**< it has certainly answered another node since then; 0: not known */
@@ -75,8 +75,8 @@
     cw_time_us_t      leaving_owner_until; /**< until then a leaving server still gets requests for keys that it owns */
     cw_time_us_t      rest_until;          /**< it rejected a request and asked this node to send nothing until then */
     cw_time_us_t      limit_allows_at;     /**< not chosen before then: its rate limit is used up */
-    cw_limit_bucket_t limit_part;  /**< this node's equal part of the limit, used while no counting node replies */
-    bool              zone_is_out; /**< its zone is out of service */
+    cw_limit_bucket_t limit_part;          /**< this node's equal part of the limit, used while no broker replies */
+    bool              zone_is_out;         /**< its zone is out of service */
     cw_time_us_t      zone_out_owner_until; /**< zone out: until then it still gets requests for keys that it owns */
     void             *connections;          /**< owned by the adapter, which frees them when the server is dropped */
     UT_hash_handle    by_id;
@@ -89,7 +89,7 @@
 typedef struct cw_server_pace {
     uint32_t hash;   /**< of the server's id */
     uint32_t served; /**< number of answers */
-    uint64_t time;   /**< sum of the answers' latency factors, in thousandths */
+    uint64_t time;   /**< sum of the answers' paces, in thousandths */
 } cw_server_pace_t;
 
 /** Warm-up of a service's servers after their start, and after their zone is put back into service. */
@@ -112,11 +112,12 @@
 /** Called before a server's object is freed. */
 typedef void (*cw_server_dropped_t)(void *context, cw_server_t *server);
 
-/** zone: this node's. */
+/** Creates a pool without servers. zone: this node's. */
 cw_server_pool_t *cw_server_pool_create(const char *zone, cw_server_dropped_t dropped, void *context);
 /** Sets this node's name, from which its order of preference among servers (affinity) is derived. To be called before
  * the first list. */
 void cw_server_pool_set_node(cw_server_pool_t *pool, const char *node);
+/** Frees the pool and its servers. */
 void cw_server_pool_free(cw_server_pool_t *pool);
 /** Sets the rules for sending to cold servers; borrowed. Until then this node sends nothing to cold servers whose
  * rate is bounded. */
@@ -165,19 +166,19 @@
 /** The incarnation with this hash, listed or not, has announced that it leaves: from now on it counts as draining,
  * whatever its list entry says. owner_grace: time for which it still gets requests for keys that it owns. False: this
  * was known already. */
-bool cw_server_pool_note_leaving(cw_server_pool_t *pool, uint32_t hash, cw_time_us_t owner_grace, cw_time_us_t now);
+bool cw_server_pool_record_leaving(cw_server_pool_t *pool, uint32_t hash, cw_time_us_t owner_grace, cw_time_us_t now);
 /** True if the zone's state and the rules for cold servers allow this node to send a request to the server now.
  * is_owner: as for cw_server_zone_allows. */
 bool cw_server_pool_may_send(const cw_server_pool_t *pool, const cw_server_t *server, bool is_owner, cw_time_us_t now);
 
-/** True if the server names a rate limit, so that a request needs a grant of the counting node. */
+/** True if the server names a rate limit, so that a request needs a grant of the broker (slot_broker.h). */
 bool cw_server_is_limited(const cw_server_t *server, cw_time_us_t now);
 /** Takes a token from this node's equal part of the server's limit. nodes: number of nodes that share the limit; 0: not
  * known. False: there is no token. */
 bool cw_server_take_limit_part(cw_server_t *server, uint32_t nodes, cw_time_us_t now);
 /** The server's rate limit is used up for the time `wait`: the server is not chosen until then. */
-void cw_server_note_limit_refused(cw_server_t *server, cw_time_us_t wait, cw_time_us_t now);
-/** The counting node replies again: resets this node's equal part of the limit, which starts empty when next needed. */
+void cw_server_record_limit_refused(cw_server_t *server, cw_time_us_t wait, cw_time_us_t now);
+/** The broker replies again: resets this node's equal part of the limit, which starts empty when next needed. */
 void cw_server_clear_limit_part(cw_server_t *server);
 /** True during a rest that the server asked for when it rejected a request of this node. */
 bool cw_server_rests(const cw_server_t *server, cw_time_us_t now);
@@ -191,15 +192,15 @@
 cw_time_us_t cw_server_pool_held_off_until(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
                                            cw_time_us_t now);
 
-/** Counts a request of this node as in flight at the server; cw_server_pool_end_request ends this, and may drop the
- * server. */
+/** Counts a request of this node as in flight at the server. */
 void cw_server_pool_begin_request(cw_server_t *server, cw_time_us_t now);
+/** Ends what cw_server_pool_begin_request began; may drop the server. */
 void cw_server_pool_end_request(cw_server_pool_t *pool, cw_server_t *server);
 /** A complete answer was received after the time `took`. mean_time: of such requests. */
 void cw_server_pool_record_served(cw_server_t *server, cw_time_us_t took, cw_time_us_t mean_time, cw_time_us_t now);
 /** The server sent a load sample with an answer. To be called while the answered request still counts as in flight; it
  * is not in the sample. */
-void cw_server_pool_note_load(cw_server_t *server, const cw_server_load_t *sample, cw_time_us_t now);
+void cw_server_pool_record_load(cw_server_t *server, const cw_server_load_t *sample, cw_time_us_t now);
 /** No complete answer was received within `waited`: the request takes at least that long. */
 void cw_server_pool_record_slow(cw_server_t *server, cw_time_us_t waited, cw_time_us_t mean_time, cw_time_us_t now);
 /** The server has answered: resets its count of faults. */
@@ -213,7 +214,7 @@
  * the sums of its nodes. */
 void cw_server_pool_apply_report(cw_server_pool_t *pool, uint64_t node, const cw_server_report_t *reports, size_t count,
                                  cw_time_us_t now);
-/** Updates latency factors by the answers that another node received since its last report. node: its address. */
+/** Updates the paces of servers by the answers that another node received since its last report. node: its address. */
 void cw_server_pool_apply_paces(cw_server_pool_t *pool, uint64_t node, const cw_server_pace_t *paces, size_t count,
                                 cw_time_us_t now);
 /** Selects the nodes whose requests are summed, and the servers. */
@@ -228,8 +229,8 @@
                           cw_time_us_t now, size_t *left_out);
 /** Number of stored paces of servers, of all reporting nodes. */
 size_t cw_server_pool_pace_count(const cw_server_pool_t *pool);
-/** Removes the reports of nodes that have sent none for longer than `life`. */
-void cw_server_pool_expire(cw_server_pool_t *pool, cw_time_us_t life, cw_time_us_t now);
+/** Removes the reports of nodes that have sent none for longer than `lifetime`. */
+void cw_server_pool_expire(cw_server_pool_t *pool, cw_time_us_t lifetime, cw_time_us_t now);
 
 /** Selects the zones whose servers may be chosen. */
 typedef struct cw_zone_filter {
@@ -254,7 +255,7 @@
                                    const cw_server_t *except, cw_time_us_t now, bool *full);
 /** True if fewer requests of all nodes are in flight than the server's capacity plus extra_slots. */
 bool cw_server_has_slot(const cw_server_t *server, double extra_slots, cw_time_us_t now);
-/** Slots of a service's usable servers, each divided by the server's latency factor. */
+/** Slots of a service's usable servers, each divided by the server's pace. */
 double cw_server_pool_speed(cw_server_pool_t *pool, const char *service, cw_time_us_t now);
 /** cw_server_pool_speed of the servers to which a request under this rule may go. */
 double cw_server_pool_speed_under(cw_server_pool_t *pool, const char *service, const cw_region_rule_t *rule,
--- a/src/balance/server_pool_internal.h
+++ b/src/balance/server_pool_internal.h
@@ -11,7 +11,7 @@
 
 enum { CW_AVOID_INITIAL_MS = 300 /**< initial time for which a failed server is avoided */ };
 
-/** Weight of one answer in the moving average of a server's latency factor; docs/MEASUREMENTS.md has the measurements.
+/** Weight of one answer in the moving average of a server's pace; docs/MEASUREMENTS.md has the measurements.
  */
 #define CW_PACE_WEIGHT 0.15
 
@@ -62,7 +62,7 @@
 cw_server_t *cw_server_pool_by_hash(cw_server_pool_t *pool, uint32_t hash);
 /** Hash of a service's name, as in server->service_hash. */
 uint32_t cw_server_pool_service_hash(const char *service);
-/** Moves a server's latency factor towards a measured ratio. */
+/** Moves a server's pace towards a measured ratio. */
 void cw_server_update_pace(cw_server_t *server, double ratio, double weight);
 
 /* ---- server_reports.c ---- */
--- a/src/balance/server_reports.c
+++ b/src/balance/server_reports.c
@@ -8,7 +8,7 @@
 #include "balance/server_pool_internal.h"
 #include "base/memory.h"
 
-enum { ANSWERS_PER_REPORT_MAX = 4 /* most answers of one report that count for the latency factor */ };
+enum { ANSWERS_PER_REPORT_MAX = 4 /* most answers of one report that count for the pace */ };
 
 void cw_server_pool_free_peer(cw_server_pool_t *pool, peer_report_t *peer)
 {
@@ -166,14 +166,14 @@
     }
 }
 
-void cw_server_pool_expire(cw_server_pool_t *pool, cw_time_us_t life, cw_time_us_t now)
+void cw_server_pool_expire(cw_server_pool_t *pool, cw_time_us_t lifetime, cw_time_us_t now)
 {
     peer_report_t *peer;
     peer_report_t *next;
 
     HASH_ITER(hh, pool->peers, peer, next)
     {
-        if (now - peer->at > life) {
+        if (now - peer->at > lifetime) {
             subtract_report(pool, peer);
             cw_server_pool_free_peer(pool, peer);
         }
--- a/src/balance/server_signals.h
+++ b/src/balance/server_signals.h
@@ -1,6 +1,6 @@
 /**
  * @file server_signals.h
- * @brief State that a server reports about itself in the header fields of an answer.
+ * @brief A server's signals: its state as it reports it in the header fields of an answer.
  *
  * Each answer reports the complete state: a signal missing from an answer does not apply at the time of that answer.
  */
--- a/src/balance/slot_broker.c
+++ b/src/balance/slot_broker.c
@@ -204,7 +204,7 @@
 
 static void grant(cw_slot_broker_t *broker, cw_slot_lease_t *lease, cw_slot_server_t *state, cw_time_us_t now)
 {
-    cw_slot_server_note_grant(state, cw_server_pool_find_hash(broker->pool, state->hash), now);
+    cw_slot_server_record_grant(state, cw_server_pool_find_hash(broker->pool, state->hash), now);
     lease->server = state->hash;
     lease->granted_at = now;
     lease->ends_at = now + lease->ask.lease;
@@ -326,10 +326,10 @@
     cw_server_t *server = (cw_server_t *)cw_server_pool_find_hash(broker->pool, lease->server);
 
     if (returned->end == CW_SLOT_ANSWERED) {
-        cw_slot_server_note_held(state, now - lease->granted_at);
+        cw_slot_server_record_held(state, now - lease->granted_at);
     }
     if (returned->signals != NULL && returned->signals->has_load) {
-        cw_slot_server_note_load(state, &returned->signals->load, now);
+        cw_slot_server_record_load(state, &returned->signals->load, now);
     }
     if (server != NULL && returned->end == CW_SLOT_FAILED) {
         cw_server_pool_record_fault(server, now);
--- a/src/balance/slot_broker.h
+++ b/src/balance/slot_broker.h
@@ -2,9 +2,9 @@
  * @file slot_broker.h
  * @brief Grants the slots of one zone's servers to requests of all nodes, with an exact count.
  *
- * With many nodes, each learns of the others' requests so late that all choose the servers that appeared free a moment
- * ago. So one node of a zone, the broker, counts for all nodes (router_slots.c selects it): a node asks it for a slot,
- * sends its request to the granted server, and returns the slot with the server's answer. Rules:
+ * With many nodes, each receives the others' counts of requests so late that all choose the servers that appeared free
+ * a moment ago. So one node of a zone, the broker, counts for all nodes (router_slots.c selects it): a node asks it for
+ * a slot, sends its request to the granted server, and returns the slot with the server's answer. Rules:
  *  - A server gets up to twice as many requests as it can process at once, so that the next request is already there
  *    when a slot becomes free. Requests that did not come through the broker count too, by the server's load samples.
  *  - Asks wait in order of priority, then of their tenants' turns (fair_turns.h), then of their latency objectives. An
@@ -71,10 +71,12 @@
 /** Called for each reply; also from within the broker function that causes it. */
 typedef void (*cw_slot_replied_t)(void *context, const cw_slot_reply_t *reply);
 
-/** The pool is borrowed; faults and answers of servers are recorded in it. */
+/** Creates a broker for the servers of a zone. The pool is borrowed; faults and answers of servers are recorded in it.
+ */
 cw_slot_broker_t *cw_slot_broker_create(cw_server_pool_t *pool, const char *zone, cw_slot_replied_t replied,
                                         void *context);
-void              cw_slot_broker_free(cw_slot_broker_t *broker);
+/** Frees the broker; nothing is sent for its grants and asks. */
+void cw_slot_broker_free(cw_slot_broker_t *broker);
 /** Sets the share of servers' rate limits that this node grants, 0 to 1; initially 1. */
 void cw_slot_broker_set_share(cw_slot_broker_t *broker, double share);
 /** Handles an ask. mean_time: of the service's requests, used for servers whose own mean is not known yet. */
--- a/src/balance/slot_server.c
+++ b/src/balance/slot_server.c
@@ -15,8 +15,8 @@
     WORK_PERCENT_MAX = 1000 /* upper limit of the processing time in a sample; a slower server costs no more */
 };
 
-static const double busy_weight =
-    0.45; /* as in server_choice.c: additional cost factor of a server with all slots in use */
+/* as in server_choice.c: additional cost factor of a server with all slots in use */
+static const double busy_weight = 0.45;
 
 static const double cold_factor = 2; /* a cold server takes about twice as long to answer */
 
@@ -72,7 +72,7 @@
     return cw_limit_bucket_wait(&state->limit_bucket, cw_server_limit_rate(&server->limit) * share, ahead);
 }
 
-void cw_slot_server_note_grant(cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t now)
+void cw_slot_server_record_grant(cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t now)
 {
     state->granted++;
     if (server != NULL && cw_server_is_rate_bounded(server, now)) {
@@ -114,12 +114,12 @@
            (cw_server_is_cold(server, now) ? cold_factor : 1);
 }
 
-void cw_slot_server_note_held(cw_slot_server_t *state, cw_time_us_t held)
+void cw_slot_server_record_held(cw_slot_server_t *state, cw_time_us_t held)
 {
     state->held = state->held == 0 ? held : state->held + (held - state->held) / HELD_WEIGHT_DIVISOR;
 }
 
-void cw_slot_server_note_load(cw_slot_server_t *state, const cw_server_load_t *load, cw_time_us_t now)
+void cw_slot_server_record_load(cw_slot_server_t *state, const cw_server_load_t *load, cw_time_us_t now)
 {
     uint32_t all = load->running + load->waiting;
 
--- a/src/balance/slot_server.h
+++ b/src/balance/slot_server.h
@@ -19,7 +19,7 @@
     uint32_t     granted;      /**< slots granted and not returned */
     uint32_t     outside;      /**< requests not granted by this broker, by the server's last load sample */
     cw_time_us_t outside_at;   /**< when that sample was received; 0: none */
-    uint32_t     work_percent; /**< processing time by that sample, in percent of the normal one; 0: not stated */
+    uint32_t     work_percent; /**< processing time by that sample, in percent of the normal one; 0: not reported */
     cw_time_us_t work_at;      /**< when that sample was received; 0: none */
     cw_time_us_t held;         /**< mean time for which a slot is held; 0: not known */
     cw_time_us_t cold_grants[CW_COLD_GRANTS_MAX]; /**< ring buffer of the times of grants while the server is cold */
@@ -43,10 +43,10 @@
 double cw_slot_server_cost(const cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t mean_time,
                            cw_time_us_t now);
 /** Counts a granted slot. server: NULL if it is no longer listed. */
-void cw_slot_server_note_grant(cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t now);
+void cw_slot_server_record_grant(cw_slot_server_t *state, const cw_server_t *server, cw_time_us_t now);
 /** A request was answered; its slot was held for the time `held`. */
-void cw_slot_server_note_held(cw_slot_server_t *state, cw_time_us_t held);
+void cw_slot_server_record_held(cw_slot_server_t *state, cw_time_us_t held);
 /** Applies a load sample that came with an answer. To be called after the slot of that request was returned. */
-void cw_slot_server_note_load(cw_slot_server_t *state, const cw_server_load_t *load, cw_time_us_t now);
+void cw_slot_server_record_load(cw_slot_server_t *state, const cw_server_load_t *load, cw_time_us_t now);
 
 #endif
--- a/src/proxy/engine.c
+++ b/src/proxy/engine.c
@@ -40,7 +40,7 @@
         return;
     }
     if (request->call != NULL && now >= request->repeat_at) {
-        cw_request_repeat_after_silence(request);
+        cw_request_repeat_after_timeout(request);
         return;
     }
     if (cw_request_waits_for_slot(request) && now >= request->claim.due) {
--- a/src/proxy/engine.h
+++ b/src/proxy/engine.h
@@ -13,7 +13,7 @@
  *  - A request is given up at its time limit at the latest (the limit of the route, or the caller's if that is
  *    shorter), and the answer is sent at once.
  *  - Where callers of tenants authenticate with keys, nothing is sent for a caller whose key is not in force. The key
- *    is not passed on; the server is told the name of the tenant (engine_callers.c).
+ *    is not forwarded; the server receives the name of the tenant instead (engine_callers.c).
  *  - Requests wait in the engine, ordered by rank (request_rank.h) and deadline, and not at servers: a server gets no
  *    more requests than it has slots (and a few more for keys that only this server holds).
  */
@@ -53,10 +53,10 @@
     cw_crossing_settings_t      crossing;       /**< cost of sending a request across a region's border */
     cw_budget_settings_t        budget;         /**< retry budget of each service */
     double       keyed_extra_slots;             /**< requests that an owner of keys may have in addition to its slots */
-    cw_time_us_t leave_grace;       /**< how long a server that announced leaving still gets requests for its keys */
-    cw_time_us_t connect_timeout;   /**< for a new connection to a server */
-    double       silence_factor;    /**< a repeatable request is repeated after a silence of this many mean times */
-    cw_time_us_t margin;            /**< the final answer is sent this long before the caller's own deadline */
+    cw_time_us_t leave_grace;     /**< how long a server that announced leaving still gets requests for its keys */
+    cw_time_us_t connect_timeout; /**< for a new connection to a server */
+    double silence_factor; /**< a repeatable request is repeated if no answer has come within this many mean times */
+    cw_time_us_t margin;   /**< the final answer is sent this long before the caller's own deadline */
     const char  *credential_scheme; /**< scheme of callers' keys in the "Authorization" field; NULL: Bearer */
     size_t       answer_max;        /**< largest answer of a server, in bytes */
     size_t       queue_max;         /**< limit of the requests that wait for one service */
@@ -98,17 +98,17 @@
 typedef struct cw_crash_port {
     void                *context;
     cw_crash_suspects_t *suspects; /**< borrowed; NULL: no detection */
-    /** Called when a connection to this server ended while a request was under way, to find out whether the server has
+    /** Called when a connection to this server ended while a request was in flight, to find out whether the server has
      * ended. */
     void (*lost)(void *context, const cw_server_t *server);
-    /** Called when a server has answered a request that was suspected, to tell the other nodes. */
+    /** Called when a server has answered a request that was suspected, so that the other nodes are notified. */
     void (*cleared)(void *context, uint64_t request);
 } cw_crash_port_t;
 
-/** Callbacks that pass on what servers say about themselves, for the other nodes. All zeros: nothing is passed on. */
+/** Callbacks through which the node forwards servers' signals to the other nodes. All zeros: nothing is forwarded. */
 typedef struct cw_signal_port {
     void *context;
-    /** The server has stated its rate limit to this node, or has stopped stating one. */
+    /** The server has named its rate limit in an answer to this node, or its limit has changed or ended. */
     void (*on_limit_stated)(void *context, const cw_server_t *server, cw_limit_change_t change);
     /** The server has announced to this node that it leaves, and no other node had reported that before. */
     void (*on_leave_stated)(void *context, const cw_server_t *server);
@@ -120,17 +120,18 @@
 /** Creates an engine without a configuration; it refuses all requests until cw_engine_set_configuration. */
 cw_engine_t *cw_engine_create(uv_loop_t *loop, const cw_engine_settings_t *settings, cw_server_pool_t *pool,
                               cw_upstream_t *upstream);
-/** Slots are requested from now on; NULL: the engine chooses servers by what this node knows itself. */
+/** From now on slots are requested through the port; NULL: the engine chooses servers by what this node itself knows.
+ */
 void cw_engine_set_slots(cw_engine_t *engine, const cw_slot_port_t *port);
 /** A broker has replied to a request for a slot. */
 void cw_engine_slot_reply(cw_engine_t *engine, const cw_slot_reply_t *reply);
-/** Sets the callbacks that pass on what servers say about themselves. */
+/** Sets the callbacks that forward servers' signals to the other nodes. */
 void cw_engine_set_signal_port(cw_engine_t *engine, const cw_signal_port_t *port);
-/** A server has said this in an answer, either to this node or to a node that returned the server's slot to this node.
+/** Applies the signals of a server's answer, either to this node or to a node that returned the server's slot here.
  * request: id of the request, for the log; NULL: the request of another node. */
 void cw_engine_note_signals(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
                             const char *request);
-/** Another node reports the rate limit that a server stated at that time; per_s below 0: its limit had ended. */
+/** Another node reports the rate limit that a server named at that time; per_s below 0: its limit had ended. */
 void cw_engine_apply_reported_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at);
 /** Another node reports that the server incarnation with this hash has announced that it leaves. */
 void cw_engine_apply_reported_leave(cw_engine_t *engine, uint32_t server);
@@ -162,7 +163,7 @@
 /** A server has left the pool: closes its connections. */
 void cw_engine_forget_server(cw_engine_t *engine, cw_server_t *server);
 
-/** Tells whether a request with this head is rejected with 401, whatever its body is. */
+/** Returns whether a request with this head is rejected with 401, whatever its body is. */
 bool cw_engine_rejects_head(const cw_engine_t *engine, const cw_http_inbound_t *head);
 /** This node is stopping: all requests, later ones included, are answered by end_by. */
 void cw_engine_stop(cw_engine_t *engine, cw_time_us_t end_by);
@@ -175,7 +176,7 @@
 size_t cw_engine_requests(const cw_engine_t *engine); /**< requests that are not answered yet */
 size_t cw_engine_queued(const cw_engine_t *engine);   /**< requests that wait in the queues of all services */
 
-/** Tells whether any service has sampled keys that were not taken yet. */
+/** Returns whether any service has sampled keys that were not taken yet. */
 bool cw_engine_has_samples(const cw_engine_t *engine);
 /** Calls `take` for each service with keys sampled since the last call, and clears the samples. */
 void cw_engine_take_samples(cw_engine_t *engine,
@@ -199,7 +200,7 @@
 double cw_engine_crossing_share(cw_engine_t *engine, const char *service);
 /** The same as cw_engine_mean_time, by the hash of the service's name. */
 cw_time_us_t cw_engine_mean_time_by_hash(const cw_engine_t *engine, uint32_t service);
-/** Tells whether requests under way have changed since the last call, which is a reason to report soon; clears the
+/** Returns whether requests in flight have changed since the last call, which is a reason to report soon; clears the
  * flag. */
 bool cw_engine_take_changed(cw_engine_t *engine);
 
--- a/src/proxy/engine_admission.c
+++ b/src/proxy/engine_admission.c
@@ -17,9 +17,9 @@
     STATUS_TOO_MANY = 429,
     STATUS_UNAVAILABLE = 503,
     DEADLINE_DEFAULT_S = 30,
-    OWNER_WAIT_DIVISOR =
-        5, /* a request waits this part of its objective for an unknown owner of its key: most moves of a range take
-              less time, and a retry after a refusal can still be answered within the objective */
+    /* A request waits at most a fifth of its objective for an unknown owner of its key: most moves of a range take less
+     * time, and a retry after a refusal can still be answered within the objective. */
+    OWNER_WAIT_DIVISOR = 5,
     MARGIN_DIVISOR = 4
 };
 
--- a/src/proxy/engine_answer.c
+++ b/src/proxy/engine_answer.c
@@ -286,7 +286,7 @@
                                    .body_length = answer->body_length,
                                    .retry_after_s = -1};
 
-    if (!cw_answer_may_pass(request->route->repeatable, answer->status)) {
+    if (!cw_answer_may_be_relayed(request->route->repeatable, answer->status)) {
         cw_request_fail_unknown(request, "the server refused without saying that it did not run");
         return;
     }
--- a/src/proxy/engine_callers.c
+++ b/src/proxy/engine_callers.c
@@ -1,7 +1,7 @@
 /**
  * @file engine_callers.c
  * @brief Checks callers' keys: who is admitted, what a later configuration means for waiting requests, and which
- * header fields of the caller are never passed on to servers.
+ * header fields of the caller are never forwarded to servers.
  *
  * Rules:
  *  - A request is sent to a server only while the caller's key is in the configuration in force. This is checked when
@@ -23,11 +23,13 @@
 
 enum { STATUS_UNAUTHORIZED = 401, STATUS_UNAVAILABLE = 503 };
 
-/* By then the caller has asked another node, or this node has reached the store again: checks of the configuration
- * follow one another within a second (configuration_freshness.h). */
+/* Time to retry while the evidence for keys is stale: within it the caller can send the request to another node, or
+ * this node reaches the store again, since checks of the configuration follow one another within a second
+ * (configuration_freshness.h). */
 static const double stale_keys_retry_after_s = 0.5;
-static const double unread_body_retry_after_s =
-    0.04; /* the caller retries at once on a new connection; this is the shortest time that is told */
+/* Time to retry after a refusal with an unread body: the shortest one that is sent, since the caller can retry at once
+ * on a new connection. */
+static const double unread_body_retry_after_s = 0.04;
 
 void cw_engine_init_callers(cw_engine_t *engine)
 {
--- a/src/proxy/engine_claim.c
+++ b/src/proxy/engine_claim.c
@@ -15,7 +15,8 @@
 
 enum {
     REPLY_TIMEOUT_MS = 20, /* a round trip between zones, and the delay of a busy node */
-    BROKER_PAUSE_MS = 300  /* all nodes notice within a second that a node has stopped (CW_PEER_TIMEOUT_MS) */
+    BROKER_SKIP_MS = 300   /* an unresponsive broker is not asked for this time; all nodes notice within a second that a
+                              node has stopped (CW_PEER_TIMEOUT_MS) */
 };
 
 /* Part of the route's mean time that a request may wait for a slot in this zone before other zones are asked: a server
@@ -24,12 +25,12 @@
 
 /* ---- choice of the broker ---- */
 
-static bool is_silent(const cw_engine_t *engine, uint32_t address, cw_time_us_t now)
+static bool is_unresponsive(const cw_engine_t *engine, uint32_t address, cw_time_us_t now)
 {
     size_t index;
 
-    for (index = 0; index < CW_SILENT_BROKERS; index++) {
-        if (engine->silent_brokers[index].address == address && engine->silent_brokers[index].until > now) {
+    for (index = 0; index < CW_UNRESPONSIVE_BROKERS_MAX; index++) {
+        if (engine->unresponsive_brokers[index].address == address && engine->unresponsive_brokers[index].until > now) {
             return true;
         }
     }
@@ -41,7 +42,7 @@
     cw_engine_t *engine = request->engine;
     uint32_t     address = engine->slots.broker_of(engine->slots.context, zone, request->service->hash);
 
-    return address != 0 && !is_silent(engine, address, now) ? address : 0;
+    return address != 0 && !is_unresponsive(engine, address, now) ? address : 0;
 }
 
 static bool has_zone(const cw_slot_zone_t *zones, size_t count, const char *zone)
@@ -146,7 +147,8 @@
 {
     cw_slot_claim_t *claim = &request->claim;
 
-    while (claim->stage < claim->stage_count && is_silent(request->engine, claim->stages[claim->stage].broker, now)) {
+    while (claim->stage < claim->stage_count &&
+           is_unresponsive(request->engine, claim->stages[claim->stage].broker, now)) {
         claim->stage++;
     }
     if (claim->stage == claim->stage_count) {
@@ -157,7 +159,7 @@
     return true;
 }
 
-/* Tells whether slots of this server, or (NULL) of any server, are requested from brokers. */
+/* Returns whether slots of this server, or (NULL) of any server, are requested from brokers. */
 static bool uses_slots(const cw_request_t *request, const cw_server_t *required, cw_time_us_t now)
 {
     const cw_engine_t *engine = request->engine;
@@ -208,13 +210,13 @@
     cw_request_arm(request);
 }
 
-void cw_claim_mark_broker_silent(cw_request_t *request, cw_time_us_t now)
+void cw_claim_mark_broker_unresponsive(cw_request_t *request, cw_time_us_t now)
 {
     cw_engine_t *engine = request->engine;
 
-    engine->silent_brokers[engine->next_silent] =
-        (cw_silent_broker_t){.address = request->claim.broker, .until = now + CW_MS(BROKER_PAUSE_MS)};
-    engine->next_silent = (engine->next_silent + 1) % CW_SILENT_BROKERS;
+    engine->unresponsive_brokers[engine->next_unresponsive] =
+        (cw_unresponsive_broker_t){.address = request->claim.broker, .until = now + CW_MS(BROKER_SKIP_MS)};
+    engine->next_unresponsive = (engine->next_unresponsive + 1) % CW_UNRESPONSIVE_BROKERS_MAX;
     cw_metric_add(CW_METRIC_SLOT_BROKERS_SILENT, 1);
 }
 
--- a/src/proxy/engine_crashes.c
+++ b/src/proxy/engine_crashes.c
@@ -46,7 +46,7 @@
            cw_crash_suspects_may_repeat(suspects, request_digest(request));
 }
 
-void cw_request_note_server_lost(const cw_request_t *request, const cw_server_t *server, cw_time_us_t now)
+void cw_request_record_server_lost(const cw_request_t *request, const cw_server_t *server, cw_time_us_t now)
 {
     const cw_crash_port_t *port = &request->engine->crashes;
     cw_crash_t             loss;
@@ -56,14 +56,14 @@
     }
     loss = (cw_crash_t){
         .request = request_digest(request), .server = server->hash, .sent_at = request->sent_at, .lost_at = now};
-    if (!cw_crash_suspects_note_loss(port->suspects, &loss)) {
+    if (!cw_crash_suspects_record_loss(port->suspects, &loss)) {
         cw_metric_add(CW_METRIC_LOSSES_DROPPED, 1);
         return;
     }
     port->lost(port->context, server);
 }
 
-void cw_request_note_server_survived(const cw_request_t *request, cw_time_us_t now)
+void cw_request_record_server_survived(const cw_request_t *request, cw_time_us_t now)
 {
     const cw_crash_port_t *port = &request->engine->crashes;
     uint64_t               digest;
--- a/src/proxy/engine_holdoff.c
+++ b/src/proxy/engine_holdoff.c
@@ -1,11 +1,11 @@
 /**
  * @file engine_holdoff.c
  * @brief Requests for servers that this node may not send to now, because the server's rate limit is reached
- * (server_limit.h) or because the server has asked this node for rest after it turned a request away.
+ * (server_limit.h) or because the server has rejected a request of this node and asked it for rest.
  *
- * A request is sent to a server with a rate limit only with a slot from the node that counts for the server (its
- * broker), even where there are few nodes. While the broker does not reply, each node may use an equal part of the
- * limit without asking. A request beyond that part is refused at once with a time to retry, or is sent to another
+ * A request is sent to a server with a rate limit only with a slot from the broker that counts for the server
+ * (slot_broker.h), even where there are few nodes. While the broker does not reply, each node may use an equal part of
+ * the limit without asking. A request beyond that part is refused at once with a time to retry, or is sent to another
  * server if one will do.
  */
 #include "proxy/engine_internal.h"
@@ -23,7 +23,7 @@
     cw_server_t *server = cw_request_choose(request, zones, now, full);
 
     while (server != NULL && !cw_request_may_send_without_slot(request, server, now)) {
-        cw_server_note_limit_refused(server, CW_MS(BROKER_RETRY_MS), now);
+        cw_server_record_limit_refused(server, CW_MS(BROKER_RETRY_MS), now);
         server = cw_request_choose(request, zones, now, full);
     }
     return server;
@@ -37,7 +37,7 @@
     if (*asked || server == NULL || cw_request_may_send_without_slot(request, server, now)) {
         return server;
     }
-    cw_server_note_limit_refused(server, CW_MS(BROKER_RETRY_MS), now);
+    cw_server_record_limit_refused(server, CW_MS(BROKER_RETRY_MS), now);
     return cw_request_choose_without_slot(request, NULL, now, full);
 }
 
--- a/src/proxy/engine_internal.h
+++ b/src/proxy/engine_internal.h
@@ -61,29 +61,29 @@
     uint32_t            server;            /**< hash of the only acceptable server; 0: any server */
     uint32_t            asks;              /**< messages sent for this ticket */
     cw_time_us_t        due;               /**< time by which a reply is expected */
-    cw_time_us_t        free_after;        /**< wait told with the last refusal; 0: none told */
+    cw_time_us_t        free_after;        /**< wait named in the last refusal; 0: none */
     bool                is_declined;       /**< a granted slot of a server at rest was declined */
     bool                is_chosen_locally; /**< brokers do not reply; this node chooses the server */
-    cw_slot_end_t       end;               /**< use of the slot, told when it is returned */
+    cw_slot_end_t       end;               /**< use of the slot, reported when it is returned */
     bool                has_signals;       /**< signals is set */
-    cw_server_signals_t signals;           /**< the server's statements about itself */
+    cw_server_signals_t signals;           /**< signals in the server's answer */
 } cw_slot_claim_t;
 
 /** State of the token that a request needs if its tenant has a rate limit. */
 typedef enum cw_token_state {
     CW_TOKEN_NONE,    /**< no token is needed, or the token was spent when the request ran */
-    CW_TOKEN_AWAITED, /**< the request waits until the node that counts for the tenant grants a token */
+    CW_TOKEN_AWAITED, /**< the request waits until the tenant's counting node grants a token */
     CW_TOKEN_HELD     /**< granted and not spent yet */
 } cw_token_state_t;
 
-/** A broker that did not reply, and the time until which it is not asked. */
-typedef struct cw_silent_broker {
+/** An unresponsive broker, and the time until which it is not asked. */
+typedef struct cw_unresponsive_broker {
     uint32_t     address;
     cw_time_us_t until;
-} cw_silent_broker_t;
+} cw_unresponsive_broker_t;
 
-/** Number of silent brokers remembered; the oldest entry is overwritten. */
-enum { CW_SILENT_BROKERS = 8 };
+/** Number of unresponsive brokers remembered; the oldest entry is overwritten. */
+enum { CW_UNRESPONSIVE_BROKERS_MAX = 8 };
 
 /** State of a service: its queue, its table of key ranges and its statistics. */
 typedef struct cw_service_state {
@@ -129,15 +129,15 @@
     cw_time_us_t            objective_at;     /**< end of the latency objective */
     cw_time_us_t            owner_wait_until; /**< end of its wait for an unknown owner of its key */
     cw_time_us_t            not_before;       /**< end of a pause before the next attempt; 0: no pause */
-    cw_time_us_t            sent_at;          /**< of the call under way */
+    cw_time_us_t            sent_at;          /**< of the call in flight */
     cw_time_us_t            first_sent_at;    /**< of the first attempt; 0: not sent yet */
-    cw_time_us_t            repeat_at;        /**< when to repeat it if the server is silent; CW_NEVER: never */
+    cw_time_us_t            repeat_at;        /**< when to repeat it if no answer has come; CW_NEVER: never */
     uint32_t                attempts;         /**< attempts so far */
     bool                    may_have_run;     /**< a server may have run the request, or may be running it */
     bool                    is_queued;
     bool                    is_ended;
     bool                    is_admitted;        /**< could not be placed at first, and was not refused */
-    cw_server_t            *server;             /**< of the call under way */
+    cw_server_t            *server;             /**< of the call in flight */
     char                    avoided_server[48]; /**< id of the server that failed it last; the next attempt avoids it */
     cw_upstream_call_t     *call;
     cw_slot_claim_t         claim;
@@ -153,41 +153,41 @@
 };
 
 struct cw_engine {
-    uv_loop_t             *loop;
-    cw_engine_settings_t   settings;
-    cw_server_pool_t      *pool;
-    cw_upstream_t         *upstream;
-    cw_configuration_t    *configuration;
-    cw_tenant_gate_t      *gate;
-    cw_fair_turns_t       *turns;
-    cw_quota_share_t      *quota;              /**< NULL: tenants' rates are not enforced */
-    cw_request_t          *awaiting_token;     /**< requests that await a token, in order of arrival */
-    cw_http_fields_t       challenge;          /**< header field of a 401 that names the scheme (RFC 9110, 15.5.2) */
-    cw_time_us_t           keys_trusted_until; /**< callers' keys are accepted until this time; CW_NEVER: always */
-    cw_route_state_t      *routes;
-    cw_service_state_t    *services;
-    cw_time_us_t           tables_confirmed_at; /**< when the tables of key ranges were last confirmed */
-    cw_time_us_t           tables_valid_until;  /**< the tables are not used after this time */
-    uint32_t               nodes;               /**< nodes that share limits */
-    cw_request_t          *open;                /**< requests that are not answered yet, in order of arrival */
-    cw_time_us_t           end_by;         /**< time by which all requests are answered; 0: the node is not stopping */
-    cw_time_us_t           stopping_since; /**< when the stop began */
-    size_t                 requests;       /**< length of the list of open requests */
-    size_t                 queued;         /**< requests in the queues of all services */
-    bool                   changed;        /**< requests under way have changed since the last report */
-    bool                   dispatching;    /**< a queue is being dispatched */
-    uv_timer_t             wake_timer;     /**< runs once in the next turn of the loop after cw_engine_wake */
-    uv_timer_cb            on_wake;        /**< callback of wake_timer */
-    uv_timer_cb            on_due;         /**< callback of the requests' timers */
-    cw_upstream_answered_t on_answer;      /**< callback of calls to servers */
-    cw_crash_port_t        crashes;
-    cw_signal_port_t       signal_port;
-    cw_slot_port_t         slots;
-    bool                   has_slots;   /**< slots are requested from brokers */
-    uint32_t               last_ticket; /**< number of the last request for a slot */
-    cw_request_t          *by_ticket;   /**< hash table of the requests that have claims to slots */
-    cw_silent_broker_t     silent_brokers[CW_SILENT_BROKERS];
-    size_t                 next_silent; /**< entry of silent_brokers that is overwritten next */
+    uv_loop_t               *loop;
+    cw_engine_settings_t     settings;
+    cw_server_pool_t        *pool;
+    cw_upstream_t           *upstream;
+    cw_configuration_t      *configuration;
+    cw_tenant_gate_t        *gate;
+    cw_fair_turns_t         *turns;
+    cw_quota_share_t        *quota;              /**< NULL: tenants' rates are not enforced */
+    cw_request_t            *awaiting_token;     /**< requests that await a token, in order of arrival */
+    cw_http_fields_t         challenge;          /**< header field of a 401 that names the scheme (RFC 9110, 15.5.2) */
+    cw_time_us_t             keys_trusted_until; /**< callers' keys are accepted until this time; CW_NEVER: always */
+    cw_route_state_t        *routes;
+    cw_service_state_t      *services;
+    cw_time_us_t             tables_confirmed_at; /**< when the tables of key ranges were last confirmed */
+    cw_time_us_t             tables_valid_until;  /**< the tables are not used after this time */
+    uint32_t                 nodes;               /**< nodes that share limits */
+    cw_request_t            *open;                /**< requests that are not answered yet, in order of arrival */
+    cw_time_us_t             end_by; /**< time by which all requests are answered; 0: the node is not stopping */
+    cw_time_us_t             stopping_since; /**< when the stop began */
+    size_t                   requests;       /**< length of the list of open requests */
+    size_t                   queued;         /**< requests in the queues of all services */
+    bool                     changed;        /**< requests in flight have changed since the last report */
+    bool                     dispatching;    /**< a queue is being dispatched */
+    uv_timer_t               wake_timer;     /**< runs once in the next turn of the loop after cw_engine_wake */
+    uv_timer_cb              on_wake;        /**< callback of wake_timer */
+    uv_timer_cb              on_due;         /**< callback of the requests' timers */
+    cw_upstream_answered_t   on_answer;      /**< callback of calls to servers */
+    cw_crash_port_t          crashes;
+    cw_signal_port_t         signal_port;
+    cw_slot_port_t           slots;
+    bool                     has_slots;   /**< slots are requested from brokers */
+    uint32_t                 last_ticket; /**< number of the last request for a slot */
+    cw_request_t            *by_ticket;   /**< hash table of the requests that have claims to slots */
+    cw_unresponsive_broker_t unresponsive_brokers[CW_UNRESPONSIVE_BROKERS_MAX];
+    size_t                   next_unresponsive; /**< entry of unresponsive_brokers that is overwritten next */
 };
 
 /* ---- engine_state.c ---- */
@@ -197,7 +197,7 @@
 cw_service_state_t *cw_engine_service(cw_engine_t *engine, const char *name);
 /** Entry for a key in a service's table; NULL: there is none, or the table is too old. */
 const cw_key_route_t *cw_engine_owner(const cw_engine_t *engine, const cw_service_state_t *service, uint32_t key);
-/** Tells whether the request has asked for a slot and has no grant yet. */
+/** Returns whether the request has asked for a slot and has no grant yet. */
 bool cw_request_waits_for_slot(const cw_request_t *request);
 /** Sets the request's timer to the earliest time at which something is due. */
 void cw_request_arm(cw_request_t *request);
@@ -245,9 +245,9 @@
 bool cw_request_recheck_caller(cw_request_t *request);
 /** Checks the callers of all requests that are at no server, after another configuration has come into force. */
 void cw_engine_check_callers(cw_engine_t *engine);
-/** Tells whether the caller has the same standing in the configuration in force; changes nothing. */
+/** Returns whether nothing has changed for the caller in the configuration in force; changes nothing itself. */
 bool cw_request_is_caller_valid(const cw_request_t *request);
-/** Tells whether a header field of the caller is not passed on to servers, because it is meant for this system or set
+/** Returns whether a header field of the caller is not forwarded to servers, because it is meant for this system or set
  * by it. */
 bool cw_request_hides_field(const cw_request_t *request, const char *name);
 
@@ -281,8 +281,8 @@
  * avoid it. */
 cw_time_us_t cw_request_crossing_cost(const cw_request_t *request);
 /** Adds an answer's size to the means of the route and the service. */
-void cw_request_note_answer_bytes(cw_request_t *request, size_t bytes);
-/** Tells whether the request waits for a server of this region although servers elsewhere may be free. */
+void cw_request_record_answer_bytes(cw_request_t *request, size_t bytes);
+/** Returns whether the request waits for a server of this region although servers elsewhere may be free. */
 bool cw_request_stays_in_region(const cw_request_t *request, cw_time_us_t now);
 
 /** Best server for a request without a key, by what this node knows itself; NULL: no server has a free slot. zones:
@@ -297,14 +297,15 @@
 void cw_request_place(cw_request_t *request, cw_time_us_t now);
 
 /* ---- engine_crashes.c ---- */
-/** Tells whether the request is refused because it crashes servers; if so, refused_for is set to the remaining time. */
+/** Returns whether the request is refused because it crashes servers; if so, refused_for is set to the remaining time.
+ */
 bool cw_request_is_crash_suspect(const cw_request_t *request, cw_time_us_t now, cw_time_us_t *refused_for);
-/** Tells whether the request may be repeated after a server was lost while running it. */
+/** Returns whether the request may be repeated after a server was lost while running it. */
 bool cw_request_may_repeat_after_crash(const cw_request_t *request);
-/** The connection to the server ended without a complete answer to the request. */
-void cw_request_note_server_lost(const cw_request_t *request, const cw_server_t *server, cw_time_us_t now);
-/** A server has answered the request, so it does not crash every server. */
-void cw_request_note_server_survived(const cw_request_t *request, cw_time_us_t now);
+/** Records that the connection to the server ended without a complete answer to the request. */
+void cw_request_record_server_lost(const cw_request_t *request, const cw_server_t *server, cw_time_us_t now);
+/** Records that a server has answered the request, so the request does not crash every server. */
+void cw_request_record_server_survived(const cw_request_t *request, cw_time_us_t now);
 
 /* ---- engine_claim.c ---- */
 /** Asks for a slot at the present stage, or at the next one whose broker replies; false: no stage is left. */
@@ -314,8 +315,8 @@
 /** Clears the claim after its broker has refused; nothing is returned. */
 void cw_claim_clear(cw_request_t *request);
 /** Records that the claim's broker has not replied: it is not asked for a while. */
-void cw_claim_mark_broker_silent(cw_request_t *request, cw_time_us_t now);
-/** Tells whether no broker can be asked for slots in the zone now; context: the request. */
+void cw_claim_mark_broker_unresponsive(cw_request_t *request, cw_time_us_t now);
+/** Returns whether no broker can be asked for slots in the zone now; context: the request. */
 bool cw_claim_has_no_broker(void *context, const char *zone);
 /** Asks for a slot of the required server (the owner of the key, or a server with a rate limit), or (NULL) of any
  * server. Returns false if the request is to be placed without a slot. */
@@ -324,7 +325,7 @@
 void cw_request_return_slot(cw_request_t *request);
 
 /* ---- engine_holdoff.c ---- */
-/** Tells whether the request may be sent to this server without a slot. If the server has a rate limit, this takes a
+/** Returns whether the request may be sent to this server without a slot. If the server has a rate limit, this takes a
  * token of this node's own part of the limit. */
 bool cw_request_may_send_without_slot(const cw_request_t *request, cw_server_t *server, cw_time_us_t now);
 /** Like cw_request_choose, but the chosen server may be sent to without a slot. */
@@ -332,13 +333,13 @@
                                             cw_time_us_t now, bool *full);
 /** Like cw_request_choose, but a slot is requested if the chosen server has a rate limit; asked is set then. */
 cw_server_t *cw_request_choose_or_ask(cw_request_t *request, cw_time_us_t now, bool *full, bool *asked);
-/** Tells whether every server that the request may go to has a rate limit or has asked for rest. */
+/** Returns whether every server that the request may go to has a rate limit or has asked for rest. */
 bool cw_request_is_held_off(const cw_request_t *request, cw_time_us_t now);
-/** Tells whether the owner of the request's key has asked this node for rest. */
+/** Returns whether the owner of the request's key has asked this node for rest. */
 bool cw_request_owner_rests(const cw_request_t *request, cw_time_us_t now);
-/** Tells whether all servers that the request may go to have asked this node for rest. */
+/** Returns whether all servers that the request may go to have asked this node for rest. */
 bool cw_request_all_servers_rest(const cw_request_t *request, cw_time_us_t now);
-/** Tells whether the request waits for a slot of an owner that has since asked this node for rest. */
+/** Returns whether the request waits for a slot of an owner that has since asked this node for rest. */
 bool cw_request_waits_for_resting_owner(const cw_request_t *request, cw_time_us_t now);
 /** Time after which the request's server, or one of the servers it may go to, is expected to have room. */
 cw_time_us_t cw_request_holdoff(const cw_request_t *request, cw_time_us_t now);
@@ -350,21 +351,21 @@
 /* ---- engine_attempt.c ---- */
 /** Sends the request to the server and starts the timer for its answer. */
 void cw_request_send(cw_request_t *request, cw_server_t *server);
-/** Abandons the call under way and closes its connection. */
+/** Abandons the call in flight and closes its connection. */
 void cw_request_abandon(cw_request_t *request);
-/** Ends the call under way and returns its slot. */
+/** Ends the call in flight and returns its slot. */
 void cw_request_leave_server(cw_request_t *request);
 
 /* ---- engine_outcome.c ---- */
 /** Called when a call to a server has ended; context: the request. */
 void cw_request_answered(void *context, const cw_upstream_answer_t *answer);
-/** The server has been silent for long: repeats the request elsewhere if the rules and the budget allow it. */
-void cw_request_repeat_after_silence(cw_request_t *request);
+/** The server has not answered until repeat_at: repeats the request elsewhere if the rules and the budget allow it. */
+void cw_request_repeat_after_timeout(cw_request_t *request);
 
 /* ---- engine_signals.c ---- */
-/** Decodes and applies what a server said about itself in its answer. */
-void cw_request_note_signals(cw_request_t *request, cw_server_t *server, const cw_upstream_answer_t *answer,
-                             cw_time_us_t now);
+/** Decodes and applies the signals in a server's answer. */
+void cw_request_apply_signals(cw_request_t *request, cw_server_t *server, const cw_upstream_answer_t *answer,
+                              cw_time_us_t now);
 
 /* ---- engine_answer.c ---- */
 /** Why a request is refused with 503. */
@@ -377,15 +378,15 @@
     CW_REFUSED_KEY_MOVED,    /**< the caller's key now belongs to another tenant */
     CW_REFUSED_CRASHES,      /**< the request crashes the servers that run it */
     CW_REFUSED_SERVER_LIMIT, /**< beyond the rate limit of its server, or of all servers that it may go to */
-    CW_REFUSED_REST /**< its server has asked for rest, or no server that it may go to has room and one of them has
-                       asked for rest */
+    /** Its server has asked for rest, or no server that it may go to has room and one of them has asked for rest. */
+    CW_REFUSED_REST
 } cw_refusal_t;
 /** Ends a request that has not run and never will: 503 with the time to retry. A request that may have run ends with
  * 502 instead. */
 void cw_request_refuse(cw_request_t *request, cw_refusal_t reason);
 /** Ends a request above the limit of its tenant: 429. */
 void cw_request_refuse_limit(cw_request_t *request, cw_time_us_t retry_after);
-/** Ends a request whose caller's key was revoked: 401. The answer does not tell whether the request has run. */
+/** Ends a request whose caller's key was revoked: 401. The answer does not say whether the request has run. */
 void cw_request_refuse_revoked(cw_request_t *request);
 /** Ends a request that may have run: 502. */
 void cw_request_fail_unknown(cw_request_t *request, const char *fault);
--- a/src/proxy/engine_outcome.c
+++ b/src/proxy/engine_outcome.c
@@ -34,7 +34,7 @@
     cw_event_end(&event);
 }
 
-/* Tells whether another attempt could still be answered in time. */
+/* Returns whether another attempt could still be answered in time. */
 static bool has_time(const cw_request_t *request, cw_time_us_t now)
 {
     return request->deadline - now > request->route_state->mean_time / 3;
@@ -81,13 +81,13 @@
     }
 }
 
-void cw_request_repeat_after_silence(cw_request_t *request)
+void cw_request_repeat_after_timeout(cw_request_t *request)
 {
     cw_time_us_t now = cw_engine_now(request->engine);
     cw_server_t *server = request->server;
 
     request->repeat_at = CW_NEVER;
-    if (!cw_request_is_caller_valid(request) || next_step(request, CW_OUTCOME_SILENT, 0, now) != CW_NEXT_REPEAT) {
+    if (!cw_request_is_caller_valid(request) || next_step(request, CW_OUTCOME_TIMEOUT, 0, now) != CW_NEXT_REPEAT) {
         cw_request_arm(request);
         return;
     }
@@ -190,7 +190,7 @@
     cw_request_fail_unknown(request, fault);
 }
 
-/* Tells whether the answer shows that another server incarnation is now at this address. */
+/* Returns whether the answer shows that another server incarnation is now at this address. */
 static bool is_from_other_incarnation(const cw_request_t *request, const cw_server_t *server,
                                       const cw_upstream_answer_t *answer)
 {
@@ -212,7 +212,7 @@
     char id[sizeof(request->avoided_server)];
 
     cw_text_copy(id, sizeof(id), server->id);
-    cw_request_note_signals(request, server, answer, now);
+    cw_request_apply_signals(request, server, answer, now);
     if (is_from_other_incarnation(request, server, answer)) {
         server->ended = true;
     }
@@ -223,9 +223,9 @@
     }
     request->claim.end = CW_SLOT_ANSWERED;
     cw_request_spend_token(request); /* the request has run, whatever the status is */
-    cw_request_note_server_survived(request, now);
+    cw_request_record_server_survived(request, now);
     update_means(request, server, now);
-    cw_request_note_answer_bytes(request, answer->body_length);
+    cw_request_record_answer_bytes(request, answer->body_length);
     cw_histogram_add(CW_HISTOGRAM_SERVER, request->route->name, now - request->sent_at);
     if (next_step(request, CW_OUTCOME_ANSWERED, answer->status, now) == CW_NEXT_REPEAT) {
         cw_request_leave_server(request);
@@ -262,7 +262,7 @@
             request->claim.end = CW_SLOT_FAILED;
         }
         if (answer->result == CW_UPSTREAM_BROKEN) {
-            cw_request_note_server_lost(request, server, now);
+            cw_request_record_server_lost(request, server, now);
         }
         cw_request_leave_server(request);
         (void)record_outcome(request, CW_OUTCOME_BROKEN);
--- a/src/proxy/engine_placement.c
+++ b/src/proxy/engine_placement.c
@@ -12,7 +12,7 @@
     LIMIT_PAUSE_MS = 100 /* a request that may have run tries again after this time */
 };
 
-typedef enum placing {
+typedef enum placement {
     PLACED,
     ASKED,
     OUTSIDE_REGIONS,
@@ -85,7 +85,7 @@
     return PLACED;
 }
 
-/* Tells whether the owner of the request's key has announced that it leaves and its keys have not moved in the time
+/* Returns whether the owner of the request's key has announced that it leaves and its keys have not moved in the time
  * allowed for that: it is not known when there will be another owner. */
 static bool has_no_owner_soon(const cw_request_t *request, cw_time_us_t now)
 {
--- a/src/proxy/engine_quota.c
+++ b/src/proxy/engine_quota.c
@@ -2,7 +2,7 @@
  * @file engine_quota.c
  * @brief The step between admission and the queue: a request of a tenant with a rate limit needs a token first.
  *
- * In most cases a token is available at once. If it has to be requested from the node that counts for the tenant, the
+ * In most cases a token is available at once. If it has to be requested from the tenant's counting node, the
  * request waits in a separate list, with its time limit. It is then in no queue and at no server, so a refusal can
  * truly say that it has not run. A request that ends without having run returns its token.
  */
--- a/src/proxy/engine_regions.c
+++ b/src/proxy/engine_regions.c
@@ -11,7 +11,7 @@
     ANSWER_WEIGHT_DIVISOR = 24 /* weight of an answer in its route's mean is 1/24, as for times */
 };
 
-void cw_request_note_answer_bytes(cw_request_t *request, size_t bytes)
+void cw_request_record_answer_bytes(cw_request_t *request, size_t bytes)
 {
     double both = (double)bytes + (double)request->body_length;
 
--- a/src/proxy/engine_signals.c
+++ b/src/proxy/engine_signals.c
@@ -1,6 +1,6 @@
 /**
  * @file engine_signals.c
- * @brief Records and logs what servers say about themselves in their answers: rate limits, leaving, rest and load.
+ * @brief Records and logs the signals in servers' answers: rate limits, leaving, rest and load.
  */
 #include "base/event_log.h"
 #include "base/metrics.h"
@@ -23,7 +23,7 @@
 /* ---- rate limits ---- */
 
 /* request: id of the request whose answer changed the limit; NULL: another node reported it. */
-static void note_limit_change(cw_server_t *server, cw_limit_change_t change, const char *request)
+static void record_limit_change(cw_server_t *server, cw_limit_change_t change, const char *request)
 {
     static const char *const names[] = {"unchanged", "begun", "changed", "ended"};
     cw_event_t               event;
@@ -43,17 +43,17 @@
     }
 }
 
-static void note_limit(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
-                       const char *request, cw_time_us_t now)
+static void record_limit(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
+                         const char *request, cw_time_us_t now)
 {
     cw_limit_change_t change = CW_LIMIT_UNCHANGED;
 
     if (signals->has_limit) {
-        change = cw_server_limit_note_named(&server->limit, signals->limit_per_s, now, now);
+        change = cw_server_limit_record_named(&server->limit, signals->limit_per_s, now, now);
     } else if (signals->has_run) {
-        change = cw_server_limit_note_unnamed(&server->limit, now);
+        change = cw_server_limit_record_unnamed(&server->limit, now);
     }
-    note_limit_change(server, change, request);
+    record_limit_change(server, change, request);
     if (engine->signal_port.on_limit_stated != NULL && (signals->has_limit || change != CW_LIMIT_UNCHANGED)) {
         engine->signal_port.on_limit_stated(engine->signal_port.context, server, change);
     }
@@ -62,10 +62,10 @@
 void cw_engine_apply_reported_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at)
 {
     cw_time_us_t      now = cw_engine_now(engine);
-    cw_limit_change_t change = per_s < 0 ? cw_server_limit_note_ended(&server->limit, made_at, now)
-                                         : cw_server_limit_note_named(&server->limit, per_s, made_at, now);
+    cw_limit_change_t change = per_s < 0 ? cw_server_limit_record_ended(&server->limit, made_at, now)
+                                         : cw_server_limit_record_named(&server->limit, per_s, made_at, now);
 
-    note_limit_change(server, change, NULL);
+    record_limit_change(server, change, NULL);
     if (change != CW_LIMIT_UNCHANGED) {
         cw_engine_wake(engine);
     }
@@ -75,13 +75,13 @@
 
 /* request: id of the request whose answer announced it; NULL: another node reported it. Returns false if it was known
  * already. */
-static bool note_leaving(cw_engine_t *engine, uint32_t hash, const char *request)
+static bool record_leaving(cw_engine_t *engine, uint32_t hash, const char *request)
 {
     const cw_server_t *server = cw_server_pool_find_hash(engine->pool, hash);
     cw_time_us_t       now = cw_engine_now(engine);
     cw_event_t         event;
 
-    if (!cw_server_pool_note_leaving(engine->pool, hash, engine->settings.leave_grace, now)) {
+    if (!cw_server_pool_record_leaving(engine->pool, hash, engine->settings.leave_grace, now)) {
         return false;
     }
     cw_engine_wake(engine); /* requests may be waiting for this server */
@@ -97,12 +97,12 @@
 
 void cw_engine_apply_reported_leave(cw_engine_t *engine, uint32_t server)
 {
-    (void)note_leaving(engine, server, NULL);
+    (void)record_leaving(engine, server, NULL);
 }
 
 /* Further answers extend the rest: the server counts the time of each answer separately. */
-static void note_rest(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals, const char *request,
-                      cw_time_us_t now)
+static void record_rest(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
+                        const char *request, cw_time_us_t now)
 {
     cw_event_t event;
     bool       is_new = now >= server->rest_until;
@@ -134,15 +134,15 @@
 void cw_engine_note_signals(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
                             const char *request)
 {
-    if (signals->is_leaving && note_leaving(engine, server->hash, request) &&
+    if (signals->is_leaving && record_leaving(engine, server->hash, request) &&
         engine->signal_port.on_leave_stated != NULL) {
         engine->signal_port.on_leave_stated(engine->signal_port.context, server);
     }
-    note_limit(engine, server, signals, request, cw_engine_now(engine));
+    record_limit(engine, server, signals, request, cw_engine_now(engine));
 }
 
-void cw_request_note_signals(cw_request_t *request, cw_server_t *server, const cw_upstream_answer_t *answer,
-                             cw_time_us_t now)
+void cw_request_apply_signals(cw_request_t *request, cw_server_t *server, const cw_upstream_answer_t *answer,
+                              cw_time_us_t now)
 {
     cw_engine_t         *engine = request->engine;
     cw_server_signals_t *signals = &request->claim.signals;
@@ -157,10 +157,10 @@
         signals->malformed_value = NULL; /* its memory ends with the answer */
     }
     if (signals->has_load) {
-        cw_server_pool_note_load(server, &signals->load, now);
+        cw_server_pool_record_load(server, &signals->load, now);
     }
     if (signals->has_rest) {
-        note_rest(engine, server, signals, request->id, now);
+        record_rest(engine, server, signals, request->id, now);
     }
     cw_engine_note_signals(engine, server, signals, request->id);
 }
--- a/src/proxy/engine_slots.c
+++ b/src/proxy/engine_slots.c
@@ -2,8 +2,8 @@
  * @file engine_slots.c
  * @brief Handles the replies of the nodes that count slots (brokers), and their absence.
  *
- * A broker that does not reply is asked once more and then not for a while. In that time the engine chooses servers of
- * its zone by itself, but only where the other zones have no free slot.
+ * A broker that does not reply is asked once more and then skipped for a while; engine_claim.c has the rules for that
+ * time.
  */
 #include <string.h>
 
@@ -11,9 +11,9 @@
 #include "proxy/engine_internal.h"
 
 enum {
-    ASKS_MAX = 2,          /* a datagram may be lost, so the request is sent again */
+    ASKS_MAX = 2,          /* a datagram may be lost, so the request for a slot is sent twice */
     UNKNOWN_WAIT_MS = 300, /* wait after a refusal that names no time, because the broker's list of servers differs */
-    QUEUED_SLACK_MS = 60   /* after the objective; the broker has refused by then */
+    QUEUED_SLACK_MS = 60 /* time after the objective until which a reply is expected: the broker has refused by then */
 };
 
 void cw_engine_set_slots(cw_engine_t *engine, const cw_slot_port_t *port)
@@ -55,7 +55,7 @@
     return true;
 }
 
-/* Tells whether there is no slot because of the rate limit of its server, or of all servers that it may go to. */
+/* Returns whether there is no slot because of the rate limit of its server, or of all servers that it may go to. */
 static bool is_limited(const cw_request_t *request, cw_time_us_t now)
 {
     const cw_server_t *required = required_server(request);
@@ -106,7 +106,7 @@
         cw_claim_ask_again(request, required, now);
         return;
     }
-    cw_claim_mark_broker_silent(request, now);
+    cw_claim_mark_broker_unresponsive(request, now);
     cw_request_return_slot(request);
     if (!request->is_keyed &&
         request->claim.stage > 0) { /* another broker has refused: its servers have no free slot for this request */
@@ -123,7 +123,7 @@
     cw_server_t *server = required_server(request);
 
     if (server != NULL) {
-        cw_server_note_limit_refused(server, free_after > 0 ? free_after : CW_MS(UNKNOWN_WAIT_MS), now);
+        cw_server_record_limit_refused(server, free_after > 0 ? free_after : CW_MS(UNKNOWN_WAIT_MS), now);
     }
     cw_request_place(request, now);
 }
--- a/src/proxy/request_rules.c
+++ b/src/proxy/request_rules.c
@@ -19,7 +19,7 @@
 
 cw_outcome_t cw_outcome_of_abandoned(bool any_byte_sent)
 {
-    return any_byte_sent ? CW_OUTCOME_SILENT : CW_OUTCOME_UNSENT;
+    return any_byte_sent ? CW_OUTCOME_TIMEOUT : CW_OUTCOME_UNSENT;
 }
 
 bool cw_outcome_may_have_run(cw_outcome_t outcome)
@@ -40,7 +40,7 @@
         return facts->has_time ? CW_NEXT_ELSEWHERE : CW_NEXT_END;
     }
     if (facts->outcome == CW_OUTCOME_ANSWERED && facts->status != STATUS_SERVER_ERROR) {
-        return CW_NEXT_PASS_ON;
+        return CW_NEXT_RELAY;
     }
     return is_repeat_allowed(facts) ? CW_NEXT_REPEAT : cw_step_without_budget(facts->outcome);
 }
@@ -49,8 +49,8 @@
 {
     switch (outcome) {
     case CW_OUTCOME_ANSWERED:
-        return CW_NEXT_PASS_ON;
-    case CW_OUTCOME_SILENT:
+        return CW_NEXT_RELAY;
+    case CW_OUTCOME_TIMEOUT:
         return CW_NEXT_WAIT;
     case CW_OUTCOME_UNSENT:
     case CW_OUTCOME_DENIED:
@@ -74,7 +74,7 @@
            status == STATUS_MISDIRECTED;
 }
 
-bool cw_answer_may_pass(bool is_repeatable, int status)
+bool cw_answer_may_be_relayed(bool is_repeatable, int status)
 {
     return is_repeatable || !cw_status_promises_not_run(status);
 }
--- a/src/proxy/request_rules.h
+++ b/src/proxy/request_rules.h
@@ -7,8 +7,8 @@
  *
  *  - Waiting: the request is at no server. It waits for a token, a slot, the owner of its key or the end of a pause.
  *    It becomes "sent" when a server with a slot is found, or it ends.
- *  - Sent: the request is at one server. The outcome of the attempt either passes the answer on (ended), makes the
- *    request wait for another attempt (waiting), or ends it.
+ *  - Sent: the request is at one server. By the outcome of the attempt the answer is relayed (ended), or the request
+ *    waits for another attempt (waiting), or it ends without an answer of the server (ended).
  *  - Ended: the request was answered once, or its caller has disconnected.
  *
  * Outcomes of an attempt, and what they allow:
@@ -17,16 +17,16 @@
  *    using the retry budget, while there is time.
  *  - Denied: the request has not run, because the server says so. It is repeated within the route's attempts, the time
  *    and the budget.
- *  - Silent: the request may have run. It is repeated under the same conditions if the route is repeatable; otherwise
+ *  - Timeout: the request may have run. It is repeated under the same conditions if the route is repeatable; otherwise
  *    the engine keeps waiting for the answer.
  *  - Broken: the request may have run. It is repeated under the same conditions if the route is repeatable; otherwise
  *    it ends.
- *  - Answered: the request may have run. The answer is passed on; a 500 of a repeatable route is repeated under the
+ *  - Answered: the request may have run. The answer is relayed; a 500 of a repeatable route is repeated under the
  *    same conditions.
  *
  * Once an attempt may have run, the request counts as possibly run until it ends: no later outcome changes that. Such
  * a request ends with 502, or with 504 when its time is over, and never with 408, 421, 429 or 503, which promise that
- * it has not run. A request that has certainly not run ends with a refusal that tells when to retry.
+ * it has not run. A request that has certainly not run ends with a refusal that names the time to retry.
  *
  * Pure functions: no I/O, no clock, no state.
  */
@@ -40,7 +40,7 @@
 typedef enum cw_outcome {
     CW_OUTCOME_UNSENT,  /**< no connection was made, or the attempt was abandoned before a byte was sent */
     CW_OUTCOME_DENIED,  /**< the server says that it did not run the request */
-    CW_OUTCOME_SILENT,  /**< no answer for far longer than the mean time, or abandoned after bytes were sent */
+    CW_OUTCOME_TIMEOUT, /**< no answer for far longer than the mean time, or abandoned after bytes were sent */
     CW_OUTCOME_BROKEN,  /**< the connection ended before the answer was complete */
     CW_OUTCOME_ANSWERED /**< a complete answer that does not say that the request was not run */
 } cw_outcome_t;
@@ -57,7 +57,7 @@
 
 /** What the engine does after an attempt. */
 typedef enum cw_next_step {
-    CW_NEXT_PASS_ON,   /**< relay the server's answer to the caller */
+    CW_NEXT_RELAY,     /**< relay the server's answer to the caller */
     CW_NEXT_ELSEWHERE, /**< send to another server without charging the budget: no server has seen the request */
     CW_NEXT_REPEAT,    /**< repeat if the retry budget allows it, otherwise follow cw_step_without_budget */
     CW_NEXT_WAIT,      /**< keep waiting at the present server */
@@ -76,19 +76,19 @@
 cw_outcome_t cw_outcome_of_answer(int status, bool has_denial);
 /** Outcome of an attempt that this node abandons. */
 cw_outcome_t cw_outcome_of_abandoned(bool any_byte_sent);
-/** Tells whether a server may have run the request, given the outcome of an attempt. */
+/** Returns whether a server may have run the request, given the outcome of an attempt. */
 bool cw_outcome_may_have_run(cw_outcome_t outcome);
 /** Next step after an attempt, as far as the rules allow it; a CW_NEXT_REPEAT still needs the retry budget. */
 cw_next_step_t cw_step_after(const cw_outcome_facts_t *facts);
 /** Next step where the retry budget denies a repeat. */
 cw_next_step_t cw_step_without_budget(cw_outcome_t outcome);
-/** Final answer of a request that ends without a server's answer. is_at_server: a call is under way. is_time_over: the
+/** Final answer of a request that ends without a server's answer. is_at_server: a call is in flight. is_time_over: the
  * time limit was reached; otherwise the request is given up earlier. */
 cw_final_t cw_final_of(bool may_have_run, bool is_at_server, bool is_time_over);
-/** Tells whether this status promises that the request has not run. */
+/** Returns whether this status promises that the request has not run. */
 bool cw_status_promises_not_run(int status);
-/** Tells whether a server's answer may be relayed to the caller. For a route that is not repeatable, an answer whose
+/** Returns whether a server's answer may be relayed to the caller. For a route that is not repeatable, an answer whose
  * status promises that the request has not run may not be relayed. */
-bool cw_answer_may_pass(bool is_repeatable, int status);
+bool cw_answer_may_be_relayed(bool is_repeatable, int status);
 
 #endif
--- a/src/proxy/slot_stages.h
+++ b/src/proxy/slot_stages.h
@@ -18,6 +18,7 @@
 #include "base/time.h"
 #include "model/zone_region.h"
 
+/** Most zones that are asked, and most stages made of them: each zone twice at most, and the first one again. */
 enum { CW_SLOT_ZONES_MAX = 10, CW_SLOT_STAGES_MAX = 2 * CW_SLOT_ZONES_MAX + 1 };
 
 /** A zone that has usable servers. */
@@ -29,8 +30,8 @@
 /** One step of asking: a zone, and the longest wait accepted there. */
 typedef struct cw_slot_stage {
     const char *zone;
-    cw_time_us_t
-        wait; /**< the zone refuses if it expects a slot later than this; 0: only a slot that is free now is accepted */
+    /** The zone refuses if it expects a slot later than this; 0: only a slot that is free now is accepted. */
+    cw_time_us_t wait;
 } cw_slot_stage_t;
 
 /** Longest waits from which the stages are made. */
--- a/src/retry/crash_suspects.c
+++ b/src/retry/crash_suspects.c
@@ -12,7 +12,7 @@
 
 enum { CRASHES_KEPT = 8 /* crashes kept for each request: enough for the longest chain that counts */ };
 
-/** A request that was under way on servers that crashed. */
+/** A request that was in flight on servers that crashed. */
 typedef struct suspect {
     uint64_t       request;
     cw_crash_t     crashes[CRASHES_KEPT]; /* ordered by lost_at */
@@ -191,7 +191,7 @@
 
 /* ---- losses and crashes ---- */
 
-bool cw_crash_suspects_note_loss(cw_crash_suspects_t *suspects, const cw_crash_t *loss)
+bool cw_crash_suspects_record_loss(cw_crash_suspects_t *suspects, const cw_crash_t *loss)
 {
     if (suspects->loss_count == CW_LOSSES_MAX) {
         return false;
--- a/src/tenancy/caller_identity.c
+++ b/src/tenancy/caller_identity.c
@@ -159,7 +159,7 @@
 }
 
 /* For a request whose tenant needs no key: true if the credentials may contain another tenant's key, which must not be
- * passed on. */
+ * forwarded. */
 static bool contains_key(const cw_configuration_t *configuration, const cw_http_fields_t *fields, const char *scheme)
 {
     size_t parts = 0;
--- a/src/tenancy/caller_identity.h
+++ b/src/tenancy/caller_identity.h
@@ -9,7 +9,7 @@
  *    credentials and credentials of another scheme are rejected with 401, and the request is sent to no server.
  *  - A route that a tenant owns by its name (model/tenant.h) admits only callers of that tenant. If the callers of that
  *    tenant are not identified by keys, the route admits everybody, and `Authorization` belongs to that tenant: it is
- *    passed on to its servers. Another tenant's key in it, in whatever form, is still not passed on.
+ *    forwarded to its servers. Another tenant's key in it, in whatever form, is still not forwarded.
  *  - Only the digest of a key is kept. Neither the key nor its digest goes into a log line, a metric, an answer or a
  *    datagram of this module.
  *
@@ -36,13 +36,13 @@
     cw_caller_verdict_t verdict;
     const cw_tenant_t  *tenant; /**< owner of the key; NULL if there is none. Lives as long as the configuration. */
     cw_key_digest_t     key;    /**< valid only if tenant is not NULL */
-    bool strips_credentials;    /**< `Authorization` is meant for this system and is not passed on to servers */
+    bool strips_credentials;    /**< `Authorization` is meant for this system and is not forwarded to servers */
 } cw_caller_t;
 
 /** What a later configuration means for a caller that was admitted under an earlier one. */
 typedef enum cw_caller_recheck {
     CW_CALLER_UNCHANGED, /**< nothing has changed for it */
-    CW_CALLER_REVOKED,   /**< its key was removed */
+    CW_CALLER_REVOKED,   /**< its key was revoked: no tenant has it any more */
     CW_CALLER_MOVED /**< its key belongs to another tenant now: the caller must be admitted again as that tenant's */
 } cw_caller_recheck_t;
 
--- a/src/tenancy/credential_evidence.c
+++ b/src/tenancy/credential_evidence.c
@@ -1,6 +1,6 @@
 /**
  * @file credential_evidence.c
- * @brief Age of the evidence that no key has been removed.
+ * @brief Age of the evidence that no key has been revoked.
  */
 #include "tenancy/credential_evidence.h"
 
--- a/src/tenancy/credential_evidence.h
+++ b/src/tenancy/credential_evidence.h
@@ -1,6 +1,6 @@
 /**
  * @file credential_evidence.h
- * @brief How long the known keys of callers may be used without confirmation that none has been removed.
+ * @brief How long the known keys of callers may be used without confirmation that none has been revoked.
  *
  * The evidence is a point in time: every change that the store had acknowledged by then is in force on this node
  * (router/configuration_freshness.h). Evidence is stale once it is older than the bound that the operators configure. A
--- a/src/tenancy/quota.h
+++ b/src/tenancy/quota.h
@@ -34,8 +34,8 @@
 typedef enum cw_quota_mode {
     CW_QUOTA_FREE,    /**< far below the limit: requests are admitted at once and reported to the counting node */
     CW_QUOTA_METERED, /**< near the limit: each request needs a token from the counting node */
-    CW_QUOTA_ALONE /**< the counting node does not reply: requests are admitted from this node's own part of the limit
-                    */
+    /** The counting node does not reply: requests are admitted from this node's own part of the limit. */
+    CW_QUOTA_ALONE
 } cw_quota_mode_t;
 
 /** What a node has admitted for one tenant. The counters only rise and each report carries their present values, so the
--- a/src/tenancy/quota_bucket.c
+++ b/src/tenancy/quota_bucket.c
@@ -14,7 +14,7 @@
     FREE_AFTER_MS = 1000, /* a tenant is free after its level was above free_above for this time, which is longer than a
                              lull in its requests */
     /* Tokens returned later are ignored: twice the time for which nodes keep unused ones (quota_tokens.c) */
-    TOKEN_LIFE_MS = 1000,
+    TOKEN_LIFETIME_MS = 1000,
     MAX_RETRY_AFTER_MS = 5000 /* longest retry time given to a refused request: callers do not wait longer */
 };
 
@@ -120,7 +120,7 @@
 
     HASH_ITER(hh, bucket->records, record, next)
     {
-        if (now - record->heard_at >= window) {
+        if (now - record->last_received_at >= window) {
             HASH_DEL(bucket->records, record); /* NOLINT(clang-analyzer-unix.Malloc) */
             free(record);
         }
@@ -255,7 +255,7 @@
     record->admitted = usage->admitted;
     record->with_tokens = usage->with_tokens;
     record->recent = usage->recent;
-    record->heard_at = now;
+    record->last_received_at = now;
     update_metered(bucket, share, now);
     return true;
 }
@@ -286,7 +286,7 @@
         record->retry_after = schedule_retry(bucket, share, ask->wanted - record->granted + ask->refused, now);
     }
     record->outstanding = (now < record->outstanding_until ? record->outstanding : 0) + record->granted;
-    record->outstanding_until = now + CW_MS(TOKEN_LIFE_MS);
+    record->outstanding_until = now + CW_MS(TOKEN_LIFETIME_MS);
     update_metered(bucket, share, now);
 }
 
--- a/src/tenancy/quota_bucket.h
+++ b/src/tenancy/quota_bucket.h
@@ -19,9 +19,9 @@
     uint64_t admitted;
     uint64_t with_tokens;
     uint32_t recent;
-    cw_time_us_t   heard_at;
-    uint32_t       sequence; /* of its last ask; 0: none */
-    uint32_t       granted;  /* tokens granted for that ask */
+    cw_time_us_t   last_received_at; /* when its last report or ask was received */
+    uint32_t       sequence;         /* of its last ask; 0: none */
+    uint32_t       granted;          /* tokens granted for that ask */
     cw_time_us_t   retry_after;
     uint32_t       outstanding; /* tokens granted lately, which the node may still return */
     cw_time_us_t   outstanding_until;
@@ -45,7 +45,7 @@
     cw_time_us_t above_since; /* since when the level has been at least free_above of the depth; 0: it is below that */
     cw_time_us_t next_retry_at; /* refused requests have been given retry times up to this one */
     bool         is_metered;
-    bool         is_notice_due; /* the tenant has become metered, and the nodes are yet to be told */
+    bool         is_notice_due; /* the tenant has become metered, and the nodes are yet to be notified */
     cw_quota_record_t *records;
     UT_hash_handle     hh;
 } cw_quota_bucket_t;
@@ -67,7 +67,7 @@
 /** Applies the usage that a node reports. False: it is older than what is known of that node. */
 bool cw_quota_bucket_apply_usage(cw_quota_bucket_t *bucket, double share, uint32_t node, uint64_t incarnation,
                                  const cw_quota_usage_t *usage, cw_time_us_t now);
-/** Grants tokens for a new ask and notes the reply in the record. */
+/** Grants tokens for a new ask and stores the reply in the record. */
 void cw_quota_bucket_grant(cw_quota_bucket_t *bucket, double share, cw_quota_record_t *record,
                            const cw_quota_ask_t *ask, cw_time_us_t now);
 /** Takes back unused tokens; ignores a return that is a duplicate, late, or of another record. */
--- a/src/tenancy/quota_counter.h
+++ b/src/tenancy/quota_counter.h
@@ -5,13 +5,13 @@
  *
  * Rules:
  *  - A report lowers the bucket by what it adds to the known usage. The level may fall below zero (debt); then no token
- * is granted until the debt is paid. So all nodes together admit in any window at most the limit and what they can
- * admit within one report interval before the counting node learns of it.
+ *    is granted until the debt is paid. So all nodes together admit in any window at most the limit and what they can
+ *    admit within one report interval, before the counting node receives their reports.
  *  - A tenant whose bucket falls below `meter_below` of its depth is metered. It is free again once the level has been
  *    above `free_above` for FREE_AFTER_MS (quota_bucket.c).
  *  - A node that starts to count (after its start, after the loss of another counting node, or after it was frozen
- * itself) derives the first level of each bucket from what the nodes report of the last window; the bucket is never
- * full at first. It has a debt at first if the tenant was metered, since another node may still be granting tokens.
+ *    itself) derives the first level of each bucket from what the nodes report of the last window; the bucket is never
+ *    full at first. It has a debt at first if the tenant was metered, since another node may still be granting tokens.
  *  - The counting node gives out only the share of the limit that belongs to the nodes it reaches; the others admit
  *    requests from their own parts.
  *  - An ask that arrives twice gets the same tokens, not additional ones.
@@ -34,7 +34,8 @@
 
 /** Creates a counter that has no limits yet and reaches no node but itself. */
 cw_quota_counter_t *cw_quota_counter_create(const cw_quota_settings_t *settings);
-void                cw_quota_counter_free(cw_quota_counter_t *counter);
+/** Frees the counter and its buckets. */
+void cw_quota_counter_free(cw_quota_counter_t *counter);
 /** Sets all limits of the configuration; tenants that are not listed have none. */
 void cw_quota_counter_set_limits(cw_quota_counter_t *counter, const cw_quota_tenant_limit_t *limits, size_t count,
                                  cw_time_us_t now);
@@ -57,12 +58,13 @@
                                 cw_time_us_t now);
 /** True if the tenant has a bucket in use and needs tokens now. */
 bool cw_quota_counter_is_metered(cw_quota_counter_t *counter, uint32_t tenant, cw_time_us_t now);
-/** Called every few milliseconds. Calls metered for each node that must be told that a tenant is metered from now on.
- */
+/** Called every few milliseconds. Calls metered for each node that must be notified that a tenant is metered
+ * from now on. */
 void cw_quota_counter_tick(cw_quota_counter_t *counter, cw_time_us_t                             now,
                            void (*metered)(void *context, uint32_t node, uint32_t tenant), void *context);
-/** Number of tenants with a bucket in use; number of records kept of nodes, over all tenants. */
+/** Number of tenants with a bucket in use. */
 size_t cw_quota_counter_buckets(const cw_quota_counter_t *counter);
+/** Number of records kept of nodes, over all tenants. */
 size_t cw_quota_counter_records(const cw_quota_counter_t *counter);
 
 #endif
--- a/src/tenancy/quota_redirects.c
+++ b/src/tenancy/quota_redirects.c
@@ -30,12 +30,12 @@
     }
 }
 
-/* As if the counting node did not know the tenant: this node admits requests from its own part and reports again after
- * a pause. */
+/* Treats the tenant as one that its counting node does not know: this node admits requests from its own part and
+ * reports again after an interval (UNKNOWN_INTERVAL_MS in quota_reports.c). */
 static void serve_locally(cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now)
 {
     tenant->is_unknown = true;
-    tenant->heard_at = now;
+    tenant->last_received_at = now;
     tenant->is_report_due = false;
     tenant->unconfirmed = 0;
     tenant->ask.sequence = 0;
--- a/src/tenancy/quota_reports.c
+++ b/src/tenancy/quota_reports.c
@@ -19,8 +19,8 @@
     SKIP_AFTER_REPORTS = 40,   /* reports without a reply after which a counting node is skipped. They take 2 s, so that
                                   all nodes lose a node that stopped as a peer before that. If 0.4 of the datagrams are
                                   lost, one in 50 million series of reports gets this far. */
-    SKIP_SILENT_MS = 1000,     /* first time for which a silent node is skipped: by then all nodes have lost a node that
-                                  stopped as a peer (CW_PEER_TIMEOUT_MS) */
+    SKIP_UNRESPONSIVE_MS = 1000, /* first time for which an unresponsive node is skipped: within it all nodes have lost
+                              a node that stopped as a peer (CW_PEER_TIMEOUT_MS) */
     MAX_SKIP_DOUBLINGS = 3,
     SKIP_DECLINED_MS = 300,       /* a node that has just started will count soon */
     MAX_USAGES_PER_DATAGRAM = 48, /* they fill a datagram of about 1,200 bytes */
@@ -51,7 +51,7 @@
     const cw_quota_link_t *link;
 
     HASH_FIND(hh, share->links, &counter, sizeof(counter), link);
-    return link != NULL && now < link->silent_until;
+    return link != NULL && now < link->skipped_until;
 }
 
 bool cw_quota_share_has_declined(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now)
@@ -59,7 +59,7 @@
     const cw_quota_link_t *link;
 
     HASH_FIND(hh, share->links, &counter, sizeof(counter), link);
-    return link != NULL && link->has_declined && now < link->silent_until;
+    return link != NULL && link->has_declined && now < link->skipped_until;
 }
 
 size_t cw_quota_share_declined_count(const cw_quota_share_t *share, cw_time_us_t now)
@@ -68,12 +68,12 @@
     size_t                 count = 0;
 
     for (link = share->links; link != NULL; link = link->hh.next) {
-        count += link->has_declined && now < link->silent_until ? 1 : 0;
+        count += link->has_declined && now < link->skipped_until ? 1 : 0;
     }
     return count;
 }
 
-/* ---- silent counting nodes ---- */
+/* ---- unresponsive counting nodes ---- */
 
 static void enter_alone_mode(cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now)
 {
@@ -102,7 +102,7 @@
 
 static void skip_until(cw_quota_share_t *share, cw_quota_link_t *link, cw_time_us_t until, cw_time_us_t now)
 {
-    link->silent_until = until;
+    link->skipped_until = until;
     link->tries = 0;
     cw_quota_suspect_counter(share, link->address, now);
 }
@@ -112,12 +112,12 @@
  * admits is deducted there as soon as reports arrive. */
 static bool may_be_skipped(const cw_quota_share_t *share, cw_quota_link_t *link, cw_time_us_t now)
 {
-    cw_time_us_t             silent_until = link->silent_until;
+    cw_time_us_t             skipped_until = link->skipped_until;
     const cw_quota_tenant_t *tenant;
     bool                     is_needed = false;
     bool                     has_another = false;
 
-    link->silent_until = now + 1; /* so that the choice leaves it out */
+    link->skipped_until = now + 1; /* so that the choice leaves it out */
     for (tenant = share->tenants; tenant != NULL && !has_another; tenant = tenant->hh.next) {
         if (tenant->counter == link->address) {
             uint32_t other = share->port.counter_of(share->port.context, tenant->hash);
@@ -126,31 +126,31 @@
             has_another = other != 0 && other != share->address;
         }
     }
-    link->silent_until = silent_until;
+    link->skipped_until = skipped_until;
     return !is_needed || has_another;
 }
 
 /* Skips a counting node that has not replied for long: another one is asked for a while. */
-static void skip_silent(cw_quota_share_t *share, cw_quota_link_t *link, cw_time_us_t now)
+static void skip_unresponsive(cw_quota_share_t *share, cw_quota_link_t *link, cw_time_us_t now)
 {
-    cw_time_us_t silence = CW_MS(SKIP_SILENT_MS) << link->silences;
+    cw_time_us_t skip_time = CW_MS(SKIP_UNRESPONSIVE_MS) << link->timeouts_in_a_row;
 
     link->has_declined = false;
-    link->silences += link->silences < MAX_SKIP_DOUBLINGS ? 1 : 0;
-    skip_until(share, link, now + silence, now);
+    link->timeouts_in_a_row += link->timeouts_in_a_row < MAX_SKIP_DOUBLINGS ? 1 : 0;
+    skip_until(share, link, now + skip_time, now);
 }
 
 void cw_quota_share_declined(cw_quota_share_t *share, uint32_t counter, cw_time_us_t now)
 {
     cw_quota_link_t *link = cw_quota_link_to(share, counter);
 
-    if (now >= link->silent_until) {
+    if (now >= link->skipped_until) {
         link->has_declined = true;
         skip_until(share, link, now + CW_MS(SKIP_DECLINED_MS), now);
     }
 }
 
-static void note_reply(const cw_quota_share_t *share, uint32_t counter)
+static void record_reply(const cw_quota_share_t *share, uint32_t counter)
 {
     cw_quota_link_t *link;
 
@@ -159,9 +159,9 @@
         return;
     }
     link->tries = 0;
-    link->silences = 0;
+    link->timeouts_in_a_row = 0;
     link->has_declined = false;
-    link->silent_until = 0;
+    link->skipped_until = 0;
 }
 
 /* ---- replies ---- */
@@ -196,7 +196,7 @@
 
     if (is_reply) {
         cw_quota_confirm_redirect(tenant, now);
-        tenant->heard_at = now;
+        tenant->last_received_at = now;
         tenant->counter_has_replied = true;
         tenant->unconfirmed = 0;
         tenant->is_report_due = false;
@@ -212,7 +212,7 @@
     cw_quota_tenant_t *tenant;
     cw_quota_tenant_t *next;
 
-    note_reply(share, counter);
+    record_reply(share, counter);
     HASH_ITER(hh, share->tenants, tenant, next)
     {
         size_t index = redirect_index(status, tenant->hash);
@@ -235,7 +235,8 @@
     if (tenant->is_report_due) { /* repeated until a reply arrives */
         return now - tenant->reported_at >= CW_MS(IMMEDIATE_INTERVAL_MS);
     }
-    return tenant->unreported > 0 || (tenant->is_unknown && now - tenant->heard_at >= CW_MS(UNKNOWN_INTERVAL_MS));
+    return tenant->unreported > 0 ||
+           (tenant->is_unknown && now - tenant->last_received_at >= CW_MS(UNKNOWN_INTERVAL_MS));
 }
 
 static cw_time_us_t report_interval(const cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now)
@@ -321,7 +322,7 @@
 static bool is_unused(const cw_quota_link_t *link, cw_time_us_t now)
 {
     return link->tries == 0 && now - link->sent_at >= CW_SECONDS(FORGET_LINK_S) &&
-           now - link->silent_until >= CW_SECONDS(FORGET_LINK_S);
+           now - link->skipped_until >= CW_SECONDS(FORGET_LINK_S);
 }
 
 void cw_quota_reports_tick(cw_quota_share_t *share, cw_time_us_t now)
@@ -339,7 +340,7 @@
             cw_quota_suspect_counter(share, link->address, now);
         }
         if (is_overdue && link->tries >= SKIP_AFTER_REPORTS && may_be_skipped(share, link, now)) {
-            skip_silent(share, link, now);
+            skip_unresponsive(share, link, now);
         } else if ((has_reply && link->is_due) || is_overdue) {
             report(share, link, now);
         }
--- a/src/tenancy/quota_share.c
+++ b/src/tenancy/quota_share.c
@@ -85,7 +85,7 @@
         tenant = cw_memory_zeroed(sizeof(*tenant));
         tenant->hash = hash;
         tenant->mode = CW_QUOTA_FREE;
-        tenant->heard_at = now;
+        tenant->last_received_at = now;
         tenant->last_request_at = now;
         HASH_ADD(hh, share->tenants, hash, sizeof(tenant->hash), tenant);
     }
@@ -102,7 +102,7 @@
     if (mode == CW_QUOTA_ALONE) {
         cw_quota_local_begin(share, tenant, now);
     }
-    share->port.mode_changed(share->port.context, tenant->hash, mode, tenant->counter, now - tenant->heard_at);
+    share->port.mode_changed(share->port.context, tenant->hash, mode, tenant->counter, now - tenant->last_received_at);
 }
 
 cw_quota_usage_t cw_quota_usage_of(const cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now)
@@ -168,7 +168,7 @@
 {
     double most = cw_quota_depth(&tenant->limit) * unconfirmed_part;
     double equal_part = most / share->nodes;
-    bool   is_fresh = tenant->counter_has_replied && now - tenant->heard_at < CW_MS(STATUS_FRESH_MS);
+    bool   is_fresh = tenant->counter_has_replied && now - tenant->last_received_at < CW_MS(STATUS_FRESH_MS);
 
     return is_fresh
                ? fmax(1, fmin(most, equal_part + expected_factor * cw_quota_expected_per_report(share, tenant, now)))
@@ -319,7 +319,7 @@
 {
     const cw_quota_tenant_t *tenant = cw_quota_find_tenant(share, hash);
 
-    return tenant == NULL ? 0 : now - tenant->heard_at;
+    return tenant == NULL ? 0 : now - tenant->last_received_at;
 }
 
 size_t cw_quota_share_tenants(const cw_quota_share_t *share)
--- a/src/tenancy/quota_share_internal.h
+++ b/src/tenancy/quota_share_internal.h
@@ -39,7 +39,7 @@
 typedef struct cw_quota_redirect {
     uint32_t     counter; /**< 0: none */
     cw_time_us_t until;
-    cw_time_us_t taken_at; /**< 0: never */
+    cw_time_us_t taken_at; /**< when this node followed the redirect; 0: never */
 } cw_quota_redirect_t;
 
 /** An ask that has no reply yet. */
@@ -71,10 +71,10 @@
     uint32_t          reported_in; /**< sequence of the last report that contains the tenant */
     uint32_t          tokens;      /**< unused tokens */
     cw_time_us_t      reported_at;
-    cw_time_us_t      heard_at;     /**< time of the counting node's last message about this tenant */
-    cw_time_us_t      tokens_until; /**< expiry of the unused tokens */
-    uint32_t          record;       /**< record number of the grant that they came with */
-    uint32_t          refunds;      /**< tokens of admitted requests that did not run */
+    cw_time_us_t      last_received_at; /**< time of the counting node's last message about this tenant */
+    cw_time_us_t      tokens_until;     /**< expiry of the unused tokens */
+    uint32_t          record;           /**< record number of the grant that they came with */
+    uint32_t          refunds;          /**< tokens of admitted requests that did not run */
     cw_time_us_t      refunds_until;
     uint32_t          waiting; /**< number of waiting requests */
     uint32_t          refused; /**< requests refused since the last ask */
@@ -92,14 +92,14 @@
 /** State that this node keeps about a counting node. */
 typedef struct cw_quota_link {
     uint32_t       address;
-    uint32_t       sequence; /**< of the last report to it */
-    uint32_t       tries;    /**< consecutive reports without a reply */
-    cw_time_us_t   sent_at;  /**< of the last report */
-    cw_time_us_t   silent_until;
-    bool           has_declined; /* it is skipped until silent_until because it refused to count */
-    uint32_t       silences;     /**< number of consecutive times that it was skipped for its silence */
-    bool           is_due;       /**< a tenant's usage is to be reported to it */
-    bool           has_more;     /**< more tenants were due than the last round of reports could hold */
+    uint32_t       sequence;          /**< of the last report to it */
+    uint32_t       tries;             /**< consecutive reports without a reply */
+    cw_time_us_t   sent_at;           /**< of the last report */
+    cw_time_us_t   skipped_until;     /**< it is not asked before this time */
+    bool           has_declined;      /**< it is skipped because it refused to count */
+    uint32_t       timeouts_in_a_row; /**< consecutive times that it was skipped as unresponsive */
+    bool           is_due;            /**< a tenant's usage is to be reported to it */
+    bool           has_more;          /**< more tenants were due than the last round of reports could hold */
     UT_hash_handle hh;
 } cw_quota_link_t;
 
@@ -116,7 +116,7 @@
 };
 
 /* ---- quota_share.c ---- */
-/** NULL: there is no state for the tenant. */
+/** State of the tenant with this hash; NULL: there is none. */
 cw_quota_tenant_t *cw_quota_find_tenant(const cw_quota_share_t *share, uint32_t hash);
 /** Changes the mode of a tenant and reports the change to the port. */
 void cw_quota_set_mode(cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_quota_mode_t mode, cw_time_us_t now);
@@ -137,13 +137,13 @@
 void cw_quota_follow_redirect(cw_quota_share_t *share, cw_quota_tenant_t *tenant, uint32_t counter, cw_time_us_t now);
 
 /* ---- quota_tokens.c ---- */
-/** Sends an ask for the waiting requests if there is none under way and tokens may be available. */
+/** Sends an ask for the waiting requests if none is in flight and tokens may be available. */
 void cw_quota_ask_if_due(cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now);
 /** Repeats an ask that has no reply, or marks the counting node as suspect. */
 void cw_quota_retry_ask(cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now);
 /** Counts an admitted request. */
 void cw_quota_count_admitted(const cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now);
-/** False: there is no token now. */
+/** Uses a token for a request. False: there is none now. */
 bool cw_quota_use_token(const cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now);
 /** Returns all tokens to the counting node. */
 void cw_quota_return_tokens(cw_quota_share_t *share, cw_quota_tenant_t *tenant);
--- a/src/tenancy/quota_tokens.c
+++ b/src/tenancy/quota_tokens.c
@@ -9,10 +9,10 @@
                               the ask is repeated */
     MAX_ASKS = 3, /* asks without a reply after which the counting node is suspect; more than one, since a datagram may
                      be lost */
-    SHORTAGE_MS = 100,    /* after a grant of too few tokens, requests are refused without an ask for this time */
-    TOKEN_LIFE_MS = 500,  /* tokens that were requested ahead and not used are returned after this time */
-    REFUND_LIFE_MS = 300, /* life of the tokens of requests that did not run: a request may run this much later than its
-                             token was counted */
+    SHORTAGE_MS = 100,        /* after a grant of too few tokens, requests are refused without an ask for this time */
+    TOKEN_LIFETIME_MS = 500,  /* tokens that were requested ahead and not used are returned after this time */
+    REFUND_LIFETIME_MS = 300, /* lifetime of the tokens of requests that did not run: a request may run this much later
+                             than its token was counted */
 };
 
 static const double prefetch_s = 0.1; /* seconds of the recent load for which tokens are requested ahead */
@@ -49,9 +49,9 @@
     if (tenant == NULL) {
         return;
     }
-    if (now >= tenant->refunds_until) { /* tokens added later do not prolong the life of those added before */
+    if (now >= tenant->refunds_until) { /* tokens added later do not prolong the lifetime of earlier ones */
         tenant->refunds = 0;
-        tenant->refunds_until = now + CW_MS(REFUND_LIFE_MS);
+        tenant->refunds_until = now + CW_MS(REFUND_LIFETIME_MS);
     }
     tenant->refunds++;
 }
@@ -130,7 +130,7 @@
 static void store_tokens(cw_quota_tenant_t *tenant, const cw_quota_grant_t *grant, cw_time_us_t now)
 {
     tenant->tokens = (now < tenant->tokens_until ? tenant->tokens : 0) + grant->tokens;
-    tenant->tokens_until = now + CW_MS(TOKEN_LIFE_MS);
+    tenant->tokens_until = now + CW_MS(TOKEN_LIFETIME_MS);
     tenant->record = grant->record;
     if (grant->tokens < tenant->ask.wanted && tenant->tokens < tenant->waiting) {
         tenant->refuse_until =
@@ -164,7 +164,7 @@
     }
     tenant->settled_sequence = grant->sequence;
     cw_quota_confirm_redirect(tenant, now);
-    tenant->heard_at = now;
+    tenant->last_received_at = now;
     tenant->counter_has_replied = true;
     tenant->unconfirmed = 0;
     tenant->is_report_due = false;
--- a/src/tenancy/request_rank.h
+++ b/src/tenancy/request_rank.h
@@ -11,7 +11,7 @@
 
 #include "model/configuration.h"
 
-/** 0 is the most urgent. tenant: the tenant whose limits apply to the request; NULL: none. */
+/** Rank of a request: 0 is the most urgent. tenant: the tenant whose limits apply to the request; NULL: none. */
 uint32_t cw_request_rank(const cw_tenant_t *tenant, const cw_route_t *route);
 
 #endif
--- a/src/tenancy/tenant_gate.h
+++ b/src/tenancy/tenant_gate.h
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "model/configuration.h"
 
-/** Decision on a request: admitted, or refused since the tenant has too many requests under way. */
+/** Decision on a request: admitted, or refused since the tenant has too many requests in flight. */
 typedef enum cw_gate_answer { CW_GATE_OPEN, CW_GATE_CONCURRENCY } cw_gate_answer_t;
 
 /** Counts of concurrent requests, by tenant. */
@@ -20,15 +20,17 @@
 /** Number of concurrent requests of one tenant on this node. */
 typedef struct cw_tenant_count cw_tenant_count_t;
 
+/** Creates a gate at which no tenant has requests. */
 cw_tenant_gate_t *cw_tenant_gate_create(void);
-void              cw_tenant_gate_free(cw_tenant_gate_t *gate);
+/** Frees the gate. */
+void cw_tenant_gate_free(cw_tenant_gate_t *gate);
 /** Admits a request. tenant NULL: no limit applies. On CW_GATE_OPEN the caller passes *count (NULL: no tenant) to
  * cw_tenant_gate_leave when the request has ended. wait: time after which a refused request should be sent again. */
 cw_gate_answer_t cw_tenant_gate_enter(cw_tenant_gate_t *gate, const cw_tenant_t *tenant, uint32_t nodes,
                                       cw_tenant_count_t **count, cw_time_us_t *wait);
 /** Called once for each admitted request; frees the count with the last one. NULL is allowed. */
 void cw_tenant_gate_leave(cw_tenant_count_t *count);
-/** Number of tenants with state here: those with a request under way on this node. */
+/** Number of tenants with state here: those with a request in flight on this node. */
 size_t cw_tenant_gate_counts(const cw_tenant_gate_t *gate);
 
 #endif
--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -10,6 +10,7 @@
 #include "loop_fixture.h"
 #include "proxy/engine_internal.h"
 
+/** Sizes and times of a fixture. */
 enum {
     ENGINE_FIXTURE_SERVERS = 2,
     ENGINE_FIXTURE_CALLS = 8,
@@ -82,7 +83,7 @@
     const char *credential_scheme; /**< NULL: the engine's default */
 } engine_fixture_setup_t;
 
-/** Two servers with one slot each, and practically no repeat while a server is silent. */
+/** Two servers with one slot each, and practically no repeat while a server does not answer. */
 engine_fixture_setup_t engine_fixture_default_setup(void);
 /** Starts the servers and the engine, without a configuration. */
 void engine_fixture_begin(engine_fixture_t *fixture, const engine_fixture_setup_t *setup);
@@ -90,7 +91,7 @@
  * (restricted to the region of s1) and elsewhere (restricted to a region without servers). */
 void engine_fixture_init(engine_fixture_t *fixture);
 /** Like engine_fixture_init, with another silence_factor. */
-void engine_fixture_init_with_silence(engine_fixture_t *fixture, double silence_factor);
+void engine_fixture_init_with_timeout(engine_fixture_t *fixture, double silence_factor);
 /** Like engine_fixture_init, with another crossing_ms_per_mb. */
 void engine_fixture_init_with_crossing(engine_fixture_t *fixture, double crossing_ms_per_mb);
 
--- a/tests/process/crashing_request.sh
+++ b/tests/process/crashing_request.sh
@@ -31,7 +31,7 @@
 wait_until_true refused_everywhere
 check "every node refuses the request" refused_everywhere
 check "the refusal says when to retry" grep -qi '^retry-after' "$WORK/head"
-check "at most three more servers crashed until then" at_most "$(crashes)" 6
+check "at most three more servers crashed before all nodes refused" at_most "$(crashes)" 6
 before=$(crashes)
 for _ in 1 2 3 4 5; do refused_everywhere || break; done
 check "no further server crashes" [ "$(crashes)" = "$before" ]
--- a/tests/process/keys_taken_away.sh
+++ b/tests/process/keys_taken_away.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Tenants' keys are added and revoked while the store refuses two of the three nodes, in each way in which it can: by a reset,
-# by an error that says that it is busy, or by silence. These nodes learn the changes from the node that can still read the
+# by an error that says that it is busy, or by not answering. These nodes learn the changes from the node that can still read the
 # store. Keys apply to open connections as well as to new ones, and appear in no log. Nodes that fail closed accept keys only
 # as long as there is recent evidence that none was revoked.
 STORE_ENDPOINTS=4
--- a/tests/process/server_leaving.sh
+++ b/tests/process/server_leaving.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Guards against requests to leaving servers: servers announce in their answers that they leave, while their list entries
-# still say that they are ready. Two seconds after a node has passed on such an answer they must get no more requests,
+# still say that they are ready. Two seconds after a node has relayed such an answer they must get no more requests,
 # with the store up and while it does not answer.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 4
@@ -32,9 +32,9 @@
 second=$(now_ns)
 leave 2
 wait "$callers"
-check "no server gets a request sent two seconds after its leaving was passed on" cluster_check
+check "no server gets a request sent two seconds after the first relayed answer that announces its leaving" cluster_check
 check "all nodes know from a few answers that the first server leaves" at_most "$(arrivals_after_notice h1)" 0
-check "and that the second leaves, without the store" at_most "$(arrivals_after_notice h2)" 0
+check "all nodes know that the second server leaves while the store does not answer" at_most "$(arrivals_after_notice h2)" 0
 check "requests without a key are served" at_least "$(served_after POST "$first")" 97
 check "keys move while the store answers and after it is back" at_least "$(served_after GET $((second + 9000000000)))" 95
 check "requests for keys without an owner are refused soon" at_most "$(slow_refusals)" 36
--- a/tests/process/server_rest.sh
+++ b/tests/process/server_rest.sh
@@ -39,6 +39,6 @@
 check "an owner at rest gets only a few requests of each node" at_most "$(arrivals m1 "$begin" $((begin + 6000000000)))" $((12 * ${REST_NODES:-4}))
 check "requests without a key are served" at_least "$(share_of POST 200 "$begin" "$all")" 97
 check "most requests are refused while all servers of the service are at rest" at_least "$(share_of POST 503 $((all + 500000000)) $((all + 2900000000)))" 80
-check "and are refused at once" at_most "$(slow_refusals)" 20
+check "these requests are refused at once" at_most "$(slow_refusals)" 20
 check "requests are served after the rests are over" at_least "$(share_of GET 200 $((begin + 9000000000)) $((all + 9000000000)))" 97
 finish_test
--- a/tests/process/tenant_limit.sh
+++ b/tests/process/tenant_limit.sh
@@ -44,7 +44,7 @@
 echo "     most in $WINDOW_S s: $most, allowed $allowed; the tenant's callers: 200: $(sum_of hot s200), 429: $(sum_of hot s429), 503: $(sum_of hot s503)"
 check "no window holds more than the limit allows" at_most "$most" "$allowed"
 check "most of the limit is used" at_least "$(sum_of hot s200)" "$((RATE * 18 * 85 / 100))"
-check "what is above it is refused" at_least "$(sum_of hot s429)" 900
+check "requests above the limit are refused" at_least "$(sum_of hot s429)" 900
 # Callers send to the five nodes in turn and do not retry, so each request of others that failed was sent to the killed node after its end.
 calm_numbers() { # JQ-CONDITION NODE: prints the numbers of the requests sent to NODE whose status meets the condition
     jq -s --argjson nodes 5 --argjson node "$2" \
@@ -52,13 +52,13 @@
 }
 for node in 1 2 3 4 5; do
     if [ "$node" = "$killed" ]; then
-        check "others are served by node $node until it is killed" \
+        check "requests of other tenants are served by node $node until it is killed" \
             [ "$(calm_numbers '== 200' "$node" | jq max)" -lt "$(calm_numbers '!= 200' "$node" | jq min)" ]
     else
-        check "others are served by node $node, each request" [ "$(calm_numbers '!= 200' "$node" | jq length)" = 0 ]
-        check "others asked node $node" [ "$(calm_numbers '== 200' "$node" | jq length)" = 160 ]
+        check "each request of other tenants is served by node $node" [ "$(calm_numbers '!= 200' "$node" | jq length)" = 0 ]
+        check "node $node received requests of other tenants" [ "$(calm_numbers '== 200' "$node" | jq length)" = 160 ]
     fi
 done
-check "the next node counts" counting
+check "another node counts after the counting node was killed" counting
 check "records agree" cluster_check
 finish_test
--- a/tests/process/tenant_limit_lossy.sh
+++ b/tests/process/tenant_limit_lossy.sh
@@ -12,6 +12,6 @@
 link lose all all 20
 wait "$callers"
 check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
-check "a good part of the limit is used" at_least "$(sum_of limited s200)" $((RATE * 30 / 2))
+check "at least half of the limit is used" at_least "$(sum_of limited s200)" $((RATE * 30 / 2))
 check "records agree" cluster_check
 finish_test
--- a/tests/process/tenant_limit_pair_cut.sh
+++ b/tests/process/tenant_limit_pair_cut.sh
@@ -25,6 +25,6 @@
 done
 wait "$callers"
 check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
-check "the limit is used" at_least "$(sum_of limited s200)" $((RATE * 2 * (COUNT - 1) * CUT_S * 8 / 10))
+check "at least eight tenths of the limit over the time of the cuts are used" at_least "$(sum_of limited s200)" $((RATE * 2 * (COUNT - 1) * CUT_S * 8 / 10))
 check "records agree" cluster_check
 finish_test
--- a/tests/quota_port.h
+++ b/tests/quota_port.h
@@ -7,6 +7,7 @@
 
 #include "tenancy/quota_share.h"
 
+/** Bounds of what is recorded. */
 enum { QUOTA_PORT_TENANTS = 200, QUOTA_PORT_ASKS = 64 /* number of asks kept */ };
 
 /** Messages that a share has sent. */
@@ -23,8 +24,8 @@
     uint32_t          given_back;            /**< number of returned tokens */
     cw_quota_return_t returned;              /**< the last return */
     uint32_t          decided;               /**< number of calls that waiting requests can be decided */
-    void (*on_decided)(void    *owner,
-                       uint32_t tenant); /**< called with owner for each of them; NULL: the calls are only counted */
+    /** Called with owner for each of these calls; NULL: the calls are only counted. */
+    void (*on_decided)(void *owner, uint32_t tenant);
     void *owner;
 } quota_sent_t;
 
--- a/tests/quota_sim.c
+++ b/tests/quota_sim.c
@@ -22,7 +22,7 @@
     size_t               from;
     size_t               to;
     size_t               via;            /* index of the relaying node; DIRECT: none */
-    bool                 is_relayed;     /* the relaying node has sent it on */
+    bool                 is_relayed;     /* the relaying node has forwarded it */
     uint64_t             to_incarnation; /* incarnation of the process that it is sent to */
     cw_time_us_t         due;
     uint64_t             incarnation;
@@ -123,8 +123,8 @@
 
 /* Applies a report as a node does: it counts the tenants of which it would choose itself as the counting node, and
  * redirects the others. */
-static void take_report(quota_sim_node_t *node, size_t to, uint64_t incarnation, uint32_t sequence,
-                        const cw_quota_usage_t *usages, size_t count)
+static void apply_report(quota_sim_node_t *node, size_t to, uint64_t incarnation, uint32_t sequence,
+                         const cw_quota_usage_t *usages, size_t count)
 {
     quota_sim_message_t message = {.kind = STATUS, .from = index_of(node->address), .to = to, .sequence = sequence};
     size_t              index;
@@ -147,7 +147,7 @@
     send_message(node->sim, &message);
 }
 
-static void take_status(quota_sim_node_t *node, uint32_t from, const quota_sim_message_t *message)
+static void apply_status(quota_sim_node_t *node, uint32_t from, const quota_sim_message_t *message)
 {
     cw_quota_status_t status = {.sequence = message->sequence,
                                 .metered = message->metered,
@@ -178,10 +178,10 @@
     }
     switch (message->kind) {
     case REPORT:
-        take_report(node, message->from, message->incarnation, message->sequence, message->usages, message->count);
+        apply_report(node, message->from, message->incarnation, message->sequence, message->usages, message->count);
         break;
     case STATUS:
-        take_status(node, from, message);
+        apply_status(node, from, message);
         break;
     case ASK:
         if (choose_counter(node, message->ask.usage.tenant) != node->address) {
@@ -214,7 +214,7 @@
     }
 }
 
-/* Sends a message on at its relaying node, if that node receives from the destination. False: the message has reached
+/* Forwards a message at its relaying node, if that node receives from the destination. False: the message has reached
  * its destination. */
 static bool relay(quota_sim_t *sim, const quota_sim_message_t *message)
 {
@@ -359,7 +359,7 @@
     }
 }
 
-static uint32_t choose(const quota_sim_node_t *node, uint32_t tenant, bool passes_over_silent)
+static uint32_t choose(const quota_sim_node_t *node, uint32_t tenant, bool skips_unresponsive)
 {
     const quota_sim_t    *sim = node->sim;
     cw_broker_candidate_t candidates[QUOTA_SIM_MAX_NODES];
@@ -369,7 +369,7 @@
     for (index = 0; index < sim->node_count; index++) {
         uint32_t address = sim->nodes[index].address;
         bool     is_own = address == node->address;
-        bool     is_left_out = passes_over_silent ? cw_quota_share_is_silent(node->share, address, sim->now)
+        bool     is_left_out = skips_unresponsive ? cw_quota_share_is_silent(node->share, address, sim->now)
                                                   : cw_quota_share_has_declined(node->share, address, sim->now);
 
         if ((is_own ? !declines(node) : is_known(node, index)) && !is_left_out) {
@@ -535,8 +535,8 @@
     }
 }
 
-/* Lets a node learn the leader's statement of the number of nodes some time after its start, or never. */
-static void learn_fleet_size(quota_sim_node_t *node)
+/* Sets the number of nodes as a node receives it from the leader, some time after the node's start or never. */
+static void receive_fleet_size(quota_sim_node_t *node)
 {
     const quota_sim_t *sim = node->sim;
 
@@ -547,7 +547,7 @@
 
 static void update_node_counts(quota_sim_node_t *node)
 {
-    learn_fleet_size(node);
+    receive_fleet_size(node);
     node->in_touch = count_in_touch(node);
     node->max_in_touch = node->in_touch > node->max_in_touch ? node->in_touch : node->max_in_touch;
     cw_quota_counter_set_nodes(node->counter, node_count_known_to(node), node->in_touch);
--- a/tests/quota_sim.h
+++ b/tests/quota_sim.h
@@ -11,6 +11,7 @@
 #include "tenancy/quota_counter.h"
 #include "tenancy/quota_share.h"
 
+/** Bounds and times of a simulation. */
 enum {
     QUOTA_SIM_MAX_NODES = 96,
     QUOTA_SIM_MAX_TENANTS = 8,
@@ -19,7 +20,7 @@
     QUOTA_SIM_MAX_STEPS = QUOTA_SIM_MAX_SECONDS * 1000 / QUOTA_SIM_STEP_MS,
     QUOTA_SIM_PEER_LOSS_MS = 1000,  /* after this time a node that is gone is lost as a peer */
     QUOTA_SIM_PEER_RETURN_MS = 150, /* after this time a node that is back is known as a peer */
-    QUOTA_SIM_SUSPECT_MS = 500      /* after this time of silence a node is searched for through others */
+    QUOTA_SIM_SUSPECT_MS = 500      /* a node that was not received from for this time is probed through others */
 };
 
 /** A simulated tenant: its limit, its load and what became of its requests. */
@@ -61,6 +62,7 @@
     struct quota_sim   *sim;
 } quota_sim_node_t;
 
+/** A message on its way between two nodes. */
 typedef struct quota_sim_message quota_sim_message_t;
 
 /** A simulated cluster. */
@@ -87,7 +89,8 @@
 
 /** Creates a cluster whose nodes are up and know each other. */
 quota_sim_t *quota_sim_create(size_t nodes, size_t capable, uint64_t seed);
-void         quota_sim_free(quota_sim_t *sim);
+/** Frees the cluster. */
+void quota_sim_free(quota_sim_t *sim);
 /** Adds a tenant and returns its index. */
 size_t quota_sim_add_tenant(quota_sim_t *sim, double rate_per_s, double burst, double load_per_s);
 /** Advances the simulation. */
--- a/tests/test_caller_identity.c
+++ b/tests/test_caller_identity.c
@@ -170,7 +170,7 @@
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
     ck_assert(!caller.strips_credentials);
-    caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not passed on to its servers */
+    caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not forwarded to its servers */
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
     ck_assert(caller.strips_credentials);
     ck_assert_ptr_null(caller.tenant);
--- a/tests/test_crash_suspects.c
+++ b/tests/test_crash_suspects.c
@@ -38,7 +38,7 @@
     cw_crash_t loss = {.request = request, .server = next_server++, .sent_at = now, .lost_at = now + CW_MS(WORK_MS)};
 
     now += CW_MS(WORK_MS);
-    ck_assert(cw_crash_suspects_note_loss(suspects, &loss));
+    ck_assert(cw_crash_suspects_record_loss(suspects, &loss));
     return loss.server;
 }
 
@@ -91,10 +91,10 @@
     uint32_t server;
     int      index;
 
-    for (index = 0; index < COPIES; index++) { /* as when a zone loses power with this many copies under way */
+    for (index = 0; index < COPIES; index++) { /* as when a zone loses power with this many copies in flight */
         cw_crash_t loss = {.request = INNOCENT, .server = next_server++, .sent_at = now, .lost_at = now + CW_MS(index)};
 
-        ck_assert(cw_crash_suspects_note_loss(suspects, &loss));
+        ck_assert(cw_crash_suspects_record_loss(suspects, &loss));
     }
     now += CW_MS(COPIES);
     for (server = first; server < next_server; server++) {
@@ -113,7 +113,7 @@
     for (request = 1000; request < 1200; request++) {
         cw_crash_t loss = {.request = request, .server = server, .sent_at = now, .lost_at = now + CW_MS(1)};
 
-        ck_assert(cw_crash_suspects_note_loss(suspects, &loss));
+        ck_assert(cw_crash_suspects_record_loss(suspects, &loss));
     }
     cw_crash_suspects_note_end(suspects, server, now + CW_MS(5));
     for (request = 1000; request < 1200; request++) {
@@ -241,7 +241,7 @@
     for (request = 1; request <= CW_LOSSES_MAX; request++) {
         (void)lose(request);
     }
-    ck_assert(!cw_crash_suspects_note_loss(suspects, &(cw_crash_t){.request = 1}));
+    ck_assert(!cw_crash_suspects_record_loss(suspects, &(cw_crash_t){.request = 1}));
 }
 END_TEST
 
--- a/tests/test_engine_callers.c
+++ b/tests/test_engine_callers.c
@@ -1,6 +1,7 @@
 /**
  * @file test_engine_callers.c
- * @brief Callers' keys: which callers are admitted, what servers are told, and what a later configuration changes.
+ * @brief Callers' keys: which callers are admitted, which header fields servers receive, and what a later configuration
+ * changes.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,7 +13,7 @@
 
 enum { TEXT_BYTES = ENGINE_FIXTURE_TEXT_BYTES };
 
-static void init_with_silence(engine_fixture_t *fixture, double silence_factor)
+static void init_with_timeout(engine_fixture_t *fixture, double silence_factor)
 {
     engine_fixture_setup_t setup = {.servers = 1,
                                     .capacity = 1,
@@ -25,7 +26,7 @@
 
 static void init(engine_fixture_t *fixture)
 {
-    init_with_silence(fixture, 1000);
+    init_with_timeout(fixture, 1000);
 }
 
 /* ---- configurations ---- */
@@ -142,7 +143,7 @@
     cw_test_run_until(&fixture->loop, is_queued, fixture);
 }
 
-/** Fake of a node that counts slots and never replies. */
+/** Fake broker, a node that counts slots; it never replies. */
 typedef struct fake_broker {
     uint32_t asks;
     uint32_t priority; /* of the last request for a slot */
@@ -218,7 +219,7 @@
 }
 END_TEST
 
-/* ---- what servers are told ---- */
+/* ---- header fields that servers receive ---- */
 
 START_TEST(a_server_gets_the_tenants_name_instead_of_the_key)
 {
@@ -430,11 +431,11 @@
 }
 END_TEST
 
-START_TEST(a_request_with_a_revoked_key_stays_at_a_silent_server)
+START_TEST(a_request_with_a_revoked_key_stays_at_an_unresponsive_server)
 {
     engine_fixture_t fixture;
 
-    init_with_silence(&fixture, 0.01); /* would be repeated after 150 ms */
+    init_with_timeout(&fixture, 0.01); /* would be repeated after 150 ms */
     use_keys(&fixture);
     (void)ask(&fixture, 0, "/safe/x", KEY);
     cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request);
@@ -569,7 +570,7 @@
     tcase_add_test(cases, a_revoked_key_does_not_affect_another_tenants_requests);
     tcase_add_test(cases, a_request_that_was_not_run_is_not_sent_again_for_a_revoked_key);
     tcase_add_test(cases, a_key_that_moves_to_another_tenant_is_refused_once_and_then_admitted);
-    tcase_add_test(cases, a_request_with_a_revoked_key_stays_at_a_silent_server);
+    tcase_add_test(cases, a_request_with_a_revoked_key_stays_at_an_unresponsive_server);
     tcase_add_test(cases, a_request_waiting_for_an_owner_ends_when_the_callers_key_is_revoked);
     tcase_add_test(cases, a_request_for_a_slot_is_withdrawn_when_the_callers_key_is_revoked);
     tcase_add_test(cases, credentials_are_hidden_once_a_configuration_has_keys);
--- a/tests/test_engine_limits.c
+++ b/tests/test_engine_limits.c
@@ -1,7 +1,7 @@
 /**
  * @file test_engine_limits.c
- * @brief Requests for servers that state a rate limit, where there are few nodes: they are sent only with a slot from
- * the node that counts for the server, or from this node's own part of the limit.
+ * @brief Requests for servers that name a rate limit, where there are few nodes: they are sent only with a slot from
+ * the broker that counts for the server, or from this node's own part of the limit.
  */
 #include <stdio.h>
 #include <string.h>
@@ -11,14 +11,14 @@
 
 enum { BROKER = 77 };
 
-/** Fake of the node that counts slots. */
-typedef struct counting_node {
+/** Fake broker, the node that counts slots. */
+typedef struct fake_broker {
     uint32_t      asks;
     cw_slot_ask_t asked; /* the last request for a slot */
     uint32_t      returns;
-    double
-        limit_per_s; /* rate limit stated in the answer that was passed on with the last returned slot; below 0: none */
-} counting_node_t;
+    /* Rate limit named in the answer that was forwarded with the last returned slot; below 0: none. */
+    double limit_per_s;
+} fake_broker_t;
 
 static uint32_t broker_of(void *context, const char *zone, uint32_t service)
 {
@@ -30,7 +30,7 @@
 
 static void on_ask(void *context, uint32_t broker, const cw_slot_ask_t *asked)
 {
-    counting_node_t *node = context;
+    fake_broker_t *node = context;
 
     (void)broker;
     node->asks++;
@@ -39,7 +39,7 @@
 
 static void on_give_back(void *context, uint32_t broker, const cw_slot_return_t *returned)
 {
-    counting_node_t *node = context;
+    fake_broker_t *node = context;
 
     (void)broker;
     node->returns++;
@@ -48,10 +48,10 @@
 
 static bool has_asked(void *context)
 {
-    return ((counting_node_t *)context)->asks > 0;
+    return ((fake_broker_t *)context)->asks > 0;
 }
 
-/* Every answer states a limit of 3 requests a second. */
+/* Every answer names a limit of 3 requests a second. */
 static void decode(int status, const cw_http_fields_t *fields, cw_server_signals_t *signals)
 {
     (void)status;
@@ -59,7 +59,7 @@
     *signals = (cw_server_signals_t){.has_run = true, .has_limit = true, .limit_per_s = 3};
 }
 
-static void begin(engine_fixture_t *fixture, counting_node_t *node)
+static void begin(engine_fixture_t *fixture, fake_broker_t *node)
 {
     cw_slot_port_t port = {
         .context = node, .only_limited = true, .broker_of = broker_of, .ask = on_ask, .give_back = on_give_back};
@@ -79,7 +79,7 @@
                                    cw_engine_now(fixture->engine));
 }
 
-static void reply(engine_fixture_t *fixture, const counting_node_t *node, cw_slot_outcome_t outcome)
+static void reply(engine_fixture_t *fixture, const fake_broker_t *node, cw_slot_outcome_t outcome)
 {
     cw_slot_reply_t message = {
         .node = BROKER, .ticket = node->asked.ticket, .outcome = outcome, .server = node->asked.server};
@@ -103,7 +103,7 @@
 START_TEST(no_slot_is_requested_for_a_server_without_a_limit)
 {
     engine_fixture_t fixture;
-    counting_node_t  node;
+    fake_broker_t    node;
 
     begin(&fixture, &node);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
@@ -117,7 +117,7 @@
 START_TEST(a_request_to_an_owner_with_a_limit_needs_a_slot_that_is_returned)
 {
     engine_fixture_t fixture;
-    counting_node_t  node;
+    fake_broker_t    node;
 
     begin(&fixture, &node);
     limit(&fixture, "s1", 6);
@@ -136,7 +136,7 @@
 START_TEST(a_request_beyond_the_owners_limit_is_refused_with_the_time_to_retry)
 {
     engine_fixture_t fixture;
-    counting_node_t  node;
+    fake_broker_t    node;
 
     begin(&fixture, &node);
     limit(&fixture, "s1", 6);
@@ -154,7 +154,7 @@
 START_TEST(a_request_beyond_one_servers_limit_goes_to_another_server)
 {
     engine_fixture_t fixture;
-    counting_node_t  node;
+    fake_broker_t    node;
 
     begin(&fixture, &node);
     limit(&fixture, "s0", 6); /* s0 would be chosen first */
@@ -170,10 +170,10 @@
 }
 END_TEST
 
-START_TEST(when_all_limits_are_reached_the_earliest_time_to_retry_is_told)
+START_TEST(when_all_limits_are_reached_the_earliest_time_to_retry_is_sent)
 {
     engine_fixture_t fixture;
-    counting_node_t  node;
+    fake_broker_t    node;
 
     begin(&fixture, &node);
     limit(&fixture, "s0", 6);
@@ -193,7 +193,7 @@
 START_TEST(answers_to_requests_that_were_not_run_do_not_end_a_limit)
 {
     engine_fixture_t    fixture;
-    counting_node_t     node;
+    fake_broker_t       node;
     cw_server_signals_t signals = {.has_run = false};
     cw_server_t        *server;
     int                 answer;
@@ -216,11 +216,12 @@
 START_TEST(a_server_with_a_raised_limit_is_tried_at_once)
 {
     engine_fixture_t fixture;
-    counting_node_t  node;
+    fake_broker_t    node;
 
     begin(&fixture, &node);
     limit(&fixture, "s0", 0);
-    cw_server_note_limit_refused(cw_server_pool_find(fixture.pool, "s0"), CW_SECONDS(5), cw_engine_now(fixture.engine));
+    cw_server_record_limit_refused(cw_server_pool_find(fixture.pool, "s0"), CW_SECONDS(5),
+                                   cw_engine_now(fixture.engine));
     limit(&fixture, "s0", 50);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until(&fixture.loop, has_asked, &node);
@@ -231,7 +232,7 @@
 START_TEST(without_a_reply_only_this_nodes_part_of_the_limit_is_used)
 {
     engine_fixture_t fixture;
-    counting_node_t  node;
+    fake_broker_t    node;
 
     begin(&fixture, &node);
     limit(&fixture, "s1", 6);
@@ -257,7 +258,7 @@
     tcase_add_test(cases, a_request_to_an_owner_with_a_limit_needs_a_slot_that_is_returned);
     tcase_add_test(cases, a_request_beyond_the_owners_limit_is_refused_with_the_time_to_retry);
     tcase_add_test(cases, a_request_beyond_one_servers_limit_goes_to_another_server);
-    tcase_add_test(cases, when_all_limits_are_reached_the_earliest_time_to_retry_is_told);
+    tcase_add_test(cases, when_all_limits_are_reached_the_earliest_time_to_retry_is_sent);
     tcase_add_test(cases, answers_to_requests_that_were_not_run_do_not_end_a_limit);
     tcase_add_test(cases, a_server_with_a_raised_limit_is_tried_at_once);
     tcase_add_test(cases, without_a_reply_only_this_nodes_part_of_the_limit_is_used);
--- a/tests/test_engine_outcomes.c
+++ b/tests/test_engine_outcomes.c
@@ -6,14 +6,14 @@
 
 #include "engine_fixture.h"
 
-/* s0 is busy, and s1 has the request but is silent. After that the estimate puts the request's turn beyond its
+/* s0 is busy, and s1 has the request but does not answer. After that the estimate puts the request's turn beyond its
  * deadline. */
-START_TEST(a_request_taken_from_a_silent_server_is_not_refused_by_an_estimate)
+START_TEST(a_request_taken_from_an_unresponsive_server_is_not_refused_by_an_estimate)
 {
     engine_fixture_t fixture;
     cw_time_us_t     end;
 
-    engine_fixture_init_with_silence(&fixture, 0.01);
+    engine_fixture_init_with_timeout(&fixture, 0.01);
     (void)engine_fixture_ask(&fixture, "POST", "/once/x", "15000"); /* not repeatable: it stays at s0 */
     cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
@@ -157,7 +157,7 @@
     TCase *cases = tcase_create("engine, outcomes");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, a_request_taken_from_a_silent_server_is_not_refused_by_an_estimate);
+    tcase_add_test(cases, a_request_taken_from_an_unresponsive_server_is_not_refused_by_an_estimate);
     tcase_add_test(cases, a_request_that_was_not_run_goes_to_another_server_even_if_not_repeatable);
     tcase_add_test(cases, a_503_without_the_denial_field_does_not_count_as_not_run);
     tcase_add_test(cases, a_broken_answer_is_502_where_the_request_may_have_run);
--- a/tests/test_engine_rest.c
+++ b/tests/test_engine_rest.c
@@ -1,6 +1,6 @@
 /**
  * @file test_engine_rest.c
- * @brief Servers that turn a request away and ask for rest: this node sends them nothing until the rest is over.
+ * @brief Servers that reject a request and ask for rest: this node sends them nothing until the rest is over.
  */
 #include <stdio.h>
 #include <string.h>
@@ -18,7 +18,7 @@
     *signals = (cw_server_signals_t){.has_rest = status == STATUS_UNAVAILABLE, .rest = rest};
 }
 
-/* Starts with both servers turning all requests away. */
+/* Starts with both servers rejecting all requests. */
 static void begin(engine_fixture_t *fixture)
 {
     size_t index;
@@ -121,7 +121,7 @@
 }
 END_TEST
 
-START_TEST(when_all_servers_rest_the_shortest_rest_is_told)
+START_TEST(when_all_servers_rest_the_shortest_rest_is_sent)
 {
     engine_fixture_t fixture;
 
@@ -136,7 +136,7 @@
 }
 END_TEST
 
-/** Fake of the node that counts slots. */
+/** Fake broker, the node that counts slots. */
 typedef struct broker {
     uint32_t      asks;
     uint32_t      returns;
@@ -206,7 +206,7 @@
     tcase_add_test(cases, a_rest_does_not_count_as_a_fault_of_the_server);
     tcase_add_test(cases, an_owner_gets_requests_again_after_its_rest);
     tcase_add_test(cases, another_server_gets_the_request_if_it_will_do);
-    tcase_add_test(cases, when_all_servers_rest_the_shortest_rest_is_told);
+    tcase_add_test(cases, when_all_servers_rest_the_shortest_rest_is_sent);
     tcase_add_test(cases, a_slot_of_a_resting_server_is_declined_and_another_requested);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_engine_slots.c
+++ b/tests/test_engine_slots.c
@@ -95,8 +95,8 @@
     fake_broker_t    fake;
 
     ask_for_slot(&fixture, &fake, "/safe/x");
-    cw_server_pool_find(fixture.pool, "s1")->listed =
-        false;                                     /* otherwise s1 would be used, since no broker counts its slots */
+    /* otherwise s1 would be used, since no broker counts its slots */
+    cw_server_pool_find(fixture.pool, "s1")->listed = false;
     reply(&fixture, &fake, CW_SLOT_REFUSED, NULL); /* the first request for a slot, with a short wait */
     ck_assert_uint_eq(fake.asks, 2);
     reply(&fixture, &fake, CW_SLOT_REFUSED, NULL); /* the second one, with a long wait */
@@ -174,7 +174,7 @@
 }
 END_TEST
 
-START_TEST(a_request_taken_from_a_silent_server_is_not_refused_when_no_slot_is_free)
+START_TEST(a_request_taken_from_an_unresponsive_server_is_not_refused_when_no_slot_is_free)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake;
@@ -182,7 +182,7 @@
     uint32_t       asks;
 
     memset(&fake, 0, sizeof(fake));
-    engine_fixture_init_with_silence(&fixture,
+    engine_fixture_init_with_timeout(&fixture,
                                      0.01); /* a repeatable request is repeated after the shortest possible time */
     cw_engine_set_slots(fixture.engine, &port);
     fixture.servers[1].status = 200;
@@ -202,14 +202,14 @@
 }
 END_TEST
 
-START_TEST(a_broker_that_queues_a_repeated_request_is_asked_again_before_it_counts_as_silent)
+START_TEST(a_broker_that_queues_a_repeated_request_is_asked_again_before_it_counts_as_unresponsive)
 {
     engine_fixture_t fixture;
     fake_broker_t    fake;
     cw_slot_port_t port = {.context = &fake, .broker_of = fake_broker_of, .ask = fake_ask, .give_back = fake_give_back};
 
     memset(&fake, 0, sizeof(fake));
-    engine_fixture_init_with_silence(&fixture, 0.01);
+    engine_fixture_init_with_timeout(&fixture, 0.01);
     cw_engine_set_slots(fixture.engine, &port);
     fixture.servers[1].status = 200;
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
@@ -375,9 +375,10 @@
 }
 END_TEST
 
-/* Lets broker 1 not reply to a request, which is then sent to s0. After this broker 1 is not asked for a while. */
-static void begin_with_silent_broker(engine_fixture_t *fixture, recording_brokers_t *brokers,
-                                     const cw_slot_port_t *port)
+/* Broker 1 does not reply to a request for a slot, and the request is sent to s0. After this broker 1 is not asked for
+ * a while. */
+static void begin_with_unresponsive_broker(engine_fixture_t *fixture, recording_brokers_t *brokers,
+                                           const cw_slot_port_t *port)
 {
     engine_fixture_init(fixture);
     cw_engine_set_slots(fixture->engine, port);
@@ -390,14 +391,14 @@
     brokers->text[0] = '\0';
 }
 
-START_TEST(servers_of_a_zone_with_a_silent_broker_are_used_when_other_zones_refuse)
+START_TEST(servers_of_a_zone_with_an_unresponsive_broker_are_used_when_other_zones_refuse)
 {
     engine_fixture_t    fixture;
     recording_brokers_t brokers = {.fixture = &fixture};
     cw_slot_port_t      port = {
              .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
-    begin_with_silent_broker(&fixture, &brokers, &port);
+    begin_with_unresponsive_broker(&fixture, &brokers, &port);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/y", "15000");
     refuse_all(&brokers);
     ck_assert_int_eq(fixture.status, 200);
@@ -413,7 +414,7 @@
     cw_slot_port_t      port = {
              .context = &brokers, .broker_of = broker_of_zone, .ask = record_ask, .give_back = ignore_return};
 
-    begin_with_silent_broker(&fixture, &brokers, &port);
+    begin_with_unresponsive_broker(&fixture, &brokers, &port);
     cw_server_pool_begin_request(cw_server_pool_find(fixture.pool, "s0"),
                                  cw_engine_now(fixture.engine)); /* its only slot is taken */
     (void)engine_fixture_ask(&fixture, "GET", "/safe/y", "15000");
@@ -423,7 +424,7 @@
 }
 END_TEST
 
-START_TEST(a_silent_broker_does_not_open_servers_that_another_broker_has_refused)
+START_TEST(an_unresponsive_broker_does_not_open_servers_that_another_broker_has_refused)
 {
     engine_fixture_t    fixture;
     recording_brokers_t brokers = {.fixture = &fixture};
@@ -487,15 +488,15 @@
     tcase_add_test(cases, a_restarted_process_does_not_reuse_ticket_numbers);
     tcase_add_test(cases, servers_of_a_zone_without_a_broker_are_used_when_other_zones_refuse);
     tcase_add_test(cases, without_a_reply_the_server_is_chosen_locally_and_a_late_grant_is_declined);
-    tcase_add_test(cases, a_request_taken_from_a_silent_server_is_not_refused_when_no_slot_is_free);
-    tcase_add_test(cases, a_broker_that_queues_a_repeated_request_is_asked_again_before_it_counts_as_silent);
+    tcase_add_test(cases, a_request_taken_from_an_unresponsive_server_is_not_refused_when_no_slot_is_free);
+    tcase_add_test(cases, a_broker_that_queues_a_repeated_request_is_asked_again_before_it_counts_as_unresponsive);
     tcase_add_test(cases, a_disconnected_callers_request_for_a_slot_is_withdrawn);
     tcase_add_test(cases, zones_are_asked_by_distance_and_crossing_cost);
     tcase_add_test(cases, no_ask_may_wait_longer_than_the_time_left_of_its_request);
     tcase_add_test(cases, a_zone_that_disappears_between_asks_does_not_shift_the_stages);
-    tcase_add_test(cases, servers_of_a_zone_with_a_silent_broker_are_used_when_other_zones_refuse);
+    tcase_add_test(cases, servers_of_a_zone_with_an_unresponsive_broker_are_used_when_other_zones_refuse);
     tcase_add_test(cases, servers_whose_broker_has_refused_are_not_used_without_a_slot);
-    tcase_add_test(cases, a_silent_broker_does_not_open_servers_that_another_broker_has_refused);
+    tcase_add_test(cases, an_unresponsive_broker_does_not_open_servers_that_another_broker_has_refused);
     tcase_add_test(cases, when_a_key_moves_before_the_reply_its_new_zone_is_asked);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
--- a/tests/test_quota_counter.c
+++ b/tests/test_quota_counter.c
@@ -30,15 +30,15 @@
     (*count)++;
 }
 
-/* Ticks as a node's loop does. Returns the number of nodes that were told that the tenant is metered. */
+/* Ticks as a node's loop does. Returns the number of nodes that were notified that the tenant is metered. */
 static int tick_until(cw_quota_counter_t *counter, cw_time_us_t from, cw_time_us_t to)
 {
-    int told = 0;
+    int notified = 0;
 
     for (; from <= to; from += CW_MS(20)) {
-        cw_quota_counter_tick(counter, from, on_metered, &told);
+        cw_quota_counter_tick(counter, from, on_metered, &notified);
     }
-    return told;
+    return notified;
 }
 
 static void report(cw_quota_counter_t *counter, uint64_t incarnation, uint64_t admitted, uint32_t recent,
--- a/tests/test_quota_memory.c
+++ b/tests/test_quota_memory.c
@@ -22,7 +22,7 @@
     LIMIT_BYTES = 200,  /* a tenant without reports, on a node that may count it */
     RECORD_BYTES = 260, /* a node's record of a tenant on the counting node, including the hash table of the records */
     STDIO_BUFFER_BYTES = 8192, /* buffer that stdio allocates with the first line that is printed */
-    GATE_BYTES = 160           /* a tenant with a request under way */
+    GATE_BYTES = 160           /* a tenant with a request in flight */
 };
 
 static const cw_quota_limit_t    limit = {.rate_per_s = 100, .burst = 100};
--- a/tests/test_quota_share.c
+++ b/tests/test_quota_share.c
@@ -111,7 +111,7 @@
 }
 END_TEST
 
-/* Tokens that are returned to the node later do not prolong the life of those returned before. */
+/* Tokens that are returned to the node later do not prolong the lifetime of earlier ones. */
 START_TEST(tokens_of_requests_that_did_not_run_expire)
 {
     quota_sent_t      sent = {.counter = COUNTER};
--- a/tests/test_request_rules.c
+++ b/tests/test_request_rules.c
@@ -7,7 +7,7 @@
 
 enum { MAX_ATTEMPTS = 3 };
 
-static const cw_outcome_t outcomes[] = {CW_OUTCOME_UNSENT, CW_OUTCOME_DENIED, CW_OUTCOME_SILENT, CW_OUTCOME_BROKEN,
+static const cw_outcome_t outcomes[] = {CW_OUTCOME_UNSENT, CW_OUTCOME_DENIED, CW_OUTCOME_TIMEOUT, CW_OUTCOME_BROKEN,
                                         CW_OUTCOME_ANSWERED};
 
 enum { OUTCOMES = sizeof(outcomes) / sizeof(outcomes[0]) };
@@ -73,13 +73,13 @@
     cw_outcome_facts_t facts = make_facts(CW_OUTCOME_ANSWERED, true);
 
     facts.status = 200;
-    ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_PASS_ON);
+    ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_RELAY);
     facts.status = 404;
-    ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_PASS_ON);
+    ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_RELAY);
     facts = make_facts(CW_OUTCOME_ANSWERED, false);
-    ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_PASS_ON);
-    ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_ANSWERED), CW_NEXT_PASS_ON);
-    ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_SILENT), CW_NEXT_WAIT); /* the answer may still arrive */
+    ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_RELAY);
+    ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_ANSWERED), CW_NEXT_RELAY);
+    ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_TIMEOUT), CW_NEXT_WAIT); /* the answer may still arrive */
     ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_BROKEN), CW_NEXT_END);
 }
 END_TEST
@@ -115,11 +115,11 @@
 
     for (index = 0; index < sizeof(promises) / sizeof(promises[0]); index++) {
         ck_assert(cw_status_promises_not_run(promises[index]));
-        ck_assert(!cw_answer_may_pass(false, promises[index]));
-        ck_assert(cw_answer_may_pass(true, promises[index]));
+        ck_assert(!cw_answer_may_be_relayed(false, promises[index]));
+        ck_assert(cw_answer_may_be_relayed(true, promises[index]));
     }
     for (index = 0; index < sizeof(others) / sizeof(others[0]); index++) {
-        ck_assert(cw_answer_may_pass(false, others[index]));
+        ck_assert(cw_answer_may_be_relayed(false, others[index]));
     }
 }
 END_TEST
--- a/tests/test_server_choice.c
+++ b/tests/test_server_choice.c
@@ -133,7 +133,7 @@
 
     fill(pool, "b");
     fill(pool, "c");
-    cw_server_pool_note_load(cw_server_pool_find(pool, "a"), &load, start);
+    cw_server_pool_record_load(cw_server_pool_find(pool, "a"), &load, start);
     ck_assert_str_eq(chosen(pool, NULL, start + CW_MS(50), &full), "none");
     ck_assert_str_eq(chosen(pool, NULL, start + CW_SECONDS(1), &full), "a");
     cw_server_pool_free(pool);
--- a/tests/test_server_signals.c
+++ b/tests/test_server_signals.c
@@ -93,9 +93,9 @@
     cw_server_limit_t limit = {0};
 
     ck_assert(!cw_server_limit_binds(&limit, start));
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 6, start, start), CW_LIMIT_BEGUN);
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 6, start + 1, start + 1), CW_LIMIT_UNCHANGED);
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 4, start + 2, start + 2), CW_LIMIT_CHANGED);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 6, start, start), CW_LIMIT_BEGUN);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 6, start + 1, start + 1), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 4, start + 2, start + 2), CW_LIMIT_CHANGED);
     ck_assert_double_eq(limit.per_s, 4);
     ck_assert(cw_server_limit_binds(&limit, start + CW_SECONDS(5)));
 }
@@ -105,12 +105,12 @@
 {
     cw_server_limit_t limit = {0};
 
-    (void)cw_server_limit_note_named(&limit, 4, start, start);
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 9, start - CW_MS(50), start + 1), CW_LIMIT_UNCHANGED);
-    ck_assert_int_eq(cw_server_limit_note_ended(&limit, start - CW_MS(50), start + 1), CW_LIMIT_UNCHANGED);
+    (void)cw_server_limit_record_named(&limit, 4, start, start);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 9, start - CW_MS(50), start + 1), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_ended(&limit, start - CW_MS(50), start + 1), CW_LIMIT_UNCHANGED);
     ck_assert_double_eq(limit.per_s, 4);
-    ck_assert_int_eq(cw_server_limit_note_ended(&limit, start + CW_MS(50), start + CW_MS(60)), CW_LIMIT_ENDED);
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 4, start + CW_MS(40), start + CW_MS(70)), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_ended(&limit, start + CW_MS(50), start + CW_MS(60)), CW_LIMIT_ENDED);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 4, start + CW_MS(40), start + CW_MS(70)), CW_LIMIT_UNCHANGED);
     ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(80)));
 }
 END_TEST
@@ -123,9 +123,9 @@
     for (round = 0; round < 50; round++) {
         cw_time_us_t now = start + round * CW_MS(300);
 
-        (void)cw_server_limit_note_named(&limit, 6, now, now);
-        ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, now + CW_MS(100)), CW_LIMIT_UNCHANGED);
-        ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, now + CW_MS(200)), CW_LIMIT_UNCHANGED);
+        (void)cw_server_limit_record_named(&limit, 6, now, now);
+        ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, now + CW_MS(100)), CW_LIMIT_UNCHANGED);
+        ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, now + CW_MS(200)), CW_LIMIT_UNCHANGED);
     }
     ck_assert(cw_server_limit_binds(&limit, start + 50 * CW_MS(300)));
 }
@@ -135,12 +135,12 @@
 {
     cw_server_limit_t limit = {0};
 
-    (void)cw_server_limit_note_named(&limit, 6, start, start);
-    ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, start + CW_MS(900)), CW_LIMIT_UNCHANGED);
-    ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, start + CW_MS(950)), CW_LIMIT_UNCHANGED);
-    ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, start + CW_MS(1050)), CW_LIMIT_ENDED);
+    (void)cw_server_limit_record_named(&limit, 6, start, start);
+    ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, start + CW_MS(900)), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, start + CW_MS(950)), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, start + CW_MS(1050)), CW_LIMIT_ENDED);
     ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(1050)));
-    ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, start + CW_MS(1060)), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, start + CW_MS(1060)), CW_LIMIT_UNCHANGED);
 }
 END_TEST
 
@@ -148,10 +148,10 @@
 {
     cw_server_limit_t limit = {0};
 
-    (void)cw_server_limit_note_named(&limit, 0, start, start);
+    (void)cw_server_limit_record_named(&limit, 0, start, start);
     ck_assert(cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_EXPIRY_MS) - 1));
     ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_EXPIRY_MS)));
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 0, start + CW_SECONDS(20), start + CW_SECONDS(20)),
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 0, start + CW_SECONDS(20), start + CW_SECONDS(20)),
                      CW_LIMIT_BEGUN);
 }
 END_TEST
--- a/tests/test_slot_limits.c
+++ b/tests/test_slot_limits.c
@@ -13,7 +13,7 @@
 static const cw_time_us_t start = CW_SECONDS(10);
 static const cw_time_us_t mean_time = CW_MS(WORK_MS);
 
-/** A counting node, and a node that continuously asks for slots of server a. */
+/** A broker, and a node that continuously asks for slots of server a. */
 typedef struct limit_fixture {
     cw_server_pool_t *pool;
     cw_slot_broker_t *broker;
@@ -60,7 +60,7 @@
     cw_server_pool_free(fixture->pool);
 }
 
-/* Another node becomes the counting node. */
+/* Another node becomes the broker. */
 static void replace_broker(limit_fixture_t *fixture)
 {
     cw_slot_broker_free(fixture->broker);
@@ -69,7 +69,7 @@
 
 static void name_limit(limit_fixture_t *fixture, double per_s, cw_time_us_t now)
 {
-    (void)cw_server_limit_note_named(&fixture->server->limit, per_s, now, now);
+    (void)cw_server_limit_record_named(&fixture->server->limit, per_s, now, now);
 }
 
 static cw_slot_outcome_t ask(limit_fixture_t *fixture, cw_time_us_t now)
@@ -161,13 +161,13 @@
     init(&fixture, "z1");
     name_limit(&fixture, 0, start);
     (void)ask_for(&fixture, start, CW_SECONDS(30));
-    ck_assert_uint_ge(fixture.count, 4); /* otherwise no node would learn that it accepts requests again */
+    ck_assert_uint_ge(fixture.count, 4); /* otherwise no node would know that it accepts requests again */
     ck_assert_uint_le(fixture.count, 6);
     clear(&fixture);
 }
 END_TEST
 
-START_TEST(limit_is_kept_while_the_counting_node_changes)
+START_TEST(limit_is_kept_while_the_broker_changes)
 {
     limit_fixture_t fixture;
     cw_time_us_t    now = start;
@@ -184,7 +184,7 @@
 }
 END_TEST
 
-START_TEST(counting_node_that_reaches_half_of_the_nodes_grants_half_of_a_limit)
+START_TEST(broker_that_reaches_half_of_the_nodes_grants_half_of_a_limit)
 {
     limit_fixture_t fixture;
 
@@ -254,8 +254,8 @@
 
     tcase_add_test(cases, limited_server_gets_as_many_requests_as_its_limit_allows);
     tcase_add_test(cases, server_with_a_limit_of_zero_gets_probe_requests);
-    tcase_add_test(cases, limit_is_kept_while_the_counting_node_changes);
-    tcase_add_test(cases, counting_node_that_reaches_half_of_the_nodes_grants_half_of_a_limit);
+    tcase_add_test(cases, limit_is_kept_while_the_broker_changes);
+    tcase_add_test(cases, broker_that_reaches_half_of_the_nodes_grants_half_of_a_limit);
     tcase_add_test(cases, changed_limit_applies_at_once);
     tcase_add_test(cases, ask_beyond_the_limit_is_refused_with_the_time_until_a_token);
     tcase_add_test(cases, limited_server_of_a_zone_without_nodes_is_counted_in_another_zone);
