--- a/src/proxy/engine.c
+++ b/src/proxy/engine.c
@@ -40,7 +40,7 @@
         return;
     }
     if (request->call != NULL && now >= request->repeat_at) {
-        cw_request_repeat_after_timeout(request);
+        cw_request_repeat_unanswered(request);
         return;
     }
     if (cw_request_waits_for_slot(request) && now >= request->claim.due) {
@@ -96,8 +96,8 @@
     engine->pool = pool;
     engine->upstream = upstream;
     engine->nodes = 1;
-    engine->last_ticket =
-        (uint32_t)(uv_hrtime() / 1000); /* brokers still hold slots of the previous process of this node */
+    /* Brokers still hold slots of the previous process of this node: its ticket numbers are not reused. */
+    engine->last_ticket = (uint32_t)(uv_hrtime() / 1000);
     engine->gate = cw_tenant_gate_create();
     engine->turns = cw_fair_turns_create();
     cw_engine_init_callers(engine);
--- a/src/proxy/engine_admission.c
+++ b/src/proxy/engine_admission.c
@@ -101,7 +101,7 @@
     }
 }
 
-/* Enters the request at the tenant's gate. Returns false if the gate refused it; it is answered then. */
+/* Enters the request at the tenant's gate. Returns false if the gate refused the request, which is then answered. */
 static bool enter_tenant_gate(cw_engine_t *engine, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound,
                               const cw_route_t *route, const cw_tenant_t *tenant, cw_tenant_count_t **count)
 {
--- a/src/proxy/engine_answer.c
+++ b/src/proxy/engine_answer.c
@@ -143,7 +143,7 @@
         return wait < retry_after_min ? retry_after_min : wait;
     }
     if (reason == CW_REFUSED_STOPPING || reason == CW_REFUSED_KEY_MOVED) {
-        return retry_after_min; /* any node can serve it, also this one if it keeps running */
+        return retry_after_min; /* any node can serve the request, also this one if the process keeps running */
     }
     if (reason == CW_REFUSED_LOAD && request->claim.free_after > 0) {
         wait = request->claim.free_after;
--- a/src/proxy/engine_attempt.c
+++ b/src/proxy/engine_attempt.c
@@ -67,13 +67,13 @@
 static void set_repeat_time(cw_request_t *request, cw_time_us_t now)
 {
     double expected = (double)request->route_state->mean_time * (request->server->pace > 1 ? request->server->pace : 1);
-    cw_time_us_t timeout = (cw_time_us_t)(expected * request->engine->settings.silence_factor);
+    cw_time_us_t delay = (cw_time_us_t)(expected * request->engine->settings.silence_factor);
 
     if (!request->route->repeatable) {
         request->repeat_at = CW_NEVER;
         return;
     }
-    request->repeat_at = now + (timeout < CW_MS(REPEAT_MIN_MS) ? CW_MS(REPEAT_MIN_MS) : timeout);
+    request->repeat_at = now + (delay < CW_MS(REPEAT_MIN_MS) ? CW_MS(REPEAT_MIN_MS) : delay);
 }
 
 static void count_sending(const cw_server_t *server, cw_time_us_t now)
--- a/src/proxy/engine_internal.h
+++ b/src/proxy/engine_internal.h
@@ -360,7 +360,7 @@
 /** Called when a call to a server has ended; context: the request. */
 void cw_request_answered(void *context, const cw_upstream_answer_t *answer);
 /** The server has not answered until repeat_at: repeats the request elsewhere if the rules and the budget allow it. */
-void cw_request_repeat_after_timeout(cw_request_t *request);
+void cw_request_repeat_unanswered(cw_request_t *request);
 
 /* ---- engine_signals.c ---- */
 /** Decodes and applies the signals in a server's answer. */
--- a/src/proxy/engine_outcome.c
+++ b/src/proxy/engine_outcome.c
@@ -81,13 +81,13 @@
     }
 }
 
-void cw_request_repeat_after_timeout(cw_request_t *request)
+void cw_request_repeat_unanswered(cw_request_t *request)
 {
     cw_time_us_t now = cw_engine_now(request->engine);
     cw_server_t *server = request->server;
 
     request->repeat_at = CW_NEVER;
-    if (!cw_request_is_caller_valid(request) || next_step(request, CW_OUTCOME_TIMEOUT, 0, now) != CW_NEXT_REPEAT) {
+    if (!cw_request_is_caller_valid(request) || next_step(request, CW_OUTCOME_UNRESPONSIVE, 0, now) != CW_NEXT_REPEAT) {
         cw_request_arm(request);
         return;
     }
@@ -140,7 +140,8 @@
     request->service->mean_time += ((cw_time_us_t)normal - request->service->mean_time) / MEAN_WEIGHT_DIVISOR;
 }
 
-/* Once a request may have run, it counts as possibly run until it ends. */
+/* Records whether the request may have run; a request that may have run counts as possibly run until it ends. Returns
+ * whether it may have run in this attempt. */
 static bool record_outcome(cw_request_t *request, cw_outcome_t outcome)
 {
     request->may_have_run = request->may_have_run || cw_outcome_may_have_run(outcome);
--- a/src/proxy/engine_placement.c
+++ b/src/proxy/engine_placement.c
@@ -114,7 +114,7 @@
         request->not_before = now + (reason == SERVER_RESTS ? cw_request_holdoff(request, now) : CW_MS(LIMIT_PAUSE_MS));
     }
     if (reason == PAUSED ||
-        request->attempts > 0) { /* a server may have run it: it may use all of its time to get an answer */
+        request->attempts > 0) { /* a server may have run the request, which may use all of its time to get an answer */
         cw_request_arm(request);
         return;
     }
--- a/src/proxy/engine_signals.c
+++ b/src/proxy/engine_signals.c
@@ -22,7 +22,7 @@
 
 /* ---- rate limits ---- */
 
-/* request: id of the request whose answer changed the limit; NULL: another node reported it. */
+/* Logs a change of the limit. request: id of the request whose answer changed it; NULL: another node reported it. */
 static void record_limit_change(cw_server_t *server, cw_limit_change_t change, const char *request)
 {
     static const char *const names[] = {"unchanged", "begun", "changed", "ended"};
@@ -73,8 +73,8 @@
 
 /* ---- leaving and rest ---- */
 
-/* request: id of the request whose answer announced it; NULL: another node reported it. Returns false if it was known
- * already. */
+/* Records and logs that a server leaves. request: id of the request whose answer announced that; NULL: another node
+ * reported it. Returns false if the leaving was known already. */
 static bool record_leaving(cw_engine_t *engine, uint32_t hash, const char *request)
 {
     const cw_server_t *server = cw_server_pool_find_hash(engine->pool, hash);
--- a/src/proxy/engine_slots.c
+++ b/src/proxy/engine_slots.c
@@ -24,7 +24,8 @@
     }
 }
 
-/* The only server that was acceptable in the last request for a slot; NULL: any server, or it is gone. */
+/* The only server that was acceptable in the last request for a slot; NULL: any server, or it is not listed any more.
+ */
 static cw_server_t *required_server(const cw_request_t *request)
 {
     return request->claim.server == 0
@@ -65,7 +66,7 @@
 
 static void refuse(cw_request_t *request, cw_time_us_t free_after, cw_time_us_t now)
 {
-    if (request->may_have_run) { /* it was taken from a server that was running it, so a refusal would be false */
+    if (request->may_have_run) { /* a server was running the request, so a refusal would be false */
         place_locally(request, now);
         return;
     }
@@ -93,13 +94,13 @@
     cw_server_t *required = request->is_keyed ? cw_request_owner(request) : required_server(request);
 
     if (request->is_keyed && (required == NULL || required->hash != request->claim.server)) {
-        cw_request_return_slot(request); /* its key has moved in the meantime, which says nothing about the broker */
+        cw_request_return_slot(request); /* its key has moved meanwhile, which is no sign of a failed broker */
         cw_request_place(request, now);
         return;
     }
     if (request->claim.state == CW_CLAIM_QUEUED && request->attempts > 0) {
-        request->claim.state =
-            CW_CLAIM_ASKED; /* the broker may keep it until its deadline: checks that it still replies */
+        /* The broker may keep the request queued until its deadline: checks that the broker still replies. */
+        request->claim.state = CW_CLAIM_ASKED;
         request->claim.asks = 0;
     }
     if (request->claim.state == CW_CLAIM_ASKED && request->claim.asks < ASKS_MAX) {
@@ -203,7 +204,7 @@
         return;
     }
     if (!cw_request_waits_for_slot(request)) {
-        return; /* the second reply to a request that was sent twice */
+        return; /* the second reply to a request for a slot that was sent twice */
     }
     required = required_server(request);
     if (required != NULL) {
--- a/src/proxy/request_rules.c
+++ b/src/proxy/request_rules.c
@@ -19,7 +19,7 @@
 
 cw_outcome_t cw_outcome_of_abandoned(bool any_byte_sent)
 {
-    return any_byte_sent ? CW_OUTCOME_TIMEOUT : CW_OUTCOME_UNSENT;
+    return any_byte_sent ? CW_OUTCOME_UNRESPONSIVE : CW_OUTCOME_UNSENT;
 }
 
 bool cw_outcome_may_have_run(cw_outcome_t outcome)
@@ -50,7 +50,7 @@
     switch (outcome) {
     case CW_OUTCOME_ANSWERED:
         return CW_NEXT_RELAY;
-    case CW_OUTCOME_TIMEOUT:
+    case CW_OUTCOME_UNRESPONSIVE:
         return CW_NEXT_WAIT;
     case CW_OUTCOME_UNSENT:
     case CW_OUTCOME_DENIED:
--- a/src/proxy/request_rules.h
+++ b/src/proxy/request_rules.h
@@ -17,8 +17,8 @@
  *    using the retry budget, while there is time.
  *  - Denied: the request has not run, because the server says so. It is repeated within the route's attempts, the time
  *    and the budget.
- *  - Timeout: the request may have run. It is repeated under the same conditions if the route is repeatable; otherwise
- *    the engine keeps waiting for the answer.
+ *  - Unresponsive: the request may have run. It is repeated under the same conditions if the route is repeatable;
+ * otherwise the engine keeps waiting for the answer.
  *  - Broken: the request may have run. It is repeated under the same conditions if the route is repeatable; otherwise
  *    it ends.
  *  - Answered: the request may have run. The answer is relayed; a 500 of a repeatable route is repeated under the
@@ -38,11 +38,11 @@
 
 /** How one attempt at a server ended. */
 typedef enum cw_outcome {
-    CW_OUTCOME_UNSENT,  /**< no connection was made, or the attempt was abandoned before a byte was sent */
-    CW_OUTCOME_DENIED,  /**< the server says that it did not run the request */
-    CW_OUTCOME_TIMEOUT, /**< no answer for far longer than the mean time, or abandoned after bytes were sent */
-    CW_OUTCOME_BROKEN,  /**< the connection ended before the answer was complete */
-    CW_OUTCOME_ANSWERED /**< a complete answer that does not say that the request was not run */
+    CW_OUTCOME_UNSENT,       /**< no connection was made, or the attempt was abandoned before a byte was sent */
+    CW_OUTCOME_DENIED,       /**< the server says that it did not run the request */
+    CW_OUTCOME_UNRESPONSIVE, /**< no answer for far longer than the mean time, or abandoned after bytes were sent */
+    CW_OUTCOME_BROKEN,       /**< the connection ended before the answer was complete */
+    CW_OUTCOME_ANSWERED      /**< a complete answer that does not say that the request was not run */
 } cw_outcome_t;
 
 /** The facts that decide whether another attempt is made. */
--- a/tests/engine_fixture.c
+++ b/tests/engine_fixture.c
@@ -251,7 +251,7 @@
     configure(fixture);
 }
 
-void engine_fixture_init_with_timeout(engine_fixture_t *fixture, double silence_factor)
+void engine_fixture_init_with_repeat_factor(engine_fixture_t *fixture, double silence_factor)
 {
     engine_fixture_setup_t setup = engine_fixture_default_setup();
 
--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -90,8 +90,8 @@
 /** Starts the default setup with the routes safe (repeatable), once (not repeatable), keyed, far and far-keyed
  * (restricted to the region of s1) and elsewhere (restricted to a region without servers). */
 void engine_fixture_init(engine_fixture_t *fixture);
-/** Like engine_fixture_init, with another silence_factor. */
-void engine_fixture_init_with_timeout(engine_fixture_t *fixture, double silence_factor);
+/** Like engine_fixture_init, with another silence_factor, which sets when unanswered requests are repeated. */
+void engine_fixture_init_with_repeat_factor(engine_fixture_t *fixture, double silence_factor);
 /** Like engine_fixture_init, with another crossing_ms_per_mb. */
 void engine_fixture_init_with_crossing(engine_fixture_t *fixture, double crossing_ms_per_mb);
 
--- a/tests/test_engine_callers.c
+++ b/tests/test_engine_callers.c
@@ -13,7 +13,7 @@
 
 enum { TEXT_BYTES = ENGINE_FIXTURE_TEXT_BYTES };
 
-static void init_with_timeout(engine_fixture_t *fixture, double silence_factor)
+static void init_with_repeat_factor(engine_fixture_t *fixture, double silence_factor)
 {
     engine_fixture_setup_t setup = {.servers = 1,
                                     .capacity = 1,
@@ -26,7 +26,7 @@
 
 static void init(engine_fixture_t *fixture)
 {
-    init_with_timeout(fixture, 1000);
+    init_with_repeat_factor(fixture, 1000);
 }
 
 /* ---- configurations ---- */
@@ -435,7 +435,7 @@
 {
     engine_fixture_t fixture;
 
-    init_with_timeout(&fixture, 0.01); /* would be repeated after 150 ms */
+    init_with_repeat_factor(&fixture, 0.01); /* would be repeated after 150 ms */
     use_keys(&fixture);
     (void)ask(&fixture, 0, "/safe/x", KEY);
     cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request);
--- a/tests/test_engine_outcomes.c
+++ b/tests/test_engine_outcomes.c
@@ -13,7 +13,7 @@
     engine_fixture_t fixture;
     cw_time_us_t     end;
 
-    engine_fixture_init_with_timeout(&fixture, 0.01);
+    engine_fixture_init_with_repeat_factor(&fixture, 0.01);
     (void)engine_fixture_ask(&fixture, "POST", "/once/x", "15000"); /* not repeatable: it stays at s0 */
     cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request);
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
--- a/tests/test_engine_slots.c
+++ b/tests/test_engine_slots.c
@@ -182,8 +182,8 @@
     uint32_t       asks;
 
     memset(&fake, 0, sizeof(fake));
-    engine_fixture_init_with_timeout(&fixture,
-                                     0.01); /* a repeatable request is repeated after the shortest possible time */
+    engine_fixture_init_with_repeat_factor(
+        &fixture, 0.01); /* a repeatable request is repeated after the shortest possible time */
     cw_engine_set_slots(fixture.engine, &port);
     fixture.servers[1].status = 200;
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
@@ -209,7 +209,7 @@
     cw_slot_port_t port = {.context = &fake, .broker_of = fake_broker_of, .ask = fake_ask, .give_back = fake_give_back};
 
     memset(&fake, 0, sizeof(fake));
-    engine_fixture_init_with_timeout(&fixture, 0.01);
+    engine_fixture_init_with_repeat_factor(&fixture, 0.01);
     cw_engine_set_slots(fixture.engine, &port);
     fixture.servers[1].status = 200;
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
--- a/tests/test_request_rules.c
+++ b/tests/test_request_rules.c
@@ -7,8 +7,8 @@
 
 enum { MAX_ATTEMPTS = 3 };
 
-static const cw_outcome_t outcomes[] = {CW_OUTCOME_UNSENT, CW_OUTCOME_DENIED, CW_OUTCOME_TIMEOUT, CW_OUTCOME_BROKEN,
-                                        CW_OUTCOME_ANSWERED};
+static const cw_outcome_t outcomes[] = {CW_OUTCOME_UNSENT, CW_OUTCOME_DENIED, CW_OUTCOME_UNRESPONSIVE,
+                                        CW_OUTCOME_BROKEN, CW_OUTCOME_ANSWERED};
 
 enum { OUTCOMES = sizeof(outcomes) / sizeof(outcomes[0]) };
 
@@ -79,7 +79,7 @@
     facts = make_facts(CW_OUTCOME_ANSWERED, false);
     ck_assert_int_eq(cw_step_after(&facts), CW_NEXT_RELAY);
     ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_ANSWERED), CW_NEXT_RELAY);
-    ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_TIMEOUT), CW_NEXT_WAIT); /* the answer may still arrive */
+    ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_UNRESPONSIVE), CW_NEXT_WAIT); /* the answer may still arrive */
     ck_assert_int_eq(cw_step_without_budget(CW_OUTCOME_BROKEN), CW_NEXT_END);
 }
 END_TEST
