--- a/src/proxy/engine.c
+++ b/src/proxy/engine.c
@@ -118,9 +118,9 @@
     cw_engine_check_callers(engine);
 }
 
-void cw_engine_set_nodes(cw_engine_t *engine, uint32_t nodes, uint32_t in_reach)
+void cw_engine_set_nodes(cw_engine_t *engine, uint32_t nodes, uint32_t reachable)
 {
-    double affinity = in_reach <= DIRECT_REPORT_NODES ? 0 : affinity_per_node * (in_reach - DIRECT_REPORT_NODES);
+    double affinity = reachable <= DIRECT_REPORT_NODES ? 0 : affinity_per_node * (reachable - DIRECT_REPORT_NODES);
 
     engine->nodes = nodes;
     engine->settings.choice.affinity = affinity > affinity_max ? affinity_max : affinity;
--- a/src/proxy/engine.h
+++ b/src/proxy/engine.h
@@ -150,7 +150,7 @@
 /** The number of reachable nodes is not known yet; many are assumed. */
 #define CW_NODES_UNKNOWN UINT32_MAX
 /** Sets the number of nodes that share limits, and the number of nodes that are reachable now. */
-void cw_engine_set_nodes(cw_engine_t *engine, uint32_t nodes, uint32_t in_reach);
+void cw_engine_set_nodes(cw_engine_t *engine, uint32_t nodes, uint32_t reachable);
 /** Replaces the table of a service's key ranges, sorted by key; the ranges are copied. */
 void cw_engine_set_table(cw_engine_t *engine, const char *service, const cw_key_route_t *routes, size_t count,
                          uint64_t version);
--- a/src/tenancy/quota_bucket.c
+++ b/src/tenancy/quota_bucket.c
@@ -10,9 +10,9 @@
 #include "base/memory.h"
 
 enum {
-    START_PHASE_MS = 500, /* two report intervals: by then every node that admits requests has reported */
+    START_PHASE_MS = 500, /* two report intervals: within it every node that admits requests has reported */
     FREE_AFTER_MS = 1000, /* a tenant is free after its level was above free_above for this time, which is longer than a
-                             lull in its requests */
+                             usual gap between its requests */
     /* Tokens returned later are ignored: twice the time for which nodes keep unused ones (quota_tokens.c) */
     TOKEN_LIFETIME_MS = 1000,
     MAX_RETRY_AFTER_MS = 5000 /* longest retry time given to a refused request: callers do not wait longer */
--- a/src/tenancy/quota_counter.c
+++ b/src/tenancy/quota_counter.c
@@ -24,7 +24,7 @@
     cw_quota_bucket_t  *buckets; /* one for each tenant with a limit */
     uint64_t            version; /* of the configuration in force */
     uint32_t            nodes;
-    uint32_t            in_reach;
+    uint32_t            reachable;
     cw_time_us_t        ticked_at;
     cw_time_us_t        forgotten_at;
 };
@@ -35,7 +35,7 @@
 
     counter->settings = *settings;
     counter->nodes = 1;
-    counter->in_reach = 1;
+    counter->reachable = 1;
     return counter;
 }
 
@@ -59,16 +59,16 @@
     free(counter);
 }
 
-void cw_quota_counter_set_nodes(cw_quota_counter_t *counter, uint32_t nodes, uint32_t in_reach)
+void cw_quota_counter_set_nodes(cw_quota_counter_t *counter, uint32_t nodes, uint32_t reachable)
 {
     counter->nodes = nodes == 0 ? 1 : nodes;
-    counter->in_reach = in_reach == 0 ? 1 : in_reach;
+    counter->reachable = reachable == 0 ? 1 : reachable;
 }
 
 /* Fraction of the limit that this counter gives out. */
 static double share_of(const cw_quota_counter_t *counter)
 {
-    double share = (double)counter->in_reach / counter->nodes;
+    double share = (double)counter->reachable / counter->nodes;
 
     return share >= full_share_reach ? 1 : share;
 }
--- a/src/tenancy/quota_counter.h
+++ b/src/tenancy/quota_counter.h
@@ -45,7 +45,7 @@
  * limit here. That node has a limit for the tenant and then admits its requests from its own part. */
 bool cw_quota_counter_is_outdated(const cw_quota_counter_t *counter, uint32_t tenant, uint64_t version);
 /** Sets how many nodes share the limits, and how many of them this one reaches, itself included. */
-void cw_quota_counter_set_nodes(cw_quota_counter_t *counter, uint32_t nodes, uint32_t in_reach);
+void cw_quota_counter_set_nodes(cw_quota_counter_t *counter, uint32_t nodes, uint32_t reachable);
 /** Applies the report of a node that has chosen this one as its counting node. Another incarnation is another process
  * on that node, whose counters start at zero. */
 void cw_quota_counter_report(cw_quota_counter_t *counter, uint32_t node, uint64_t incarnation,
--- a/src/tenancy/quota_redirects.c
+++ b/src/tenancy/quota_redirects.c
@@ -6,8 +6,8 @@
 
 enum {
     FIRST_REPLY_MS = 300,     /* time for the named node to send its first reply */
-    KEEP_CONFIRMED_MS = 1000, /* time after the named node's last reply for which the redirect holds: by then all nodes
-                                 know of a node that stopped (CW_PEER_TIMEOUT_MS) */
+    KEEP_CONFIRMED_MS = 1000, /* time after the named node's last reply for which the redirect holds: within it all
+                                 nodes notice that a node has stopped (CW_PEER_TIMEOUT_MS) */
     REPEATED_WITHIN_MS = 300  /* a second redirect within this time means that two nodes name each other; they agree
                                  after it, when their reports have reached each other */
 };
--- a/src/tenancy/quota_share.c
+++ b/src/tenancy/quota_share.c
@@ -18,8 +18,8 @@
     FORGET_AFTER_WINDOWS = 3
 };
 
-/* Multiple of what a report interval usually brings that is admitted without an ask. Twice the usual number comes now
- * and then without a particular cause, too. */
+/* Multiple of what a report interval usually brings that is admitted without an ask. Occasionally
+ * twice the usual number arrives without a particular cause. */
 static const double expected_factor = 1.5;
 /* Fraction of the depth of the bucket that one node admits without a reply */
 static const double unconfirmed_part = 0.5;
@@ -216,7 +216,8 @@
     bool is_lower = limit->rate_per_s < tenant->limit.rate_per_s || limit->burst < tenant->limit.burst;
 
     tenant->limit = *limit;
-    if (is_lower && tenant->mode == CW_QUOTA_FREE) { /* until the counting node says that the load is below it too */
+    if (is_lower &&
+        tenant->mode == CW_QUOTA_FREE) { /* until the counting node reports that the load is below the new limit too */
         cw_quota_set_mode(share, tenant, CW_QUOTA_METERED, now);
     }
 }
--- a/tests/engine_fixture.c
+++ b/tests/engine_fixture.c
@@ -79,7 +79,7 @@
     engine_server_t *server = context;
 
     (void)exchange;
-    server->gone++;
+    server->cancelled++;
 }
 
 static void start_server(engine_fixture_t *fixture, size_t index, cw_server_list_t *list, uint32_t capacity)
@@ -311,8 +311,8 @@
     return call;
 }
 
-/* An entry of the calls is used again after ENGINE_FIXTURE_CALLS others; by then its call was answered or abandoned by
- * the test. */
+/* An entry of the calls is used again after ENGINE_FIXTURE_CALLS others; its call must have been answered, or abandoned
+ * by the test, before that. */
 static cw_upstream_call_t *send_next(engine_fixture_t *fixture, const char *text, size_t length)
 {
     size_t number = fixture->next_call++ % ENGINE_FIXTURE_CALLS;
--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -27,9 +27,9 @@
     cw_http_listener_t *listener;
     char                id[24];
     char                address[32];
-    uint32_t            requests; /**< requests received */
-    uint32_t            gone;     /**< requests whose connection ended before an answer */
-    cw_http_exchange_t *exchange; /**< exchange of the last request */
+    uint32_t            requests;  /**< requests received */
+    uint32_t            cancelled; /**< requests whose connection ended before an answer */
+    cw_http_exchange_t *exchange;  /**< exchange of the last request */
     bool                has_request;
     char                deadline[32];                    /**< deadline field of the last request */
     char                target[64];                      /**< target field of the last request */
--- a/tests/process/lib/limited_tenant.sh
+++ b/tests/process/lib/limited_tenant.sh
@@ -11,7 +11,7 @@
 metric() { # NODE NAME
     curl -sf -m 1 "http://$NET.$1:8081/metrics" | awk -v m="$2" '$1 == m {print $2}'
 }
-all_in_touch() {
+all_reachable() {
     local n
     for n in "${!NODE_PIDS[@]}"; do [ "$(metric "$n" cedarwinch_peers)" = $((${#NODE_PIDS[@]} - 1)) ] || return 1; done
 }
--- a/tests/process/server_limit_restart_all.sh
+++ b/tests/process/server_limit_restart_all.sh
@@ -5,7 +5,7 @@
 COUNT=16 # so many that a broker hands out the slots of all servers
 BOUND_AGAIN_S=4
 monotonic_ms() { awk '{printf "%d", $1 * 1000}' /proc/uptime; } # on the clock of the servers' records
-note_nodes() { # EVENT: trouble or calm; records it for all nodes
+record_for_all_nodes() { # EVENT: trouble or calm; records it for all nodes
     local n
     for n in $(seq 1 "$COUNT"); do
         echo "{\"ns\":$(monotonic_ms)000000,\"event\":\"$1\",\"node\":\"$NET.$n:8080\"}" >>"$WORK/troubles.json"
@@ -24,12 +24,12 @@
 sleep 1
 kill -USR1 "${SERVER_PIDS[h1]}" "${SERVER_PIDS[h2]}" "${SERVER_PIDS[h3]}" # they now name a limit of 5 a second
 sleep 5
-note_nodes trouble
+record_for_all_nodes trouble
 for n in $(seq 1 "$COUNT"); do kill -KILL "${NODE_PIDS[$n]}"; done
 for n in $(seq 1 "$COUNT"); do start_node "$n"; done
 cluster_wait_ready
 sleep "$BOUND_AGAIN_S"
-note_nodes calm
+record_for_all_nodes calm
 calm_ns=$(monotonic_ms)000000
 wait "$callers"
 served_after() {
--- a/tests/process/tenant_limit_pair_cut.sh
+++ b/tests/process/tenant_limit_pair_cut.sh
@@ -7,7 +7,7 @@
 COUNT=${COUNT:-4} CUT_S=${CUT_S:-7}
 
 standard_cluster "$COUNT"
-wait_until_true all_in_touch
+wait_until_true all_reachable
 limited_callers limited $((2 * (COUNT - 1) * (CUT_S + 2) + 4)) &
 callers=$!
 wait_until_true one_counts
@@ -19,7 +19,7 @@
         link "$cut" "n$counter" "n$other"
         sleep "$CUT_S"
         link heal
-        wait_until_true all_in_touch
+        wait_until_true all_reachable
         sleep 0.5
     done
 done
--- a/tests/quota_sim.c
+++ b/tests/quota_sim.c
@@ -294,34 +294,35 @@
     return receives_from(node, other) || has_detour(node, other);
 }
 
-static bool is_in_touch(const quota_sim_node_t *node, size_t other)
+static bool is_reachable(const quota_sim_node_t *node, size_t other)
 {
-    bool has_old_limits =
+    bool is_unresponsive =
         !node->reaches[other] && node->sim->now - node->reach_changed[other] >= CW_MS(QUOTA_SIM_SUSPECT_MS);
 
-    return (receives_from(node, other) && !has_old_limits && !is_missed_by(node, other)) || has_detour(node, other);
+    return (receives_from(node, other) && !is_unresponsive && !is_missed_by(node, other)) || has_detour(node, other);
 }
 
-static uint32_t count_in_touch(const quota_sim_node_t *node)
+static uint32_t count_reachable_nodes(const quota_sim_node_t *node)
 {
     uint32_t count = 0;
     size_t   other;
 
     for (other = 0; other < node->sim->node_count; other++) {
-        count += is_in_touch(node, other) ? 1 : 0;
+        count += is_reachable(node, other) ? 1 : 0;
     }
     return count;
 }
 
 static bool declines(const quota_sim_node_t *node)
 {
-    return node->sim->new_nodes_decline && !cw_fleet_size_is_reached(&node->fleet_size, node->in_touch, node->sim->now);
+    return node->sim->new_nodes_decline &&
+           !cw_fleet_size_is_reached(&node->fleet_size, node->reachable_nodes, node->sim->now);
 }
 
 /* Number of nodes that share the limits, as far as the node knows. */
 static uint32_t node_count_known_to(const quota_sim_node_t *node)
 {
-    uint32_t nodes = cw_fleet_size_nodes(&node->fleet_size, node->max_in_touch, node->sim->now);
+    uint32_t nodes = cw_fleet_size_nodes(&node->fleet_size, node->max_reachable_nodes, node->sim->now);
 
     return declines(node) && node->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
@@ -548,9 +549,10 @@
 static void update_node_counts(quota_sim_node_t *node)
 {
     receive_fleet_size(node);
-    node->in_touch = count_in_touch(node);
-    node->max_in_touch = node->in_touch > node->max_in_touch ? node->in_touch : node->max_in_touch;
-    cw_quota_counter_set_nodes(node->counter, node_count_known_to(node), node->in_touch);
+    node->reachable_nodes = count_reachable_nodes(node);
+    node->max_reachable_nodes =
+        node->reachable_nodes > node->max_reachable_nodes ? node->reachable_nodes : node->max_reachable_nodes;
+    cw_quota_counter_set_nodes(node->counter, node_count_known_to(node), node->reachable_nodes);
     cw_quota_share_set_nodes(node->share, node_count_known_to(node));
 }
 
@@ -589,8 +591,8 @@
     node->share = cw_quota_share_create(&sim->settings, &port, node->address, node->incarnation);
     node->counter = cw_quota_counter_create(&sim->settings);
     node->detours = cw_detours_create();
-    node->in_touch = 1;
-    node->max_in_touch = 1;
+    node->reachable_nodes = 1;
+    node->max_reachable_nodes = 1;
     cw_fleet_size_init(&node->fleet_size, CW_SECONDS(OWN_COUNT_S), sim->now);
     forget_peers(node);
     set_limits(node);
--- a/tests/quota_sim.h
+++ b/tests/quota_sim.h
@@ -18,7 +18,7 @@
     QUOTA_SIM_MAX_SECONDS = 60,
     QUOTA_SIM_STEP_MS = 5,
     QUOTA_SIM_MAX_STEPS = QUOTA_SIM_MAX_SECONDS * 1000 / QUOTA_SIM_STEP_MS,
-    QUOTA_SIM_PEER_LOSS_MS = 1000,  /* after this time a node that is gone is lost as a peer */
+    QUOTA_SIM_PEER_LOSS_MS = 1000,  /* after this time a node that has ended is lost as a peer */
     QUOTA_SIM_PEER_RETURN_MS = 150, /* after this time a node that is back is known as a peer */
     QUOTA_SIM_SUSPECT_MS = 500      /* a node that was not received from for this time is probed through others */
 };
@@ -53,8 +53,8 @@
     cw_quota_counter_t *counter;
     cw_detours_t       *detours;
     cw_fleet_size_t     fleet_size;
-    uint32_t            in_touch;
-    uint32_t            max_in_touch;
+    uint32_t            reachable_nodes;
+    uint32_t            max_reachable_nodes;
     cw_time_us_t        reach_changed[QUOTA_SIM_MAX_NODES];
     bool                reaches[QUOTA_SIM_MAX_NODES];
     uint32_t            waiting[QUOTA_SIM_MAX_TENANTS];
@@ -72,14 +72,14 @@
     uint64_t             random;
     cw_quota_settings_t  settings;
     size_t               node_count;
-    size_t               capable; /* the first nodes, this many, are preferred as counting nodes */
+    size_t               capable; /* number of nodes, the first ones, that are preferred as counting nodes */
     quota_sim_node_t     nodes[QUOTA_SIM_MAX_NODES];
     size_t               tenant_count;
     quota_sim_tenant_t   tenants[QUOTA_SIM_MAX_TENANTS];
     cw_quota_limit_t     old_limits[QUOTA_SIM_MAX_TENANTS]; /* for nodes with has_old_limits */
     double               loss;
-    cw_time_us_t         reconnect_range;   /* up to this much later others know of a node that is back */
-    bool                 new_nodes_decline; /* a started node counts only when it is in touch with nearly all */
+    cw_time_us_t         reconnect_range;   /* a node that is back is known to others after up to this time more */
+    bool                 new_nodes_decline; /* a started node counts only when it reaches nearly all others */
     cw_time_us_t         size_known_after;  /* from its start until a node learns the number of nodes; below 0: never */
     quota_sim_message_t *messages;
     size_t               sent; /* datagrams between nodes */
--- a/tests/test_engine_leaving.c
+++ b/tests/test_engine_leaving.c
@@ -15,7 +15,7 @@
     call = engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until_set(&fixture.loop, &fixture.servers[0].has_request);
     cw_upstream_call_abandon(call);
-    while (fixture.servers[0].gone == 0) {
+    while (fixture.servers[0].cancelled == 0) {
         uv_run(&fixture.loop, UV_RUN_ONCE);
     }
     ck_assert_uint_eq(cw_engine_requests(fixture.engine), 0);
--- a/tests/test_engine_outcomes.c
+++ b/tests/test_engine_outcomes.c
@@ -19,7 +19,7 @@
     (void)engine_fixture_ask(&fixture, "GET", "/safe/x", "15000");
     cw_test_run_until_set(&fixture.loop, &fixture.servers[1].has_request);
     cw_engine_set_queued_elsewhere(fixture.engine, "service", 100000);
-    while (fixture.servers[1].gone == 0) { /* until it is taken from s1, which does not answer */
+    while (fixture.servers[1].cancelled == 0) { /* until the request is taken from s1, which does not answer */
         cw_test_run_some(&fixture.loop, 1);
         usleep(ENGINE_FIXTURE_PAUSE_US);
     }
--- a/tests/test_quota_share.c
+++ b/tests/test_quota_share.c
@@ -137,7 +137,7 @@
 }
 END_TEST
 
-/* The counting node is gone, and no other one is known. */
+/* The counting node is lost, and no other one is known. */
 START_TEST(waiting_requests_are_decided_when_no_node_counts_any_more)
 {
     quota_sent_t      sent = {.counter = COUNTER};
