--- a/tests/process/pipelined_stop.sh
+++ b/tests/process/pipelined_stop.sh
@@ -10,7 +10,7 @@
 (cluster_callers piped --pipeline 6 --rate 90 --count 1500) &
 callers=$!
 for n in 1 2 3; do
-    sleep 1 # so that requests are under way at the stop
+    sleep 1 # so that requests are in flight at the stop
     kill -TERM "${NODE_PIDS[$n]}"
     wait "${NODE_PIDS[$n]}"
     check "node $n exits by itself with status 0" [ $? = 0 ]
