--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -32,16 +32,18 @@
 /** Kind of the objects in the store that hold the assignments of a service. */
 #define CW_ASSIGNMENTS_KIND "assignments"
 
+/** Kind of an order to a server. */
 typedef enum cw_order_kind { CW_ORDER_GRANT, CW_ORDER_RELEASE } cw_order_kind_t;
 
+/** Result of an order. */
 typedef enum cw_order_result {
     CW_ORDER_DONE,
-    CW_ORDER_FENCED,            /**< a higher fence was seen on one of the keys */
-    CW_ORDER_OTHER_INCARNATION, /**< not done: another incarnation answers at the address, so the addressed one has
-                                   ended */
-    CW_ORDER_REFUSED,           /**< not done: any other answer */
-    CW_ORDER_NOT_SENT,          /**< certainly no byte of it was sent */
-    CW_ORDER_UNANSWERED         /**< may have been carried out, or may be seconds later */
+    CW_ORDER_FENCED, /**< not done: the server has seen a higher fence for one of the keys */
+    /** Not done: another incarnation answers at the address, so the addressed one has ended. */
+    CW_ORDER_OTHER_INCARNATION,
+    CW_ORDER_REFUSED,   /**< not done: any other answer */
+    CW_ORDER_NOT_SENT,  /**< certainly no byte of the order was sent */
+    CW_ORDER_UNANSWERED /**< the server may have carried out the order, or may do so seconds later */
 } cw_order_result_t;
 
 /** An order to a server about a range of keys. */
@@ -55,18 +57,19 @@
     uint64_t        fence;
     cw_time_us_t    hold;
     char            handover[CW_HANDOVER_MAX];
-    bool            fresh; /**< must use a new connection, since the last order got no answer */
+    bool            fresh; /**< a new connection must be used, since recent orders about the range have failed */
     cw_time_us_t    timeout;
     cw_time_us_t    sent_at;
     cw_time_us_t    hold_until_before; /**< end of the owner's hold if this order is not sent */
 } cw_order_t;
 
+/** Times that an assigner uses. */
 typedef struct cw_assigner_settings {
-    cw_time_us_t hold;      /**< of grants while the store answers */
-    cw_time_us_t hold_long; /**< of grants while the store does not answer */
-    cw_time_us_t max_hold;  /**< longest hold that servers accept */
-    cw_time_us_t renew_every;
-    cw_time_us_t order_timeout; /**< of a grant */
+    cw_time_us_t hold;          /**< hold of a grant while the store answers */
+    cw_time_us_t hold_long;     /**< hold of a grant while the store does not answer */
+    cw_time_us_t max_hold;      /**< longest hold that servers accept */
+    cw_time_us_t renew_every;   /**< shortest interval between the renewals of a range */
+    cw_time_us_t order_timeout; /**< timeout of a grant */
     cw_time_us_t release_timeout;
     cw_time_us_t late_order_time; /**< longest time after which a server may still carry out an unanswered order */
     cw_time_us_t table_validity;  /**< for how long a node may route by its table without a heartbeat of the leader */
@@ -76,14 +79,17 @@
 typedef struct cw_assigner_ports {
     void            *context;
     cw_store_port_t *store;
-    void (*order)(void *context, const cw_order_t *order); /**< sends it; cw_assigner_order_done must follow, once */
-    void (*changed)(void *context);                        /**< the ranges that requests are routed by have changed */
+    void (*order)(void             *context,
+                  const cw_order_t *order); /**< sends an order; cw_assigner_order_done must follow once */
+    void (*changed)(void *context);         /**< the ranges that requests are routed by have changed */
     /** Logs one decision: the name of the event and a detail. */
     void (*note)(void *context, const char *service, const char *event, const cw_range_t *range, const char *detail);
 } cw_assigner_ports_t;
 
+/** Assigner of one service. */
 typedef struct cw_assigner cw_assigner_t;
 
+/** State of the service's record in the store, as far as the assigner knows it. */
 typedef enum cw_assigner_state {
     CW_ASSIGNER_NEW,     /**< the record has not been read yet */
     CW_ASSIGNER_CALLING, /**< a store call is in flight, or its outcome is unknown */
@@ -95,20 +101,20 @@
 /** Creates an assigner for a service. term, incarnation: of the leader, written into the record. */
 cw_assigner_t *cw_assigner_create(const char *service, uint64_t term, uint64_t incarnation,
                                   const cw_assigner_settings_t *settings, const cw_assigner_ports_t *ports);
-/** Ends the assigner. A store reply that arrives later is discarded by the assigner, results of orders by the caller.
+/** Ends the assigner. It discards a reply of the store that arrives later; the caller discards later results of orders.
  */
 void cw_assigner_free(cw_assigner_t *assigner);
 
-/** Makes the store call and sends the orders that are due. able: the leader has authority now. long_hold: the store
- * does not answer. */
-void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool able, bool long_hold,
+/** Makes the store call and sends the orders that are due. has_authority: the leader has authority now. long_hold: the
+ * store does not answer. */
+void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool has_authority, bool long_hold,
                       cw_time_us_t now);
-/** Handles the result of an order. handover: of a release that was carried out; NULL: none. */
+/** Handles the result of an order. handover: the server's handover after a release that was carried out; NULL: none. */
 void cw_assigner_order_done(cw_assigner_t *assigner, uint64_t order, cw_order_result_t result, const char *handover,
                             cw_time_us_t now);
 
-/** Limits renewals to this many orders per second. The pause between the renewals of a range then increases with the
- * number of ranges, and the holds with it, up to the longest hold that servers accept. */
+/** Limits renewals to this many orders per second. The interval between the renewals of a range then increases with
+ * the number of ranges, and the holds with it, up to the longest hold that servers accept. */
 void cw_assigner_set_renewal_rate(cw_assigner_t *assigner, double orders_per_s);
 
 /** Returns the state of the record, as far as this leader knows it. */
@@ -119,24 +125,25 @@
 const cw_range_list_t *cw_assigner_ranges(const cw_assigner_t *assigner);
 /** Whether a plan can be made now. False while a write is in flight. */
 bool cw_assigner_may_plan(const cw_assigner_t *assigner);
-/** First assignment of all keys, in equal parts. Only when the state is CW_ASSIGNER_EMPTY. */
+/** Plans and submits the first assignment of all keys, in equal parts. Only when the state is CW_ASSIGNER_EMPTY. */
 void cw_assigner_plan_first(cw_assigner_t *assigner, const cw_server_entry_t *const *servers, size_t count,
                             cw_time_us_t now);
 /** Adds a move to the plan: keys low to last, which lie within one range, are assigned to `to`. */
 void cw_assigner_plan_move(cw_assigner_t *assigner, uint32_t low, uint32_t last, const cw_server_entry_t *to,
                            const cw_server_list_t *servers);
-/** Adds a merge to the plan: the range of key `low` and the next one become one. False: they have different owners, or
- * one of them is not held or is being moved. */
+/** Adds a merge to the plan: the range of key `low` and the next one become one. False: the two have different owners,
+ * or one of them is not held or is being moved. */
 bool cw_assigner_plan_merge(cw_assigner_t *assigner, uint32_t low);
-/** Writes the plan, unless it is empty. */
+/** Submits the plan, which is written as soon as the store can be called, unless it is empty. */
 void cw_assigner_plan_write(cw_assigner_t *assigner, cw_time_us_t now);
-/** Whether this range may be moved for balance. */
+/** Whether this range may be moved for balance: its owner holds it, its last order did not fail, and no unanswered
+ * order can still have an effect. */
 bool cw_assigner_is_settled(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now);
 /** Whether the record still names former holders that have released their keys, so that it should be rewritten. */
 bool cw_assigner_is_stale(const cw_assigner_t *assigner, cw_time_us_t now);
 /** Plans a rewrite of the record without any change of owners. */
 void cw_assigner_plan_rewrite(cw_assigner_t *assigner);
-/** Share of the ranges whose owners have not answered orders for some time. */
+/** Share of the ranges whose orders have failed for more than a second. */
 double cw_assigner_failing_share(const cw_assigner_t *assigner, cw_time_us_t now);
 
 #endif
--- a/src/assignment/assigner_commit.c
+++ b/src/assignment/assigner_commit.c
@@ -72,9 +72,9 @@
     }
 }
 
-/* Sets the state of all ranges after an earlier leader's record was adopted. Only the record tells what that leader
- * did. It sent its last grant before this leader took the lock, so holds are counted from there; the time that the
- * write of the record took does not lengthen them. */
+/* Sets the state of all ranges after an earlier leader's record was adopted. Only the record shows what that leader
+ * did. It sent its last grant before this leader took the lock, so holds are counted from this leader's first tick with
+ * authority; the time that the write of the record took does not lengthen them. */
 static void commit_adoption(cw_assigner_t *assigner, cw_time_us_t now)
 {
     size_t index;
--- a/src/assignment/assigner_internal.h
+++ b/src/assignment/assigner_internal.h
@@ -28,18 +28,19 @@
     double                 orders_per_s; /**< limit for renewals; 0: no limit */
     uint64_t               last_write;
     cw_time_us_t           stale_since; /**< when a move ended that the record still shows as unfinished; 0: none */
-    cw_time_us_t           retry_at;
-    cw_time_us_t           now;
-    cw_time_us_t           led_since; /**< first tick with authority; earlier leaders had lost theirs. 0: none yet */
-    cw_time_us_t first_grant_at;      /**< no range is granted before, since former owners are unknown; 0: no limit */
-    cw_order_t  *orders;              /**< in flight */
+    cw_time_us_t           retry_at;    /**< no store call is made before this time */
+    cw_time_us_t           now;         /**< latest time that a caller has passed */
+    /** Time of the first tick with authority. Earlier leaders had lost their authority by this time. 0: none yet. */
+    cw_time_us_t led_since;
+    cw_time_us_t first_grant_at; /**< no range is granted before, since former owners are unknown; 0: no limit */
+    cw_order_t  *orders;         /**< in flight */
     size_t       order_count;
     size_t       order_capacity;
     uint64_t     last_order;
 };
 
 /* ---- assigner.c ---- */
-/** Frees the assigner immediately. */
+/** Frees the assigner immediately. No store call may be in flight. */
 void cw_assigner_free_now(cw_assigner_t *assigner);
 /** Whether an unanswered order can still be carried out, or a hold that it gave can still be in force. */
 bool cw_assigner_late_order_possible(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now);
--- a/src/assignment/assigner_orders.c
+++ b/src/assignment/assigner_orders.c
@@ -10,11 +10,11 @@
 #include "base/memory.h"
 
 enum {
-    RESEND_MS = 150,
-    RESEND_NOT_SENT_MS = 250,
+    RESEND_MS = 150,          /* time until an order is sent again that got no answer or was refused */
+    RESEND_NOT_SENT_MS = 250, /* the same for a grant that was not sent or was fenced, or whose owner has ended */
     INITIAL_ORDER_CAPACITY = 32,
-    ORDERS_IN_FLIGHT_MAX = 512, /* the results of so many are handled well within the timeout of an order */
-    FAILING_MS = 1000
+    ORDERS_IN_FLIGHT_MAX = 512, /* the results of this many orders are handled well within the timeout of an order */
+    FAILING_MS = 1000           /* a range counts as failing once its orders have failed for longer than this */
 };
 
 /* ---- sending ---- */
@@ -56,30 +56,30 @@
     assigner->ports.order(assigner->ports.context, &copy);
 }
 
-/* ---- how often ---- */
+/* ---- intervals and holds ---- */
 
-/* Pause between the renewals of a range. It increases with the number of ranges, so that all renewals together stay
+/* Interval between the renewals of a range. It increases with the number of ranges, so that all renewals together stay
  * within orders_per_s. */
-static cw_time_us_t renew_pause(const cw_assigner_t *assigner)
+static cw_time_us_t renewal_interval(const cw_assigner_t *assigner)
 {
     const cw_assigner_settings_t *settings = &assigner->settings;
     cw_time_us_t                  longest = settings->max_hold - (settings->hold - settings->renew_every);
-    cw_time_us_t                  paced;
+    cw_time_us_t                  rate_limited;
 
     if (assigner->orders_per_s <= 0) {
         return settings->renew_every;
     }
-    paced = (cw_time_us_t)((double)assigner->record.ranges.count / assigner->orders_per_s * 1e6);
-    paced = paced > longest ? longest : paced;
-    return paced > settings->renew_every ? paced : settings->renew_every;
+    rate_limited = (cw_time_us_t)((double)assigner->record.ranges.count / assigner->orders_per_s * 1e6);
+    rate_limited = rate_limited > longest ? longest : rate_limited;
+    return rate_limited > settings->renew_every ? rate_limited : settings->renew_every;
 }
 
-/* Hold of the next grant. It is lengthened with the renewal pause, so that after a failed renewal as much of the hold
- * is left as with few ranges. */
+/* Hold of the next grant. It is lengthened with the renewal interval, so that after a failed renewal as much of the
+ * hold is left as with few ranges. */
 static cw_time_us_t grant_hold(const cw_assigner_t *assigner, bool long_hold)
 {
     const cw_assigner_settings_t *settings = &assigner->settings;
-    cw_time_us_t                  hold = settings->hold + renew_pause(assigner) - settings->renew_every;
+    cw_time_us_t                  hold = settings->hold + renewal_interval(assigner) - settings->renew_every;
 
     return long_hold && settings->hold_long > hold ? settings->hold_long : hold;
 }
@@ -98,11 +98,11 @@
     cw_time_us_t before = range->hold_until;
 
     range->hold_until = until > before ? until : before;
-    range->next_order = now + renew_pause(assigner);
+    range->next_order = now + renewal_interval(assigner);
     send_order(assigner, range, CW_ORDER_GRANT, &range->owner, hold, before, now);
 }
 
-/* ---- what is due for a range ---- */
+/* ---- the order that is due for a range ---- */
 
 static void finish_release(cw_assigner_t *assigner, cw_range_t *range, const char *why, cw_time_us_t now)
 {
@@ -250,7 +250,7 @@
     range->confirmed_at = order->sent_at;
     range->phase = CW_RANGE_HELD;
     range->fence_used = true;
-    range->next_order = order->sent_at + renew_pause(assigner);
+    range->next_order = order->sent_at + renewal_interval(assigner);
     if (first) {
         assigner->ports.note(assigner->ports.context, assigner->service, "granted", range,
                              range->handover[0] == '\0' ? "without handover" : "with handover");
--- a/src/assignment/assigner_record.c
+++ b/src/assignment/assigner_record.c
@@ -44,19 +44,19 @@
     cw_assigner_begin_write(assigner);
 }
 
-/* A fence above all that may have been assigned, for when the record cannot be read. Each term has a range of 2^32
- * fences, more than a term assigns. */
+/* Returns a fence above all that may have been assigned; used when the record cannot be decoded. Each term has a range
+ * of 2^32 fences, more than a term assigns. */
 static uint64_t first_free_fence(const cw_assigner_t *assigner)
 {
-    uint64_t given = assigner->plan.last_fence > assigner->record.last_fence ? assigner->plan.last_fence
-                                                                             : assigner->record.last_fence;
+    uint64_t assigned = assigner->plan.last_fence > assigner->record.last_fence ? assigner->plan.last_fence
+                                                                                : assigner->record.last_fence;
     uint64_t first = assigner->term << TERM_FENCE_BITS;
 
-    return first > given ? first : given;
+    return first > assigned ? first : assigned;
 }
 
-/* The record cannot be read, so the owners are unknown: all keys are assigned again. They are granted after the last
- * holds have ended that an earlier leader, or this one, may have given. */
+/* Called when the record cannot be decoded, so that the owners are unknown: all keys are assigned again. They are
+ * granted after the last holds have expired that an earlier leader, or this one, may have granted. */
 static void discard_owners(cw_assigner_t *assigner, cw_time_us_t now)
 {
     cw_range_t   all_keys = {.low = 0, .last = CW_KEY_LAST};
--- a/src/assignment/assigner_tick.c
+++ b/src/assignment/assigner_tick.c
@@ -4,11 +4,11 @@
  */
 #include "assignment/assigner_internal.h"
 
-void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool able, bool long_hold,
+void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool has_authority, bool long_hold,
                       cw_time_us_t now)
 {
     assigner->now = now;
-    if (!able || assigner->state == CW_ASSIGNER_DEPOSED) {
+    if (!has_authority || assigner->state == CW_ASSIGNER_DEPOSED) {
         return;
     }
     if (assigner->led_since == 0) {
--- a/src/assignment/range.h
+++ b/src/assignment/range.h
@@ -24,12 +24,14 @@
     uint64_t fence; /**< with which the range was granted to it */
 } cw_holder_t;
 
+/** Phase of a range's assignment to its owner. */
 typedef enum cw_range_phase {
     CW_RANGE_RELEASING, /**< the former holder has to release the range, or its hold has to expire */
     CW_RANGE_GRANTING,  /**< the owner has not confirmed the grant yet */
     CW_RANGE_HELD
 } cw_range_phase_t;
 
+/** Consecutive keys with one owner. */
 typedef struct cw_range {
     uint32_t    low;
     uint32_t    last;
@@ -42,17 +44,18 @@
     char             handover[CW_HANDOVER_MAX];
     cw_time_us_t     former_until; /**< when the former holder's hold has certainly expired */
     cw_time_us_t     hold_until; /**< when the owner's hold has certainly expired, for any outcome of the orders sent */
-    cw_time_us_t     confirmed_at; /**< sending time of the last grant that the owner confirmed; 0: none */
-    cw_time_us_t     next_order;
-    cw_time_us_t     failing_since; /**< since when orders to the owner have failed; 0: they do not */
+    cw_time_us_t     confirmed_at;  /**< sending time of the last grant that the owner confirmed; 0: none */
+    cw_time_us_t     next_order;    /**< when the next order is due */
+    cw_time_us_t     failing_since; /**< since when orders about this range have failed; 0: the last one did not */
     cw_time_us_t     unanswered_at; /**< last order to the owner that it may still carry out; 0: none */
-    cw_time_us_t     moved_at;
-    bool             owner_ended; /**< another incarnation answers at the owner's address */
-    bool             fence_used;  /**< an order with the owner's fence may have reached its address */
-    bool             needs_fence; /**< a later incarnation may answer there: no more grants with this fence */
+    cw_time_us_t     moved_at;      /**< when the present owner and fence were committed */
+    bool             owner_ended;   /**< another incarnation answers at the owner's address */
+    bool             fence_used;    /**< an order with the owner's fence may have reached its address */
+    bool             needs_fence; /**< a later incarnation may answer at the address: no more grants with this fence */
     uint32_t         orders;      /**< in flight */
 } cw_range_t;
 
+/** The ranges of a service, sorted by key. */
 typedef struct cw_range_list {
     cw_range_t *items;
     size_t      count;
@@ -62,7 +65,7 @@
 /** The stored record of a service's assignments. */
 typedef struct cw_assignment_record {
     uint64_t        term;       /**< of the leader that wrote it */
-    uint64_t        write;      /**< number of the write within that leader's incarnation */
+    uint64_t        write;      /**< sequence number of the write within that leader's incarnation */
     uint64_t        writer;     /**< incarnation of that leader */
     uint64_t        last_fence; /**< highest fence assigned so far */
     cw_range_list_t ranges;
--- a/src/lease/leadership.c
+++ b/src/lease/leadership.c
@@ -10,15 +10,15 @@
 #include <string.h>
 
 enum {
-    DRIFT_PERCENT = 2, /* largest difference in rate between two clocks */
-    TAKE_SLACK_MS = 50,
+    DRIFT_PERCENT = 2,  /* largest difference in rate between two clocks */
+    TAKE_SLACK_MS = 50, /* added to the hold and the drift before another node's lock is taken */
     RETRY_INITIAL_MS = 50,
     RETRY_DOUBLINGS = 5,
-    RETRIES_PER_HOLD = 12,         /* least number of attempts in a hold of a leader that gets no answer */
-    FIRST_PAUSE_FOLLOWERS = 8,     /* followers that read a vacant lock within the first RETRY_INITIAL_MS */
-    PAUSE_DOUBLING_FOLLOWERS = 16, /* number of followers with which the pause between their reads has doubled */
-    READ_RECENT_MS = 300,          /* a slow call to the store and a tick */
-    LONG_AGO_S = 3600
+    RETRIES_PER_HOLD = 12,            /* least number of attempts in a hold of a leader that gets no answer */
+    FIRST_INTERVAL_FOLLOWERS = 8,     /* followers that read a vacant lock within the first RETRY_INITIAL_MS */
+    INTERVAL_DOUBLING_FOLLOWERS = 16, /* number of followers with which the interval between their reads has doubled */
+    READ_RECENT_MS = 300,             /* a slow call to the store and a tick */
+    LONG_AGO_S = 3600                 /* at the start the last heartbeat counts as received this long ago */
 };
 
 /* ---- the lock's value ---- */
@@ -67,7 +67,8 @@
 
 /* ---- state ---- */
 
-/* This node's offset within a period over which the nodes spread their reads. */
+/* This node's offset within a time over which the nodes spread their reads, so that they do not all call the store at
+ * once. */
 static cw_time_us_t offset_within(const cw_leadership_t *leadership, cw_time_us_t time)
 {
     return time <= 0 ? 0 : (cw_time_us_t)(leadership->settings.incarnation % (uint64_t)time);
@@ -101,13 +102,13 @@
     }
 }
 
-void cw_leadership_receive_heartbeat(cw_leadership_t *leadership, uint64_t term, uint64_t revision, bool able,
+void cw_leadership_receive_heartbeat(cw_leadership_t *leadership, uint64_t term, uint64_t revision, bool has_authority,
                                      cw_time_us_t now)
 {
     if (leadership->leading || term < leadership->lock.term) {
         return;
     }
-    if (able) {
+    if (has_authority) {
         leadership->last_received_at = now;
     }
     leadership->received_term = term > leadership->received_term ? term : leadership->received_term;
@@ -121,7 +122,7 @@
  * differ, and most of them receive the new leader's heartbeat before theirs ends. */
 static cw_time_us_t take_offset(const cw_leadership_t *leadership)
 {
-    return offset_within(leadership, CW_MS(RETRY_INITIAL_MS) * leadership->followers / FIRST_PAUSE_FOLLOWERS);
+    return offset_within(leadership, CW_MS(RETRY_INITIAL_MS) * leadership->followers / FIRST_INTERVAL_FOLLOWERS);
 }
 
 void cw_leadership_receive_step_down(cw_leadership_t *leadership, cw_time_us_t now)
@@ -154,11 +155,11 @@
     leadership->next_at = now;
 }
 
-void cw_leadership_step_down(cw_leadership_t *leadership, cw_time_us_t now, cw_time_us_t pause)
+void cw_leadership_step_down(cw_leadership_t *leadership, cw_time_us_t now, cw_time_us_t follow_time)
 {
     cw_leadership_resign(leadership, now);
     leadership->stepping_down = true;
-    leadership->follow_until = now + pause;
+    leadership->follow_until = now + follow_time;
 }
 
 /* ---- next action ---- */
@@ -207,7 +208,7 @@
     return now - leadership->seen_at >= takeover_wait(leadership) + leadership->take_delay;
 }
 
-/* How long without a heartbeat before the lock is read. A node that defers to more capable ones leaves them an
+/* Time without a heartbeat after which the lock is read. A node that defers to more capable ones leaves them an
  * additional hold to take the lock. */
 static cw_time_us_t wait_before_read(const cw_leadership_t *leadership)
 {
@@ -218,7 +219,8 @@
  * write, since another node has probably taken the lock meanwhile. */
 static bool is_read_recent(const cw_leadership_t *leadership, cw_time_us_t now)
 {
-    return leadership->followers < PAUSE_DOUBLING_FOLLOWERS || now - leadership->last_read_at < CW_MS(READ_RECENT_MS);
+    return leadership->followers < INTERVAL_DOUBLING_FOLLOWERS ||
+           now - leadership->last_read_at < CW_MS(READ_RECENT_MS);
 }
 
 static cw_leadership_action_t follow(cw_leadership_t *leadership, cw_time_us_t now)
@@ -259,7 +261,7 @@
     return leadership->leading ? lead(leadership, now) : follow(leadership, now);
 }
 
-/* ---- answers ---- */
+/* ---- replies of the store ---- */
 
 static void stop_leading(cw_leadership_t *leadership)
 {
@@ -290,31 +292,31 @@
     leadership->next_at = sent_at + leadership->settings.renew_every;
 }
 
-/* Pause between a follower's reads of the lock. It keeps the rate of all followers' reads together bounded. */
-static cw_time_us_t read_pause(const cw_leadership_t *leadership)
+/* Interval between a follower's reads of the lock. It keeps the rate of all followers' reads together bounded. */
+static cw_time_us_t read_interval(const cw_leadership_t *leadership)
 {
-    return leadership->settings.read_every * (PAUSE_DOUBLING_FOLLOWERS + leadership->followers) /
-           PAUSE_DOUBLING_FOLLOWERS;
+    return leadership->settings.read_every * (INTERVAL_DOUBLING_FOLLOWERS + leadership->followers) /
+           INTERVAL_DOUBLING_FOLLOWERS;
 }
 
 /* When a follower reads the lock again: with its own delay after the lock may be taken, and periodically before. */
 static cw_time_us_t next_read(const cw_leadership_t *leadership, cw_time_us_t now)
 {
     cw_time_us_t take_at = leadership->seen_at + takeover_wait(leadership) + leadership->take_delay;
-    cw_time_us_t pause_end = now + read_pause(leadership);
+    cw_time_us_t interval_end = now + read_interval(leadership);
 
     if (take_at <= now || is_of_earlier_incarnation(leadership)) {
         return now;
     }
     take_at += take_offset(leadership);
-    return take_at < pause_end ? take_at : pause_end;
+    return take_at < interval_end ? take_at : interval_end;
 }
 
 /* Handles the value of the lock in the store, returned by a read or with a conflict. */
 static void handle_lock(cw_leadership_t *leadership, const cw_store_reply_t *reply, cw_time_us_t now)
 {
     cw_lock_t lock;
-    bool      mine;
+    bool      is_own;
 
     memset(&lock, 0, sizeof(lock));
     leadership->is_unreadable = !cw_lock_from_json(&lock, reply->value);
@@ -325,14 +327,14 @@
     leadership->failures = 0;
     leadership->last_read_at = now;
     if (reply->revision < leadership->revision) { /* an old copy */
-        leadership->next_at = now + read_pause(leadership);
+        leadership->next_at = now + read_interval(leadership);
         return;
     }
     record_revision(leadership, reply->revision, now);
     leadership->must_read = false;
     leadership->lock = lock;
-    mine = is_own_lock(leadership, &lock) && !lock.vacant;
-    if (mine) {
+    is_own = is_own_lock(leadership, &lock) && !lock.vacant;
+    if (is_own) {
         /* An unanswered write was done. It gives no authority; the next write does. */
         leadership->leading = true;
         leadership->next_at = now;
@@ -342,16 +344,17 @@
     }
 }
 
-/* Pause after a failed call. A leader retries soon, since its authority expires; for followers it is enough that one of
- * them gets an answer. */
-static cw_time_us_t pause_after_failure(const cw_leadership_t *leadership)
+/* Time until a failed call is repeated. A leader retries soon, since its authority expires; for followers it is enough
+ * that one of them gets an answer. */
+static cw_time_us_t retry_interval(const cw_leadership_t *leadership)
 {
     uint64_t     doublings = leadership->failures < RETRY_DOUBLINGS ? leadership->failures : RETRY_DOUBLINGS;
     cw_time_us_t first = leadership->leading ? CW_MS(RETRY_INITIAL_MS) : leadership->settings.read_every;
-    cw_time_us_t pause = first << doublings;
-    cw_time_us_t longest = leadership->leading ? leadership->settings.hold / RETRIES_PER_HOLD : read_pause(leadership);
+    cw_time_us_t interval = first << doublings;
+    cw_time_us_t longest =
+        leadership->leading ? leadership->settings.hold / RETRIES_PER_HOLD : read_interval(leadership);
 
-    return pause < longest ? pause : longest;
+    return interval < longest ? interval : longest;
 }
 
 void cw_leadership_replied(cw_leadership_t *leadership, const cw_store_reply_t *reply, cw_time_us_t now)
@@ -383,12 +386,12 @@
         }
         break;
     case CW_STORE_REFUSED:
-        leadership->next_at = now + pause_after_failure(leadership);
+        leadership->next_at = now + retry_interval(leadership);
         leadership->failures++;
         break;
     case CW_STORE_UNKNOWN:
         leadership->must_read = true;
-        leadership->next_at = now + pause_after_failure(leadership);
+        leadership->next_at = now + retry_interval(leadership);
         leadership->failures++;
         break;
     }
--- a/src/lease/leadership.h
+++ b/src/lease/leadership.h
@@ -16,8 +16,8 @@
  *  - A node that knows a reachable, more capable node lets that node try first: it takes the lock `take_delay` later
  *    than it could. It still takes the lock of its own earlier incarnation immediately. The delay only postpones an
  *    attempt to take the lock; it never permits one.
- *  - Failed calls are repeated after pauses that double. A leader's pause is limited by a fraction of its hold; a
- *    follower's by the pause between its reads of the lock, which increases with the number of followers.
+ *  - Failed calls are repeated at intervals that double. A leader's interval is limited to a fraction of its hold, a
+ *    follower's to the interval between its reads of the lock, which increases with the number of followers.
  *  - Wall clocks are never used.
  *
  * Model: spec/lease.pml. For operators: docs/OPERATIONS.md.
@@ -36,7 +36,7 @@
 /** Contents of the lock object. */
 typedef struct cw_lock {
     char     node[CW_NODE_NAME_MAX];
-    char     address[CW_ADDRESS_MAX]; /**< IPv4 number of the holder */
+    char     address[CW_ADDRESS_MAX]; /**< IPv4 address of the holder, as text */
     uint64_t incarnation;
     uint64_t term; /**< increases with each change of holder */
     uint64_t beat; /**< increases with each write of a holder */
@@ -44,14 +44,15 @@
     uint32_t nodes; /**< number of nodes that the holder knows, itself included; 0: not known */
 } cw_lock_t;
 
+/** This node's identity, and the times of the lock. */
 typedef struct cw_leadership_settings {
     char         node[CW_NODE_NAME_MAX];
     char         address[CW_ADDRESS_MAX];
     uint64_t     incarnation;
-    cw_time_us_t hold;
-    cw_time_us_t renew_every;
+    cw_time_us_t hold;              /**< how long a write of the lock gives authority */
+    cw_time_us_t renew_every;       /**< interval between a leader's writes of the lock */
     cw_time_us_t heartbeat_timeout; /**< a follower without a heartbeat for so long reads the lock */
-    cw_time_us_t read_every;        /**< pause between a follower's reads of the lock */
+    cw_time_us_t read_every;        /**< interval between a follower's reads of the lock, with few followers */
     cw_time_us_t first_read_after;  /**< delay of the first read after the start of the node */
     cw_time_us_t first_read_within; /**< range of the additional delay, which depends on the node's incarnation */
 } cw_leadership_settings_t;
@@ -64,14 +65,15 @@
     CW_LEADERSHIP_REPLACE /**< with `write` under `revision` */
 } cw_leadership_action_t;
 
+/** State of a node in the election. */
 typedef struct cw_leadership {
     cw_leadership_settings_t settings;
     bool                     leading;
     bool                     resigning;
     bool                     resigned;
-    bool                     stepping_down; /**< resigning, to be a follower afterwards */
-    cw_time_us_t             follow_until;  /**< end of the pause after a step-down; the lock is not taken before */
-    cw_time_us_t             authority_end;
+    bool                     stepping_down;    /**< resigning, to be a follower afterwards */
+    cw_time_us_t             follow_until;     /**< after a step-down: the lock is not taken before this time */
+    cw_time_us_t             authority_end;    /**< when this node's authority ends, while it leads */
     cw_lock_t                lock;             /**< last known value */
     uint64_t                 revision;         /**< last known revision of the lock; 0: none */
     cw_time_us_t             seen_at;          /**< since when this revision is known */
@@ -80,14 +82,14 @@
     bool                     is_unreadable;    /**< the object that the last read returned is not a valid lock */
     cw_time_us_t             last_received_at; /**< last heartbeat of a leader with authority */
     cw_time_us_t             last_read_at;     /**< when the store last returned the lock */
-    bool                     must_read;
-    cw_leadership_action_t   pending;
-    cw_lock_t                write;
-    cw_time_us_t             sent_at;
-    cw_time_us_t             next_at;
-    uint32_t                 nodes;      /**< written into the lock */
-    uint32_t                 followers;  /**< known number of other nodes that read the lock */
-    cw_time_us_t             take_delay; /**< how much later than it could this node takes the lock */
+    bool                     must_read;        /**< the lock has to be read before the next write */
+    cw_leadership_action_t   pending;          /**< store call in flight; WAIT: none */
+    cw_lock_t                write;            /**< value of the last write */
+    cw_time_us_t             sent_at;          /**< when the last store call was sent */
+    cw_time_us_t             next_at;          /**< no store call is made before this time */
+    uint32_t                 nodes;            /**< written into the lock */
+    uint32_t                 followers;        /**< known number of other nodes that read the lock */
+    cw_time_us_t             take_delay;       /**< how much later than it could this node takes the lock */
     uint64_t                 last_beat;
     uint64_t                 failures; /**< consecutive failed store calls */
 } cw_leadership_t;
@@ -115,8 +117,8 @@
 /** Gives up the leadership: authority ends immediately, and the lock is written as vacant. */
 void cw_leadership_resign(cw_leadership_t *leadership, cw_time_us_t now);
 
-/** Gives up the leadership and does not take the lock again before the pause is over. */
-void cw_leadership_step_down(cw_leadership_t *leadership, cw_time_us_t now, cw_time_us_t pause);
+/** Gives up the leadership and does not take the lock again for `follow_time`. */
+void cw_leadership_step_down(cw_leadership_t *leadership, cw_time_us_t now, cw_time_us_t follow_time);
 
 /** Encodes a lock in its stored form. */
 json_t *cw_lock_to_json(const cw_lock_t *lock);
--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -51,6 +51,7 @@
     double       cold_per_s; /**< requests per second that a cold server can handle; 0: no limit */
 } cw_service_t;
 
+/** A configuration with its reference count. */
 typedef struct cw_configuration {
     uint64_t         version;
     cw_route_t      *routes; /**< sorted by host, then by longer prefix first */
@@ -79,9 +80,10 @@
 /** Sorts routes and tenants and indexes the tenants' keys. To be called once, after the last item was added. */
 void cw_configuration_seal(cw_configuration_t *configuration);
 
-enum { CW_PROBLEM_BYTES = 200 };
-/** Whether a sealed configuration may be applied. False: two tenants have the same key or name, or two with limits have
- * the same hash; *problem says which. */
+enum { CW_PROBLEM_BYTES = 200 /**< size of the text in which cw_configuration_check describes a problem */ };
+
+/** Whether a sealed configuration may be applied. False: two tenants have the same key or name, or two tenants with
+ * limits have the same hash; the text `problem`, a buffer of `size` bytes, names them. */
 bool cw_configuration_check(const cw_configuration_t *configuration, char *problem, size_t size);
 
 /** Compares by the order of routes in a sealed configuration: by host, then by longer prefix first, then by prefix. */
@@ -98,7 +100,8 @@
 
 /** Takes another reference. */
 cw_configuration_t *cw_configuration_hold(cw_configuration_t *configuration);
-void                cw_configuration_release(cw_configuration_t *configuration); /**< NULL is allowed */
+/** Releases a reference; the last one frees the configuration. NULL is allowed. */
+void cw_configuration_release(cw_configuration_t *configuration);
 
 /** Returns the service of this name; NULL: none. */
 const cw_service_t *cw_configuration_service(const cw_configuration_t *configuration, const char *name);
--- a/src/model/credential_index.c
+++ b/src/model/credential_index.c
@@ -12,8 +12,8 @@
 
 enum {
     SLOTS_MIN = 8,
-    LOAD_PERCENT =
-        75 /* largest share of used slots: a lookup probes 1.2 to 8.5 slots on average, for a hit or a miss */
+    /* Largest share of used slots. With it a lookup probes 1.2 to 8.5 slots on average, for a hit or a miss. */
+    LOAD_PERCENT = 75
 };
 
 typedef struct slot {
--- a/src/model/credential_index.h
+++ b/src/model/credential_index.h
@@ -15,6 +15,7 @@
 
 #include "model/tenant.h"
 
+/** Index of the keys of all tenants. */
 typedef struct cw_credential_index cw_credential_index_t;
 
 /** Two tenants with the same key. cw_configuration_check reports it. */
@@ -27,7 +28,8 @@
  * first one keeps it, and *conflict is the first such pair. */
 cw_credential_index_t *cw_credential_index_create(const cw_tenant_t *tenants, size_t count, bool *has_conflict,
                                                   cw_credential_conflict_t *conflict);
-void                   cw_credential_index_free(cw_credential_index_t *index); /**< NULL is allowed */
+/** Frees the index. NULL is allowed. */
+void cw_credential_index_free(cw_credential_index_t *index);
 /** Returns the tenant with this key; NULL: none. index: NULL counts as empty. */
 const cw_tenant_t *cw_credential_index_find(const cw_credential_index_t *index, const cw_key_digest_t *key);
 /** Number of keys in the index. */
--- a/src/model/name_set.h
+++ b/src/model/name_set.h
@@ -24,7 +24,8 @@
 /** Whether the set has this name. */
 bool cw_name_set_has(const cw_name_set_t *set, const char *name);
 /** Whether both sets have the same names. */
-bool     cw_name_set_same(const cw_name_set_t *left, const cw_name_set_t *right);
-uint64_t cw_name_set_hash(const cw_name_set_t *set); /**< 0 for the empty set */
+bool cw_name_set_same(const cw_name_set_t *left, const cw_name_set_t *right);
+/** Hash of the names; 0 for the empty set. */
+uint64_t cw_name_set_hash(const cw_name_set_t *set);
 
 #endif
--- a/src/model/region_mask.c
+++ b/src/model/region_mask.c
@@ -19,7 +19,7 @@
         return;
     }
     if (table->count == CW_REGION_BITS) {
-        table->is_cut = true;
+        table->is_truncated = true;
         return;
     }
     memmove(&table->names[place + 1], &table->names[place], (table->count - place) * sizeof(table->names[0]));
@@ -59,7 +59,7 @@
     uint32_t mask = 0;
     size_t   index;
 
-    if ((!restricts(first) && !restricts(second)) || table->is_cut) {
+    if ((!restricts(first) && !restricts(second)) || table->is_truncated) {
         return CW_REGIONS_ANY;
     }
     for (index = 0; index < table->count; index++) {
--- a/src/model/region_mask.h
+++ b/src/model/region_mask.h
@@ -24,11 +24,10 @@
 #define CW_REGIONS_NOWHERE (1u << CW_REGION_BITS)
 
 /** Regions of the settings; the position is the bit number. */
-
 typedef struct cw_region_table {
     char   names[CW_REGION_BITS][64]; /**< sorted */
     size_t count;
-    bool   is_cut; /**< there are more regions than bits */
+    bool   is_truncated; /**< there are more regions than bits */
 } cw_region_table_t;
 
 /** Fills the table with the regions of all zones. */
--- a/src/model/server_absence.c
+++ b/src/model/server_absence.c
@@ -8,12 +8,12 @@
 #include <string.h>
 
 enum {
-    OUTAGE_MS = 1500,
+    OUTAGE_MS = 1500, /* age from which the list in force is old */
     GRACE_MIN_MS = 1500,
     GRACE_MAX_MS = 2000,   /* servers have written their entries about two seconds after the store is available again */
     GRACE_SLACK_MS = 700,  /* a server's first write after the outage may fail or wait */
-    DRAIN_MARGIN_MS = 250, /* the last requests are sent so long before the drain time ends */
-    MANY_PERCENT = 50
+    DRAIN_MARGIN_MS = 250, /* time between the last requests and the end of the drain time */
+    MANY_PERCENT = 50      /* if a larger share of the servers is missing at once, the missing ones are kept */
 };
 
 static cw_time_us_t not_below(cw_time_us_t value, cw_time_us_t least)
--- a/src/model/server_absence.h
+++ b/src/model/server_absence.h
@@ -19,8 +19,9 @@
 
 /** Times that decide how long missing servers are kept. */
 typedef struct cw_absence_settings {
-    cw_time_us_t outage; /**< a list of this age may follow an outage; without a failed call it was just not read */
-    cw_time_us_t grace;  /**< time for servers to register again */
+    cw_time_us_t
+        outage; /**< the list in force is old from this age on; it counts as an outage only after a failed call */
+    cw_time_us_t grace; /**< time for servers to register again */
 } cw_absence_settings_t;
 
 /** Settings for servers that write their entries at the interval `heartbeat` and may get requests for `drain` after
--- a/src/model/server_incarnation.h
+++ b/src/model/server_incarnation.h
@@ -24,9 +24,9 @@
 bool cw_server_id_write(char id[CW_SERVER_ID_MAX], const char *name, uint64_t start_ms);
 /** Length in bytes of the server's name at the beginning of an id. */
 size_t cw_server_id_name_length(const char *id);
-/** Start time of the incarnation, in Unix milliseconds; 0: not stated. */
+/** Start time of the incarnation (Unix time in milliseconds); 0: not stated. */
 uint64_t cw_server_id_start_ms(const char *id);
-/** Whether it is an id of the server with this name. */
+/** Whether this is an id of the server with this name. */
 bool cw_server_id_has_name(const char *id, const char *name);
 /** Whether both are ids of the same server and `later` is the incarnation that started later. */
 bool cw_server_id_succeeds(const char *later, const char *earlier);
--- a/src/model/server_list.h
+++ b/src/model/server_list.h
@@ -19,7 +19,6 @@
 typedef struct cw_server_identity cw_server_identity_t;
 
 /** A server as it is listed. */
-
 typedef struct cw_server_entry {
     char                 *id;
     char                 *service;
@@ -29,11 +28,12 @@
     uint32_t              capacity; /**< number of requests that it processes at the same time */
     bool                  draining;
     uint64_t              sequence; /**< increases with each heartbeat */
-    uint64_t     changed_in; /**< number of the leader's list in which it last changed; 0 on nodes that do not lead */
+    uint64_t     changed_in; /**< version of the leader's list in which it last changed; 0 on nodes that do not lead */
     cw_time_us_t cold_time;  /**< remaining warm-up time when the server wrote the entry; 0: it is warm */
     cw_time_us_t missing_since; /**< since when its entry is missing although the server is kept; 0: it has an entry */
 } cw_server_entry_t;
 
+/** A snapshot with its reference count. */
 typedef struct cw_server_list {
     cw_server_entry_t *entries; /**< sorted by id */
     size_t             count;
@@ -60,7 +60,8 @@
 uint64_t cw_server_list_hash(const cw_server_list_t *list);
 /** Takes another reference. */
 cw_server_list_t *cw_server_list_hold(cw_server_list_t *list);
-void              cw_server_list_release(cw_server_list_t *list); /**< NULL is allowed */
+/** Releases a reference; the last one frees the list. NULL is allowed. */
+void cw_server_list_release(cw_server_list_t *list);
 
 /** Returns the entry with this id; NULL: none. */
 const cw_server_entry_t *cw_server_list_find(const cw_server_list_t *list, const char *id);
@@ -76,8 +77,8 @@
 /** Calls `compared` for each id in either list, sorted by id. before: NULL counts as empty. */
 void cw_server_lists_compare(const cw_server_list_t *before, cw_server_list_t *after, cw_server_compared_t compared,
                              void *context);
-/** Whether both are the same server in the same state (capacity, leaving, kept though missing, cold); sequences and
- * times are not compared. */
+/** Whether both are the same server in the same state (capacity, leaving, kept although it is missing, cold); sequences
+ * and times are not compared. */
 bool cw_server_entry_same(const cw_server_entry_t *left, const cw_server_entry_t *right);
 /** Whether both have the same servers in the same states and the same zones out of service; sequences and times are not
  * compared. */
--- a/src/model/server_view.c
+++ b/src/model/server_view.c
@@ -63,7 +63,7 @@
     return find_departure(view, id);
 }
 
-static cw_server_departure_t *departure_of(cw_server_view_t *view, const char *id)
+static cw_server_departure_t *find_or_add_departure(cw_server_view_t *view, const char *id)
 {
     size_t                 place = place_of(view, id);
     cw_server_departure_t *departure;
@@ -83,13 +83,13 @@
     return departure;
 }
 
-static void forget_departures(cw_server_view_t *view, cw_time_us_t now)
+static void discard_departures(cw_server_view_t *view, cw_time_us_t now)
 {
     size_t kept = 0;
     size_t index;
 
     for (index = 0; index < view->departure_count; index++) {
-        if (now - view->departures[index].last_noted_at > CW_SECONDS(FORGET_S)) {
+        if (now - view->departures[index].last_recorded_at > CW_SECONDS(FORGET_S)) {
             free(view->departures[index].id);
         } else {
             view->departures[kept++] = view->departures[index];
@@ -98,55 +98,55 @@
     view->departure_count = kept;
 }
 
-static void note_missing(cw_server_view_t *view, const cw_server_entry_t *entry, uint64_t latest, cw_time_us_t now)
+static void record_missing(cw_server_view_t *view, const cw_server_entry_t *entry, uint64_t latest, cw_time_us_t now)
 {
-    cw_server_departure_t *departure = departure_of(view, entry->id);
+    cw_server_departure_t *departure = find_or_add_departure(view, entry->id);
 
     if (departure->since == 0) {
         departure->since = entry->missing_since != 0 ? entry->missing_since : now;
     }
     departure->sequence = entry->sequence > departure->sequence ? entry->sequence : departure->sequence;
     departure->revision = latest > departure->revision ? latest : departure->revision;
-    departure->last_noted_at = now;
+    departure->last_recorded_at = now;
 }
 
-static void note_leaving(cw_server_view_t *view, const cw_server_entry_t *entry, cw_time_us_t now)
+static void record_leaving(cw_server_view_t *view, const cw_server_entry_t *entry, cw_time_us_t now)
 {
-    cw_server_departure_t *departure = departure_of(view, entry->id);
+    cw_server_departure_t *departure = find_or_add_departure(view, entry->id);
 
     departure->is_leaving = true;
-    departure->last_noted_at = now;
+    departure->last_recorded_at = now;
 }
 
-/** Context of note_departure: the list that is applied. */
+/** Context of record_departure: the list that is applied. */
 typedef struct departures_context {
     cw_server_view_t *view;
     uint64_t          latest; /* the list contains no change after this revision */
     cw_time_us_t      now;
 } departures_context_t;
 
-static void note_departure(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
+static void record_departure(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
 {
-    const departures_context_t *look = context;
+    const departures_context_t *applied = context;
 
     if (after == NULL) {
-        note_missing(look->view, before, look->latest, look->now);
+        record_missing(applied->view, before, applied->latest, applied->now);
         return;
     }
     if (after->missing_since != 0) {
-        note_missing(look->view, after, look->latest, look->now);
+        record_missing(applied->view, after, applied->latest, applied->now);
     }
     if (after->draining) {
-        note_leaving(look->view, after, look->now);
+        record_leaving(applied->view, after, applied->now);
     }
 }
 
 /* Records the servers that are missing or leaving in the list that is applied. */
-static void note_departures(cw_server_view_t *view, cw_server_list_t *list, uint64_t latest, cw_time_us_t now)
+static void record_departures(cw_server_view_t *view, cw_server_list_t *list, uint64_t latest, cw_time_us_t now)
 {
-    departures_context_t look = {.view = view, .latest = latest, .now = now};
+    departures_context_t applied = {.view = view, .latest = latest, .now = now};
 
-    cw_server_lists_compare(view->list, list, note_departure, &look);
+    cw_server_lists_compare(view->list, list, record_departure, &applied);
 }
 
 /* ---- correction of entries ---- */
@@ -204,7 +204,7 @@
     cw_server_departure_t *departure = find_departure(view, entry->id);
 
     if (departure != NULL) {
-        departure->last_noted_at = now;
+        departure->last_recorded_at = now;
         entry->draining = entry->draining || departure->is_leaving;
         if (departure->since != 0 && is_back(departure, entry, reading)) {
             departure->since = 0;
@@ -295,8 +295,8 @@
         /* The caller finds the number of added servers in the list and logs it. */
         (void)cw_server_absence_fill(&view->absence, list, view->list, view->valid_at, reading->store_failed, now);
     }
-    note_departures(view, list, latest, now);
-    forget_departures(view, now);
+    record_departures(view, list, latest, now);
+    discard_departures(view, now);
     cw_server_view_confirm(view, reading->revision, reading->valid_at);
     return replace(view, list, before);
 }
--- a/src/model/server_view.h
+++ b/src/model/server_view.h
@@ -26,10 +26,10 @@
 /** A server that is leaving, has left or is missing. */
 typedef struct cw_server_departure {
     char        *id;
-    uint64_t     sequence;      /**< of its last heartbeat in a reading; 0: not known */
-    uint64_t     revision;      /**< latest revision of the store at which it was missing */
-    cw_time_us_t since;         /**< since when it is missing; 0: it has an entry */
-    cw_time_us_t last_noted_at; /**< last time that a list had it, or lacked it */
+    uint64_t     sequence;         /**< of its last heartbeat in a reading; 0: not known */
+    uint64_t     revision;         /**< latest revision of the store at which it was missing */
+    cw_time_us_t since;            /**< since when it is missing; 0: it has an entry */
+    cw_time_us_t last_recorded_at; /**< last time at which an applied list contained it or lacked it */
     bool         is_leaving;
 } cw_server_departure_t;
 
@@ -50,11 +50,12 @@
     uint64_t               hash;
     uint64_t               revision;
     cw_time_us_t           valid_at;
-    size_t                 kept;       /**< number of its servers that are kept although they are missing */
+    size_t                 kept;       /**< how many of its servers are kept although they are missing */
     cw_server_departure_t *departures; /**< sorted by id */
     size_t                 departure_count;
 } cw_server_view_t;
 
+/** Effect of an offered list. */
 typedef enum cw_view_result {
     CW_VIEW_OLDER,  /**< the list was not applied */
     CW_VIEW_SAME,   /**< the list has the same servers in the same states */
@@ -65,15 +66,15 @@
 void cw_server_view_init(cw_server_view_t *view, const cw_absence_settings_t *absence);
 /** Releases the list and frees the departures. */
 void cw_server_view_clear(cw_server_view_t *view);
-/** Offers a list, whose reference is passed on. CW_VIEW_CHANGED: `before` is the former list (NULL: none), which the
- * caller releases. */
+/** Applies a list unless it is older than the one in force. The view gets the list's reference. CW_VIEW_CHANGED:
+ * `before` is the former list (NULL: none), which the caller releases. */
 cw_view_result_t cw_server_view_apply(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
                                       cw_server_list_t **before);
-/** Records that, by the leader's heartbeat, the list in force was still valid at this revision and time. */
+/** Records that the list in force was still valid at this revision and time, as the leader's heartbeat states. */
 void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t valid_at);
 /** Removes the servers whose grace time is over. The result and `before` are those of cw_server_view_apply. */
 cw_view_result_t cw_server_view_expire(cw_server_view_t *view, cw_time_us_t now, cw_server_list_t **before);
-/** Returns what is known of a server's departure; NULL: nothing. */
+/** Returns the departure of the server with this id; NULL: none is known. */
 const cw_server_departure_t *cw_server_view_departure(const cw_server_view_t *view, const char *id);
 
 #endif
--- a/src/model/tenant.h
+++ b/src/model/tenant.h
@@ -24,7 +24,7 @@
 /** A tenant with its limits. */
 typedef struct cw_tenant {
     char            *name;
-    cw_key_digest_t *keys; /**< of its callers, sorted, without duplicates */
+    cw_key_digest_t *keys; /**< digests of its callers' keys, sorted, without duplicates */
     size_t           key_count;
     bool             needs_key;  /**< its callers are identified by keys, even after all keys were removed */
     uint32_t         priority;   /**< takes precedence over its routes' priority; 0 is the most urgent */
--- a/src/model/zone_service.h
+++ b/src/model/zone_service.h
@@ -21,16 +21,20 @@
 #include "base/time.h"
 #include "model/name_set.h"
 
+/** State of the zones. */
 typedef struct cw_zone_service cw_zone_service_t;
 
+/** Change of a zone's state. */
 typedef enum cw_zone_change { CW_ZONE_TAKEN_OUT, CW_ZONE_PUT_BACK } cw_zone_change_t;
 
 /** Called for each zone whose state has changed. */
 typedef void (*cw_zone_changed_t)(void *context, const char *zone, cw_zone_change_t change);
 
-/** out_within: longest time from the operator's action to the last request; 0: zones are never taken out. */
+/** Creates a state in which all zones are in service. out_within: longest time from the operator's action to the last
+ * request; 0: zones are never taken out. */
 cw_zone_service_t *cw_zone_service_create(cw_time_us_t out_within);
-void               cw_zone_service_free(cw_zone_service_t *zones);
+/** Frees the state. */
+void cw_zone_service_free(cw_zone_service_t *zones);
 /**
  * Applies the set of zones that are out of service. before_valid_at: last time at which the previous set was certainly
  * complete; 0: not known. changed: called for each change; NULL is allowed.
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -13,7 +13,7 @@
 #include "net/http_listener_internal.h"
 
 enum {
-    BACKLOG = 512,
+    BACKLOG = 512,              /* connections that the kernel keeps until they are accepted */
     MIN_IDLE_MS = 300,          /* a connection that has been idle for a shorter time may have a request in transit */
     USER_TIMEOUT_MS = 10 * 1000 /* a connection ends if sent data is not acknowledged for this time */
 };
--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -29,6 +29,7 @@
 #include "net/http_header.h"
 #include "net/http_pipeline.h"
 
+/** HTTP server with its connections. */
 typedef struct cw_http_listener cw_http_listener_t;
 /** One request on its connection. It ends with its answer or when the caller disconnects. */
 typedef struct cw_http_exchange cw_http_exchange_t;
@@ -38,8 +39,8 @@
     size_t       header_bytes;   /**< maximum size of a head; longer: 431 */
     size_t       body_bytes;     /**< maximum size of a body; longer: 413 */
     cw_time_us_t header_timeout; /**< time from the first to the last byte of a head; exceeded: 408 */
-    cw_time_us_t
-        idle_timeout; /**< maximum time of a connection without a request, and of a body or answer without progress */
+    /** Maximum time of a connection without a request, and of a body or answer without progress. */
+    cw_time_us_t idle_timeout;
 } cw_http_limits_t;
 
 /** Concurrency of a connection's requests and memory of bodies. All zeros: one request at a time, and bodies limited by
@@ -95,7 +96,8 @@
 uint16_t cw_http_listener_port(const cw_http_listener_t *listener);
 /** Sets the options of connections and requests that begin from now on. */
 void cw_http_listener_set_options(cw_http_listener_t *listener, const cw_http_listener_options_t *options);
-/** Sets the limits of requests that begin from now on. A connection that is idle now keeps the longer idle timeout. */
+/** Sets the limits of requests that begin from now on. A connection that is idle now is closed after the longer
+ * one of the former and the new idle timeout. */
 void cw_http_listener_set_limits(cw_http_listener_t *listener, const cw_http_limits_t *limits);
 /** Sets the callback for requests whose heads are read from now on. NULL: no request is rejected by its head. */
 void cw_http_listener_set_reject_callback(cw_http_listener_t *listener, cw_http_rejects_t rejects);
@@ -116,8 +118,9 @@
 void cw_http_exchange_answer(cw_http_exchange_t *exchange, const cw_http_outbound_t *outbound);
 /** Closes the connection in this request's turn, without an answer. Later requests of the connection end. */
 void cw_http_exchange_abort(cw_http_exchange_t *exchange);
-/** Data of the handler that belongs to an exchange. */
-void  cw_http_exchange_set_data(cw_http_exchange_t *exchange, void *data);
+/** Sets the handler's own data of an exchange. */
+void cw_http_exchange_set_data(cw_http_exchange_t *exchange, void *data);
+/** Returns the handler's own data of an exchange; NULL: none was set. */
 void *cw_http_exchange_data(const cw_http_exchange_t *exchange);
 
 #endif
--- a/src/net/http_listener_internal.h
+++ b/src/net/http_listener_internal.h
@@ -47,7 +47,7 @@
     bool                    head_done;
     bool                    message_done;
     bool                    is_chunked;
-    bool                    is_head;
+    bool                    is_head; /* the method is HEAD */
     bool                    http_1_0;
     bool                    body_unread;    /* rejected by its head: its body is not read */
     bool                    wants_continue; /* "100 Continue" is due once all earlier answers are written */
@@ -80,12 +80,12 @@
     cw_time_us_t        read_us; /* time at which the bytes that are being parsed were read */
     bool                is_reading;
     cw_time_us_t        hang_up_check_us; /* time of the next check for a disconnect while the connection is not read */
-    bool                is_advancing;
-    bool                resume_due; /* requests or pending bytes are to be processed in the next turn of the loop */
-    bool                is_writing; /* libuv is writing the oldest answer */
-    size_t              write_left; /* unwritten bytes of it at the last check */
-    cw_time_us_t        write_check_us;
-    size_t              memory_wanted; /* bytes of memory that its body waits for; 0: it does not wait */
+    bool                is_advancing;     /* bytes are being parsed or requests are being passed to the handler */
+    bool                resume_due;     /* requests or pending bytes are to be processed in the next turn of the loop */
+    bool                is_writing;     /* libuv is writing the oldest answer */
+    size_t              write_left;     /* unwritten bytes of that answer at the last check */
+    cw_time_us_t        write_check_us; /* time of the next check whether the caller reads the answer */
+    size_t              memory_wanted;  /* bytes of memory that the incoming body waits for; 0: it does not wait */
     cw_time_us_t        memory_wait_since;
     cw_time_us_t        body_read_us; /* time at which bytes of the incoming body were last read */
     cw_time_us_t        idle_since_us;
--- a/src/net/http_listener_timer.c
+++ b/src/net/http_listener_timer.c
@@ -11,8 +11,9 @@
 enum {
     STATUS_TIMEOUT = 408,
     IDLE_CHECK_MIN_MS = 10, /* shortest time until the next check if one is overdue */
-    /* Minimum rate of a body, in bytes per second. In addition to the idle timeout a body gets one second for each so
-     * many bytes, so that a sender that sends single bytes slowly is ended (default of Apache's mod_reqtimeout). */
+    /* Minimum rate of a body, in bytes per second. In addition to the idle timeout a body gets one second for each
+     * 500 bytes, so that the request of a caller that sends single bytes slowly is refused (default of Apache's
+     * mod_reqtimeout). */
     BODY_BYTES_PER_SECOND_MIN = 500
 };
 
@@ -82,7 +83,7 @@
 
 /* ---- expired timeouts ---- */
 
-/* While the connection is not read, the state of the socket still shows the end of the caller's stream. */
+/* True if the caller has disconnected. While the connection is not read, only the state of the socket shows this. */
 static bool has_hung_up(cw_http_connection_t *connection, cw_time_us_t now)
 {
     struct pollfd polled = {.events = POLLRDHUP};
--- a/src/net/http_upstream.c
+++ b/src/net/http_upstream.c
@@ -182,7 +182,7 @@
     }
 }
 
-void cw_upstream_note_progress(cw_upstream_call_t *call)
+void cw_upstream_extend_timeout(cw_upstream_call_t *call)
 {
     cw_time_us_t due = now_us(call->connection->target->upstream) + call->progress_us;
 
--- a/src/net/http_upstream.h
+++ b/src/net/http_upstream.h
@@ -17,9 +17,9 @@
 #include "base/time.h"
 #include "net/http_header.h"
 
-typedef struct cw_upstream        cw_upstream_t;
+typedef struct cw_upstream        cw_upstream_t;        /**< the client: its targets and options */
 typedef struct cw_upstream_target cw_upstream_target_t; /**< a server's address with its idle connections */
-typedef struct cw_upstream_call   cw_upstream_call_t;
+typedef struct cw_upstream_call   cw_upstream_call_t;   /**< a request whose outcome is not determined yet */
 
 /** Outcome of a call. */
 typedef enum cw_upstream_result {
@@ -38,13 +38,15 @@
     size_t       body_length;
     bool         is_head;         /**< the method is HEAD */
     bool         fresh;           /**< use a new connection */
-    cw_time_us_t connect_timeout; /**< time to establish a connection; then the call ends with nothing sent */
+    cw_time_us_t connect_timeout; /**< time to establish a connection; after it the call ends with nothing sent */
     cw_time_us_t timeout;         /**< for the complete call; 0: none */
-    cw_time_us_t progress;   /**< an answer is awaited beyond `timeout` while bytes of it arrive at intervals of at most
-                                this; 0: it is not */
-    size_t      answer_max;  /**< maximum size of an answer's body; a longer one counts as broken */
-    const char *match_name;  /**< header that answers echo; an answer with another value belongs to another request */
-    const char *match_value; /**< and is discarded. NULL: not compared. Both are copied */
+    cw_time_us_t progress; /**< an answer is awaited beyond `timeout` while bytes of it arrive at intervals of at most
+                              this; 0: it is not */
+    size_t answer_max;     /**< maximum size of an answer's body; a longer one counts as broken */
+    /** Header that answers echo, and its value in this request; both are copied. An answer with another value belongs
+     * to another request and is discarded. NULL: not compared. */
+    const char *match_name;
+    const char *match_value;
 } cw_upstream_request_t;
 
 /** Outcome of a call. Valid during the callback only. */
--- a/src/net/http_upstream_answer.c
+++ b/src/net/http_upstream_answer.c
@@ -160,7 +160,7 @@
     } else if (length < 0) {
         handle_end(connection->call, length);
     } else {
-        cw_upstream_note_progress(connection->call);
+        cw_upstream_extend_timeout(connection->call);
         handle_bytes(connection->call, buffer->base, (size_t)length);
     }
 }
--- a/src/net/http_upstream_internal.h
+++ b/src/net/http_upstream_internal.h
@@ -80,12 +80,14 @@
 
 /** Ends a call: keeps or closes its connection, then calls its callback. */
 void cw_upstream_end_call(cw_upstream_call_t *call, cw_upstream_result_t result, const char *fault, bool reset);
-/** Called when bytes of the answer have arrived; extends the call's timeout by its `progress`. */
-void cw_upstream_note_progress(cw_upstream_call_t *call);
+/** Extends the call's timeout so that it ends `progress` from now at the earliest. Called when bytes of the answer have
+ * arrived. */
+void cw_upstream_extend_timeout(cw_upstream_call_t *call);
 /** Closes a connection; reset: with a TCP reset. */
 void cw_upstream_close_connection(cw_upstream_connection_t *connection, bool reset);
 
-/* ---- http_upstream_answer.c: libuv's callbacks for reading ---- */
+/* ---- http_upstream_answer.c ---- */
+/** Callbacks of libuv for reading. */
 void cw_upstream_on_allocate(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer);
 void cw_upstream_on_read(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer);
 
--- a/src/peer/configuration_pages.c
+++ b/src/peer/configuration_pages.c
@@ -272,7 +272,7 @@
     buffer->page.removed_tenants = buffer->removed_tenants;
 }
 
-/* Adds the item with this number, counted over removed routes, sent routes, removed tenants and slices of sent tenants.
+/* Adds the item with this index, counted over removed routes, sent routes, removed tenants and slices of sent tenants.
  */
 static void add_item(page_buffer_t *buffer, const changes_t *changes, size_t item)
 {
--- a/src/peer/configuration_pages.h
+++ b/src/peer/configuration_pages.h
@@ -22,10 +22,11 @@
 #include "peer.pb-c.h"
 
 enum {
-    CW_CONFIGURATION_PAGE_ITEMS =
-        40, /**< routes and parts of tenants per page: about 5 KB, well below the size limit of a datagram */
-    CW_CONFIGURATION_PAGES_MAX = 512 /**< 20,480 items: more than an object of 1 MB in the store holds (an item takes
-                                      * about 70 bytes there: a tenant with one key, or three keys) */
+    /** Routes and parts of tenants per page: about 5 KB, well below the size limit of a datagram. */
+    CW_CONFIGURATION_PAGE_ITEMS = 40,
+    /** 20,480 items: more than an object of 1 MB in the store holds (an item takes about 70 bytes there: a tenant with
+     * one key, or three keys). */
+    CW_CONFIGURATION_PAGES_MAX = 512
 };
 
 /** Receives a page, which is valid during the call only. */
--- a/src/peer/detours.c
+++ b/src/peer/detours.c
@@ -10,8 +10,8 @@
 #include "base/memory.h"
 
 enum {
-    PROBE_INTERVAL_MS = 200,       /* three probes from when a node becomes a suspect until it counts as lost */
-    FREQUENT_PROBES = 10,          /* probes at that interval; a node that any other reaches has replied to one */
+    PROBE_INTERVAL_MS = 200, /* three probes from when a node becomes a suspect until it counts as lost */
+    FREQUENT_PROBES = 10,    /* probes at that interval; a node that any other one reaches replies to one of them */
     RARE_PROBE_INTERVAL_MS = 1000, /* interval of later probes, which detect that the node is back */
     PROBES_PER_SECOND = 20, /* of all suspects: two or three datagrams of 60 bytes each, within 3 KB/s of control */
     PROBE_BURST = 25, /* probes that may be sent at once, so that the first probes of some suspects are not delayed */
--- a/src/peer/detours.h
+++ b/src/peer/detours.h
@@ -11,8 +11,8 @@
  * Rules:
  *  - The owner determines the suspects: nodes from which nothing has been received directly for a while, or which
  *    report that they receive nothing from this node.
- *  - A suspect is probed through CW_DETOUR_INDIRECT_PROBES other nodes at once, different ones each time, and through
- * the node that forwarded its last reply. A suspect that no node reaches is probed less often.
+ *  - A suspect is probed through CW_DETOUR_INDIRECT_PROBES other nodes at once, different ones each time, and also
+ *    through the node that forwarded its last reply. A suspect that no node reaches is probed less often.
  *  - A detour is valid for CW_DETOUR_VALID_MS after a datagram was received through it.
  *  - All probes together are limited in rate, so that the loss of a complete zone does not cost more.
  *
@@ -29,7 +29,7 @@
 
 enum {
     CW_DETOUR_INDIRECT_PROBES = 2, /**< nodes that forward each probe, besides the one that forwarded the last reply */
-    CW_DETOUR_VALID_MS = 1000      /**< as the timeout of an unresponsive node in a small fleet (CW_PEER_TIMEOUT_MS) */
+    CW_DETOUR_VALID_MS = 1000 /**< equal to the timeout of an unresponsive node in a small fleet (CW_PEER_TIMEOUT_MS) */
 };
 
 /** Detours to all suspects of a node. */
@@ -43,8 +43,8 @@
 void cw_detours_received(cw_detours_t *detours, uint32_t address, uint32_t via, cw_time_us_t now);
 /** Address of the node that forwards datagrams to `address`; 0: no valid detour is known. */
 uint32_t cw_detours_via(const cw_detours_t *detours, uint32_t address, cw_time_us_t now);
-/** True if a probe of this suspect is due; it then counts as sent. turn: number of the probe, which increases by one
- * with each probe of the suspect. */
+/** True if a probe of this suspect is due; it then counts as sent. turn: index of the probe, which
+ * increases by one with each probe of the suspect. */
 bool cw_detours_begin_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn);
 /** Removes nodes that have not been suspects for a while. */
 void cw_detours_expire(cw_detours_t *detours, cw_time_us_t now);
--- a/src/peer/peer_link.c
+++ b/src/peer/peer_link.c
@@ -241,7 +241,7 @@
         return;
     }
     socket_address.sin_addr.s_addr = peer->address;
-    cw_traffic_account_note(&link->traffic, kind, peer->distance, length);
+    cw_traffic_account_add(&link->traffic, kind, peer->distance, length);
     (void)uv_udp_try_send(&link->socket, &buffer, 1, (const struct sockaddr *)&socket_address);
 }
 
@@ -319,14 +319,14 @@
 
 /* Every peer of the list is in the hash table. The analyzer does not follow uthash's macros and assumes an empty table.
  */
-void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now)
+void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t timeout, cw_time_us_t now)
 {
     cw_peer_t **position = &link->peers;
 
     while (*position != NULL) {
         cw_peer_t *peer = *position;
 
-        if (now - (peer->last_received_at > peer->learned_at ? peer->last_received_at : peer->learned_at) > silence) {
+        if (now - (peer->last_received_at > peer->learned_at ? peer->last_received_at : peer->learned_at) > timeout) {
             *position = peer->next;
             /* NOLINTNEXTLINE(clang-analyzer-core.NullDereference) */
             HASH_DELETE(by_address, link->by_address, peer);
@@ -337,13 +337,13 @@
     }
 }
 
-uint32_t cw_peer_link_count_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now)
+uint32_t cw_peer_link_count_alive(const cw_peer_link_t *link, cw_time_us_t timeout, cw_time_us_t now)
 {
     const cw_peer_t *peer;
     uint32_t         count = 0;
 
     for (peer = link->peers; peer != NULL; peer = peer->next) {
-        count += peer->last_received_at != 0 && now - peer->last_received_at <= silence ? 1 : 0;
+        count += peer->last_received_at != 0 && now - peer->last_received_at <= timeout ? 1 : 0;
     }
     return count;
 }
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -23,7 +23,7 @@
 /** Socket and peers of a node. */
 typedef struct cw_peer_link cw_peer_link_t;
 
-/** When the list of servers or the tables that a peer lacks are sent to it next. */
+/** Transmission of the list of servers, or of the tables, to a peer that lacks the newest version. */
 typedef struct cw_push_state {
     cw_time_us_t due_at;     /**< time of the next transmission */
     uint32_t     tries;      /**< transmissions since the peer last had the newest version */
@@ -40,7 +40,7 @@
     uint64_t      incarnation;
     uint64_t      former_incarnation; /**< previous incarnation; 0: none known */
     cw_time_us_t  incarnation_at;     /**< time since which the present incarnation has been known */
-    uint32_t      sequence;           /**< of its last report */
+    uint32_t      sequence;           /**< sequence of its last report */
     cw_time_us_t  last_received_at;   /**< last time it was reported alive by itself or a relay of its zone; 0: never */
     cw_time_us_t  last_direct_report_at; /**< last time a report was received from it directly; 0: never */
     cw_time_us_t  details_at; /**< last change of its details, including its first report and a return after a loss */
@@ -50,9 +50,9 @@
     bool          is_lost;
     bool          store_lost;          /**< its calls to the store get no answer */
     bool     receives_nothing_from_us; /**< its last report states that it receives nothing from this node directly */
-    uint64_t term;                     /**< term of the view that it has */
-    uint64_t servers;                  /**< number of its list of servers */
-    uint64_t tables;                   /**< number of its tables */
+    uint64_t term;                     /**< term of the list and tables that it has */
+    uint64_t servers;                  /**< version of its list of servers */
+    uint64_t tables;                   /**< version of its tables */
     cw_push_state_t servers_push;
     cw_push_state_t tables_push;
     uint32_t        peers;        /**< number of nodes from which it received recently, by its last report */
@@ -71,8 +71,8 @@
 /** Binds the socket and starts to receive. Returns 0 or a libuv error; `link` is set in both cases. */
 int cw_peer_link_create(cw_peer_link_t **link, uv_loop_t *loop, const char *address, uint16_t port,
                         const cw_peer_handler_t *handler);
-/** Sets the address by which other nodes know this one, if it is not the bound address. Negative: not an IPv4
- * address. */
+/** Sets the address by which other nodes know this one, if it is not the bound address. Returns 0, or a negative value
+ * if this is not an IPv4 address. */
 int cw_peer_link_advertise(cw_peer_link_t *link, const char *address);
 /** Closes the socket; memory is freed once the loop has closed its handle. */
 void cw_peer_link_close(cw_peer_link_t *link);
@@ -114,9 +114,9 @@
  * If messages about that incarnation continue for longer, it is the running one, and the message about the other
  * incarnation was late. */
 bool cw_peer_is_former_incarnation(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now);
-/** Removes peers that were neither received from nor learned for longer than `silence`. */
-void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
-/** Number of peers that were received from within `silence`. */
-uint32_t cw_peer_link_count_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now);
+/** Removes peers that were neither received from nor learned for longer than `timeout`. */
+void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t timeout, cw_time_us_t now);
+/** Number of peers that were received from within `timeout`. */
+uint32_t cw_peer_link_count_alive(const cw_peer_link_t *link, cw_time_us_t timeout, cw_time_us_t now);
 
 #endif
--- a/src/peer/traffic_account.c
+++ b/src/peer/traffic_account.c
@@ -23,7 +23,7 @@
     return kind < CW_TRAFFIC_KINDS ? kind : 0;
 }
 
-void cw_traffic_account_note(cw_traffic_account_t *account, uint32_t kind, cw_distance_t distance, size_t bytes)
+void cw_traffic_account_add(cw_traffic_account_t *account, uint32_t kind, cw_distance_t distance, size_t bytes)
 {
     account->bytes[row_index(kind)][distance] += bytes;
     account->datagrams[row_index(kind)][distance]++;
--- a/src/peer/traffic_account.h
+++ b/src/peer/traffic_account.h
@@ -26,7 +26,7 @@
 } cw_traffic_account_t;
 
 /** Counts a datagram that is sent. */
-void cw_traffic_account_note(cw_traffic_account_t *account, uint32_t kind, cw_distance_t distance, size_t bytes);
+void cw_traffic_account_add(cw_traffic_account_t *account, uint32_t kind, cw_distance_t distance, size_t bytes);
 /** Name of a kind; "other" for a number that is not in peer.proto. */
 const char *cw_traffic_kind_name(uint32_t kind);
 /** "zone", "region" or "remote". */
--- a/src/placement/load_window.c
+++ b/src/placement/load_window.c
@@ -1,6 +1,7 @@
 /**
  * @file load_window.c
- * @brief Keys of recent requests, weighted by exp(-age / memory_s), so that rates follow a change within seconds.
+ * @brief Keys of recent requests, weighted by exp(-age / time_constant_s), so that rates follow a change within
+ * seconds.
  */
 #include "placement/load_window.h"
 
@@ -12,16 +13,16 @@
 #include "base/memory.h"
 #include "model/region_mask.h"
 
-static const double memory_s = 1.0; /* time constant; a shorter one follows changes faster and shows more noise */
-static const double horizon_s = 4.0;
-static const double span_min_s = 0.2;
+static const double time_constant_s = 1.0; /* a shorter one follows changes faster and shows more noise */
+static const double horizon_s = 4.0;       /* older samples are ignored */
+static const double span_min_s = 0.2;      /* shortest time for which the window counts as having been filled */
 
 void cw_load_window_add(cw_load_window_t *window, uint32_t key, double weight, cw_time_us_t now)
 {
     cw_load_window_add_sample(window, &(cw_key_report_t){.key = key, .weight = weight}, now);
 }
 
-void cw_load_window_add_sample(cw_load_window_t *window, const cw_key_report_t *seen, cw_time_us_t now)
+void cw_load_window_add_sample(cw_load_window_t *window, const cw_key_report_t *report, cw_time_us_t now)
 {
     cw_load_sample_t *sample;
 
@@ -33,10 +34,10 @@
     }
     window->last_ms = (uint32_t)(now / 1000);
     sample = &window->samples[window->next];
-    sample->key = seen->key;
-    sample->weight = (float)seen->weight;
-    sample->regions = seen->regions;
-    sample->from = seen->from;
+    sample->key = report->key;
+    sample->weight = (float)report->weight;
+    sample->regions = report->regions;
+    sample->from = report->from;
     sample->at_ms = (uint32_t)(now / 1000);
     window->next = (window->next + 1) % CW_LOAD_SAMPLES_MAX;
     if (window->count < CW_LOAD_SAMPLES_MAX) { /* otherwise the new sample has replaced the oldest one */
@@ -73,7 +74,7 @@
 {
     double span_s = (double)(now_ms - window->first_ms) / 1000;
 
-    return 1 - exp(-(span_s < span_min_s ? span_min_s : span_s) / memory_s);
+    return 1 - exp(-(span_s < span_min_s ? span_min_s : span_s) / time_constant_s);
 }
 
 /* Requests per second that a sample still contributes; 0: it is too old. */
@@ -81,10 +82,10 @@
 {
     double age_s = (double)(now_ms - sample->at_ms) / 1000;
 
-    return age_s > horizon_s ? 0 : (double)sample->weight * exp(-age_s / memory_s) / memory_s / share;
+    return age_s > horizon_s ? 0 : (double)sample->weight * exp(-age_s / time_constant_s) / time_constant_s / share;
 }
 
-static int compare_bound(const void *left, const void *right)
+static int compare_region_loads(const void *left, const void *right)
 {
     const cw_region_load_t *a = left;
     const cw_region_load_t *b = right;
@@ -95,13 +96,13 @@
     return a->regions < b->regions ? -1 : a->regions > b->regions;
 }
 
-static size_t merge_same_bounds(cw_region_load_t *loads, size_t count)
+static size_t merge_same_regions(cw_region_load_t *loads, size_t count)
 {
     size_t kept = 0;
     size_t index;
 
     for (index = 0; index < count; index++) {
-        if (kept > 0 && compare_bound(&loads[kept - 1], &loads[index]) == 0) {
+        if (kept > 0 && compare_region_loads(&loads[kept - 1], &loads[index]) == 0) {
             loads[kept - 1].per_s += loads[index].per_s;
         } else {
             loads[kept++] = loads[index];
@@ -139,8 +140,8 @@
             (*loads)[count++] = (cw_region_load_t){sample->key, regions, per_s};
         }
     }
-    qsort(*loads, count, sizeof(**loads), compare_bound);
-    return merge_same_bounds(*loads, count);
+    qsort(*loads, count, sizeof(**loads), compare_region_loads);
+    return merge_same_regions(*loads, count);
 }
 
 size_t cw_load_window_read_restricted(const cw_load_window_t *window, cw_time_us_t now, cw_region_load_t **loads)
@@ -222,7 +223,7 @@
 
 double cw_load_error(double per_s)
 {
-    return per_s <= 0 ? 0 : sqrt(per_s / (2 * memory_s));
+    return per_s <= 0 ? 0 : sqrt(per_s / (2 * time_constant_s));
 }
 
 void cw_load_window_clear(cw_load_window_t *window)
--- a/src/placement/load_window.h
+++ b/src/placement/load_window.h
@@ -13,20 +13,21 @@
 /** Requests for one key that were reported together. */
 typedef struct cw_load_sample {
     uint32_t key;
-    float    weight; /**< number of requests that it represents */
-    uint32_t at_ms;
+    float    weight;  /**< number of requests that it represents */
+    uint32_t at_ms;   /**< when they were reported */
     uint32_t regions; /**< regions that the requests may be sent to, as a mask (region_mask.h) */
     uint32_t from;    /**< bit of the region that the requests came from; 0: not known */
 } cw_load_sample_t;
 
 enum { CW_LOAD_SAMPLES_MAX = 8192 };
 
+/** The latest samples of one service, CW_LOAD_SAMPLES_MAX at most. All zeros: none. */
 typedef struct cw_load_window {
     cw_load_sample_t *samples; /**< ring buffer */
     size_t            count;
     size_t            next;
-    uint32_t          first_ms; /**< first sample after the last long pause without load */
-    uint32_t          last_ms;
+    uint32_t          first_ms; /**< time of the first sample after the last long time without load */
+    uint32_t          last_ms;  /**< time of the latest sample */
 } cw_load_window_t;
 
 /** Load of one key in requests per second. */
@@ -53,7 +54,7 @@
 /** Adds requests for a key without regions. */
 void cw_load_window_add(cw_load_window_t *window, uint32_t key, double weight, cw_time_us_t now);
 /** Adds requests for a key. */
-void cw_load_window_add_sample(cw_load_window_t *window, const cw_key_report_t *seen, cw_time_us_t now);
+void cw_load_window_add_sample(cw_load_window_t *window, const cw_key_report_t *report, cw_time_us_t now);
 /** Standard error, in requests per second, of a rate read from the window: that of a Poisson count over the window's
  * time constant. */
 double cw_load_error(double per_s);
--- a/src/placement/order_trust.c
+++ b/src/placement/order_trust.c
@@ -1,6 +1,6 @@
 /**
  * @file order_trust.c
- * @brief Counts consecutive failures and doubles the pauses between tries.
+ * @brief Counts consecutive failures and doubles the periods of doubt.
  */
 #include "placement/order_trust.h"
 
@@ -12,9 +12,9 @@
 typedef struct doubt {
     uint32_t       server;
     uint32_t       failures; /* consecutive */
-    uint32_t       served;   /* answers to this node's requests by the time of the last failure */
-    uint32_t       tries;    /* pauses begun so far */
-    cw_time_us_t   until;    /* end of the pause; 0: none has begun */
+    uint32_t       served;   /* requests of this node that the server had answered at the last failure */
+    uint32_t       periods;  /* periods of doubt begun so far */
+    cw_time_us_t   until;    /* end of the last period of doubt; 0: none has begun */
     cw_time_us_t   failed_at;
     UT_hash_handle hh;
 } doubt_t;
@@ -68,14 +68,14 @@
     return doubt;
 }
 
-static cw_time_us_t pause_after(uint32_t tries)
+static cw_time_us_t doubt_period(uint32_t periods)
 {
-    cw_time_us_t pause = CW_SECONDS(CW_ORDER_DOUBT_INITIAL_S);
+    cw_time_us_t period = CW_SECONDS(CW_ORDER_DOUBT_INITIAL_S);
 
-    while (tries-- > 0 && pause < CW_SECONDS(CW_ORDER_DOUBT_MAX_S)) {
-        pause *= 2;
+    while (periods-- > 0 && period < CW_SECONDS(CW_ORDER_DOUBT_MAX_S)) {
+        period *= 2;
     }
-    return pause;
+    return period;
 }
 
 void cw_order_trust_record_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now)
@@ -86,9 +86,9 @@
     doubt->served = served;
     doubt->failed_at = now;
     if (doubt->failures >= CW_ORDER_FAILURES &&
-        now >= doubt->until) { /* further failures of the same try do not count */
-        doubt->until = now + pause_after(doubt->tries);
-        doubt->tries++;
+        now >= doubt->until) { /* failures within a period do not begin another one */
+        doubt->until = now + doubt_period(doubt->periods);
+        doubt->periods++;
     }
 }
 
--- a/src/placement/order_trust.h
+++ b/src/placement/order_trust.h
@@ -9,8 +9,9 @@
  *  - A server is doubted after CW_ORDER_FAILURES failed orders in a row: no connection, no answer, or an answer of
  *    another incarnation at its address.
  *  - It is trusted again after it has answered an order, or a request of this node: both take the same network path.
- *  - A doubted server may be tried after CW_ORDER_DOUBT_INITIAL_S; each failed try doubles the pause, up to
- *    CW_ORDER_DOUBT_MAX_S. Keys that it got in a try are moved elsewhere as those of any lost owner.
+ *  - The doubt ends after CW_ORDER_DOUBT_INITIAL_S, so that orders are sent to the server again. If they fail, the next
+ *    period of doubt is twice as long, up to CW_ORDER_DOUBT_MAX_S. Keys that the server got in between are moved
+ *    elsewhere as those of any lost owner.
  *  - Doubt proves nothing about a server's state: keys are never treated as free because of it, and a planner without
  *    any other server assigns keys to doubted ones.
  *
@@ -31,21 +32,23 @@
     CW_ORDER_DOUBT_MAX_S = 64     /**< longest time that a recovered server without load waits for keys */
 };
 
+/** Record of failed orders, by server. */
 typedef struct cw_order_trust cw_order_trust_t;
 
 /** Creates a record without failures. */
 cw_order_trust_t *cw_order_trust_create(void);
-void              cw_order_trust_free(cw_order_trust_t *trust);
+/** Frees the record. */
+void cw_order_trust_free(cw_order_trust_t *trust);
 /** Records that an order to the server failed. served: requests of this node that the server has answered so far. */
 void cw_order_trust_record_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
 /** Records that the server answered an order. */
 void cw_order_trust_record_answer(cw_order_trust_t *trust, uint32_t server);
-/** Whether the server may get keys only if no other server can. served: as above; more answers than at the server's
- * last failure end the doubt. */
+/** Whether the server may get keys only if no other server can. served: requests of this node that
+ * the server has answered so far; if they are more than at its last failed order, the doubt ends. */
 bool cw_order_trust_is_doubted(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
 /** Number of servers with recorded failures. */
 size_t cw_order_trust_servers(const cw_order_trust_t *trust);
-/** Discards servers without a failed order for twice CW_ORDER_DOUBT_MAX_S: they are no longer listed. */
+/** Discards the records of servers without a failed order for twice CW_ORDER_DOUBT_MAX_S: they are no longer listed. */
 void cw_order_trust_expire(cw_order_trust_t *trust, cw_time_us_t now);
 
 #endif
--- a/src/placement/ownership_measures.c
+++ b/src/placement/ownership_measures.c
@@ -12,7 +12,7 @@
 
 void cw_ownership_measures_clear(cw_ownership_measures_t *measures)
 {
-    free(measures->seen);
+    free(measures->observations);
     free(measures->loads);
     memset(measures, 0, sizeof(*measures));
 }
@@ -47,24 +47,24 @@
 /* ---- comparison of a range with the previous observation of its keys ---- */
 
 static void compare_part(cw_ownership_measures_t *measures, const cw_range_t *range,
-                         const cw_range_observation_t *before, cw_range_observation_t *now_seen)
+                         const cw_range_observation_t *before, cw_range_observation_t *present)
 {
     uint32_t low = before->low > range->low ? before->low : range->low;
     uint32_t last = before->last < range->last ? before->last : range->last;
-    bool     has_moved = before->owner != 0 && before->owner != now_seen->owner;
+    bool     has_moved = before->owner != 0 && before->owner != present->owner;
 
     if (has_moved) {
         count_move(measures, low, last);
     }
     if (has_moved || before->is_moving) {
-        now_seen->is_moving = range->phase != CW_RANGE_HELD;
-        if (!now_seen->is_moving && range->handover[0] == '\0') {
+        present->is_moving = range->phase != CW_RANGE_HELD;
+        if (!present->is_moving && range->handover[0] == '\0') {
             measures->moved_cold_keys += last - low + 1;
         }
     }
-    if (now_seen->unavailable_since != 0 && before->unavailable_since != 0 &&
-        before->unavailable_since < now_seen->unavailable_since) {
-        now_seen->unavailable_since = before->unavailable_since;
+    if (present->unavailable_since != 0 && before->unavailable_since != 0 &&
+        before->unavailable_since < present->unavailable_since) {
+        present->unavailable_since = before->unavailable_since;
     }
 }
 
@@ -77,30 +77,33 @@
 static cw_range_observation_t observe_range(cw_ownership_measures_t *measures, const cw_range_t *range, size_t *first,
                                             cw_time_us_t now)
 {
-    cw_range_observation_t seen = {.low = range->low,
-                                   .last = range->last,
-                                   .owner = owner_hash(range),
-                                   .unavailable_since = is_available(range) ? 0 : now};
+    cw_range_observation_t observation = {.low = range->low,
+                                          .last = range->last,
+                                          .owner = owner_hash(range),
+                                          .unavailable_since = is_available(range) ? 0 : now};
     size_t                 index;
 
-    while (*first < measures->seen_count && measures->seen[*first].last < range->low) {
+    while (*first < measures->observation_count && measures->observations[*first].last < range->low) {
         (*first)++;
     }
-    for (index = *first; index < measures->seen_count && measures->seen[index].low <= range->last; index++) {
-        compare_part(measures, range, &measures->seen[index], &seen);
+    for (index = *first; index < measures->observation_count && measures->observations[index].low <= range->last;
+         index++) {
+        compare_part(measures, range, &measures->observations[index], &observation);
     }
-    return seen;
+    return observation;
 }
 
-static void count_unavailable(cw_ownership_measures_t *measures, const cw_range_observation_t *seen, cw_time_us_t now)
+static void count_unavailable(cw_ownership_measures_t *measures, const cw_range_observation_t *observation,
+                              cw_time_us_t now)
 {
-    cw_time_us_t from = seen->unavailable_since > measures->looked_at ? seen->unavailable_since : measures->looked_at;
-    double       gap_s = seconds(now - seen->unavailable_since);
+    cw_time_us_t from =
+        observation->unavailable_since > measures->looked_at ? observation->unavailable_since : measures->looked_at;
+    double gap_s = seconds(now - observation->unavailable_since);
 
-    if (seen->unavailable_since == 0) {
+    if (observation->unavailable_since == 0) {
         return;
     }
-    measures->unavailable_key_s += (seen->last - seen->low + 1) * seconds(now - from);
+    measures->unavailable_key_s += (observation->last - observation->low + 1) * seconds(now - from);
     if (gap_s > measures->unavailable_longest_s) {
         measures->unavailable_longest_s = gap_s;
     }
@@ -108,22 +111,22 @@
 
 void cw_ownership_measures_observe(cw_ownership_measures_t *measures, const cw_range_list_t *ranges, cw_time_us_t now)
 {
-    cw_range_observation_t *seen = calloc(ranges->count + 1, sizeof(*seen));
+    cw_range_observation_t *observations = calloc(ranges->count + 1, sizeof(*observations));
     size_t                  first = 0;
     size_t                  index;
 
-    if (seen == NULL) {
+    if (observations == NULL) {
         abort();
     }
     for (index = 0; index < ranges->count; index++) {
-        seen[index] = observe_range(measures, &ranges->items[index], &first, now);
+        observations[index] = observe_range(measures, &ranges->items[index], &first, now);
         if (measures->looked_at != 0) {
-            count_unavailable(measures, &seen[index], now);
+            count_unavailable(measures, &observations[index], now);
         }
     }
-    free(measures->seen);
-    measures->seen = seen;
-    measures->seen_count = ranges->count;
+    free(measures->observations);
+    measures->observations = observations;
+    measures->observation_count = ranges->count;
     measures->looked_at = now;
 }
 
--- a/src/placement/ownership_measures.h
+++ b/src/placement/ownership_measures.h
@@ -29,20 +29,21 @@
     cw_time_us_t unavailable_since; /**< 0: it is available */
 } cw_range_observation_t;
 
+/** The measures of one service since this node's start. All zeros: none. */
 typedef struct cw_ownership_measures {
-    double                  imbalance;            /**< latest value; 0: no load */
-    double                  imbalance_weighted_s; /**< sum of imbalance times its duration in seconds */
-    double                  imbalance_s;          /**< sum of these durations in seconds */
-    double                  moved_keys;
-    double                  moved_cold_keys;
-    double                  moved_load; /**< sum of the moved keys' shares of the load */
-    double                  unavailable_key_s;
-    double                  unavailable_longest_s;
-    cw_range_observation_t *seen;
-    size_t                  seen_count;
-    cw_time_us_t            looked_at;
-    cw_time_us_t            load_at;
-    cw_key_load_t          *loads; /**< latest reading of the load window */
+    double                  imbalance;             /**< latest value; 0: no load */
+    double                  imbalance_weighted_s;  /**< sum of imbalance times its duration in seconds */
+    double                  imbalance_s;           /**< sum of these durations in seconds */
+    double                  moved_keys;            /**< each key counts once per move */
+    double                  moved_cold_keys;       /**< those whose new owner got no handover */
+    double                  moved_load;            /**< sum of the moved keys' shares of the load */
+    double                  unavailable_key_s;     /**< unavailable time of all keys, in key-seconds */
+    double                  unavailable_longest_s; /**< longest uninterrupted unavailable time of a key */
+    cw_range_observation_t *observations;          /**< the ranges at the last observation, sorted by key */
+    size_t                  observation_count;
+    cw_time_us_t            looked_at; /**< time of the last observation of the ranges; 0: none yet */
+    cw_time_us_t            load_at;   /**< time of the last observation of the load; 0: none yet */
+    cw_key_load_t          *loads;     /**< latest reading of the load window */
     size_t                  load_count;
 } cw_ownership_measures_t;
 
--- a/src/placement/plan_timing.c
+++ b/src/placement/plan_timing.c
@@ -13,7 +13,7 @@
         timing->servers = servers;
         timing->servers_since = now;
     }
-    return servers > 0 && (now - timing->servers_since >= heartbeat + CW_MS(CW_FIRST_PLAN_CALM_MS) ||
+    return servers > 0 && (now - timing->servers_since >= heartbeat + CW_MS(CW_FIRST_PLAN_STABLE_MS) ||
                            now - timing->first_server_at >= CW_SECONDS(CW_FIRST_PLAN_WAIT_S));
 }
 
--- a/src/placement/plan_timing.h
+++ b/src/placement/plan_timing.h
@@ -3,8 +3,8 @@
  * @brief When a service's keys are first assigned, and when a server list that lacks owners is trusted.
  *
  * Rules:
- *  - The first plan is made when the number of servers has not changed for a heartbeat plus CW_FIRST_PLAN_CALM_MS, and
- *    at the latest CW_FIRST_PLAN_WAIT_S after the first server was listed.
+ *  - The first plan is made when the number of servers has not changed for a heartbeat plus CW_FIRST_PLAN_STABLE_MS,
+ * and at the latest CW_FIRST_PLAN_WAIT_S after the first server was listed.
  *  - A list that lacks more than CW_MISSING_PERCENT of the owners is not trusted for a grace time, since an outage of
  *    the store may have removed their entries.
  *
@@ -19,9 +19,9 @@
 #include "base/time.h"
 
 enum {
-    CW_FIRST_PLAN_CALM_MS = 500, /**< in addition to a heartbeat */
-    CW_FIRST_PLAN_WAIT_S = 4,
-    CW_MISSING_PERCENT = 40 /**< a larger share of the owners is unlikely to have ended at the same time */
+    CW_FIRST_PLAN_STABLE_MS = 500, /**< in addition to a heartbeat */
+    CW_FIRST_PLAN_WAIT_S = 4,      /**< counted from the first listed server */
+    CW_MISSING_PERCENT = 40        /**< a larger share of the owners is unlikely to have ended at the same time */
 };
 
 /** Timing state of one service; initially all zeros. */
--- a/src/placement/planner.c
+++ b/src/placement/planner.c
@@ -10,21 +10,24 @@
 #include "placement/planner_internal.h"
 
 enum {
-    LOST_MS = 1200,
-    MANY_LOST_MS = 3000, /* a leader that is itself cut off has resigned by then: 900 ms plus other nodes' reports */
-    ERRORS_SERVERS = 14  /* number of servers with which settings.errors was measured (docs/MEASUREMENTS.md) */
+    LOST_MS = 1200, /* an owner counts as lost if its orders have failed for longer than this */
+    /* The same if most owners fail. A leader that is itself cut off has resigned before: within 900 ms plus the time of
+     * the other nodes' reports. */
+    MANY_LOST_MS = 3000,
+    ERRORS_SERVERS = 14 /* number of servers with which settings.errors was measured (docs/MEASUREMENTS.md) */
 };
 
-static const double idle_per_s = 0.5;
+static const double idle_per_s = 0.5; /* with less load on all keys the service counts as without load */
 
-const cw_planner_settings_t cw_planner_defaults = {.gain_min = 1.5,
-                                                   .move_price = 0.22,
-                                                   .interruption = 0.5,
-                                                   .refusal = 20, /* its value is lost and the caller repeats it */
-                                                   .errors = 1.5,
-                                                   .moves_max = 12,
-                                                   .ranges_per_server = 4,
-                                                   .min_stay = CW_MS(900)};
+const cw_planner_settings_t cw_planner_defaults = {
+    .gain_min = 1.5,
+    .move_price = 0.22,
+    .interruption = 0.5,
+    .refusal = 20, /* a refused request has no value, and its caller repeats it */
+    .errors = 1.5,
+    .moves_max = 12,
+    .ranges_per_server = 4,
+    .min_stay = CW_MS(900)};
 
 /* ---- ranges and loads ---- */
 
@@ -108,8 +111,8 @@
 }
 
 /* Whether a range of an unreachable owner stays for now. If most owners are unreachable, this leader itself may be cut
- * off: then other nodes get answers, and the leader resigns. A leader that still leads later and gets answers from some
- * owners moves the keys to these. If no owner answers, a move cannot help. */
+ * off: in that case other nodes get answers, and the leader resigns. A leader that still leads later and gets answers
+ * from some owners moves the keys to these. If no owner answers, a move cannot help. */
 static bool is_move_postponed(const cw_planner_t *planner, const cw_range_t *range, double failing_share)
 {
     if (failing_share >= 1) {
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -25,11 +25,12 @@
     double                   pace;       /**< its response time divided by the usual response time */
     double                   cost_s;     /**< share of its slots that a load of one request per second takes */
     double                   per_s;      /**< set by the planner: load on its keys, in requests per second */
-    uint32_t                 keys;       /**< set by the planner: number of its keys */
+    uint32_t                 keys;       /**< set by the planner: how many keys it owns */
     double                   marginal;   /**< set by the planner: cost of one more request per second there */
 } cw_planner_server_t;
 
-/** Prices and limits of moves. Gains and prices are in requests per second times usual response times. */
+/** Parameters of the planner: prices and limits of moves. Gains and prices are in requests per second times usual
+ * response times. */
 typedef struct cw_planner_settings {
     double       gain_min;     /**< least gain of a move, and fixed part of its price */
     double       move_price;   /**< price of moving all keys, for each request per second of the whole service */
@@ -57,7 +58,7 @@
     cw_time_us_t now;
 } cw_planner_input_t;
 
-/** Makes a plan in the assigner and submits it. Returns the number of changes. */
+/** Makes a plan and submits it to the assigner. Returns the number of changes; 0 also if no plan can be made now. */
 size_t cw_planner_run(const cw_planner_input_t *input);
 /** Share of the ranges whose owners are missing in the list without proof that they have ended. */
 double cw_planner_missing_share(const cw_assigner_t *assigner, const cw_server_list_t *list);
--- a/src/placement/planner_balance.c
+++ b/src/placement/planner_balance.c
@@ -7,11 +7,12 @@
 
 #include "placement/planner_internal.h"
 
-enum { SERVERS_PER_MOVE = 3 /* a plan may have one additional move for each so many servers */ };
+enum { SERVERS_PER_MOVE = 3 /* servers for each additional move that a plan may have */ };
 
-static const double piece_load_max = 1.5;    /* greatest load of a piece, as a multiple of the wanted load */
-static const double spare_busy = 0.7;        /* busy share up to which a single move may load a server */
-static const double spare_mean_factor = 1.2; /* or up to this multiple of the servers' mean, if that is higher */
+static const double piece_load_max = 1.5; /* greatest load of a piece, as a multiple of the wanted load */
+static const double spare_busy = 0.7;     /* busy share up to which a single move may load a server */
+static const double spare_mean_factor =
+    1.2; /* the same, as a multiple of the servers' mean; the higher limit applies */
 
 /* Returns the shortest piece at one end of a range with at least the wanted load. */
 static cw_planner_piece_t end_piece(const cw_planner_t *planner, const cw_range_t *range, double wanted,
--- a/src/placement/planner_hot.c
+++ b/src/placement/planner_hot.c
@@ -13,8 +13,9 @@
 
 static const double hot_busy = 0.5;    /* share of the fastest server's slots from which a key is hot */
 static const double fast_factor = 1.2; /* servers up to this multiple of the fastest one's cost are equally suitable */
-static const double stay_factor =
-    3.0; /* a hot key stays up to this multiple: a busy server is slower than an idle one */
+/* A hot key stays at a server up to this multiple of the fastest one's cost, since a busy server is slower than an idle
+ * one. */
+static const double stay_factor = 3.0;
 
 bool cw_planner_is_hot(const cw_planner_t *planner, const cw_key_load_t *load)
 {
--- a/src/placement/planner_internal.h
+++ b/src/placement/planner_internal.h
@@ -12,6 +12,7 @@
 #include "model/region_mask.h"
 #include "placement/planner.h"
 
+/** A plan that is being made, with its input. */
 typedef struct cw_planner {
     cw_assigner_t               *assigner;
     const cw_planner_settings_t *settings;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -3,7 +3,7 @@
  * @brief Interface of a store of objects with revisions, conditional writes, listings and watches.
  *
  * The store is linearizable and never loses a write that it acknowledged. A write without an answer
- * (CW_STORE_UNKNOWN) may have been executed, and may still be executed later as long as its condition holds.
+ * (CW_STORE_UNKNOWN) may have been executed, or may be executed later as long as its condition holds.
  * Therefore reading the object back proves nothing until another write has changed the object's revision.
  */
 #ifndef CEDARWINCH_STORE_STORE_H
@@ -51,8 +51,8 @@
     void *context;
     /** A configuration was read. NULL: it cannot be used, and `problem` says why. */
     void (*configuration)(void *context, cw_configuration_t *configuration, const char *problem);
-    /** A change of the configuration has to be reported within this time. The adapter may use part of it, but not all,
-     * to wait for further changes. */
+    /** A change of the configuration has to be reported within this time. The adapter may use part of this time,
+     * but not all of it, to wait for further changes. */
     cw_time_us_t configuration_within;
     /** An answer of the store shows that no configuration with a version above this one had been acknowledged at time
      * `at`. */
--- a/tests/test_assigner.c
+++ b/tests/test_assigner.c
@@ -188,7 +188,7 @@
     led_since = fixture.now;
     assigner_fixture_answer_store(&fixture); /* the read */
     assigner_fixture_tick(&fixture, CW_MS(20));
-    assigner_fixture_tick(&fixture, CW_MS(2000)); /* the store takes its time over the write */
+    assigner_fixture_tick(&fixture, CW_MS(2000)); /* the write takes the store two seconds */
     assigner_fixture_answer_store(&fixture);
     assigner_fixture_tick(&fixture, CW_MS(20));
     ck_assert_uint_eq(assigner_fixture_count(&fixture, CW_ORDER_GRANT, sent), 2);
@@ -270,8 +270,8 @@
     cw_assigner_plan_move(fixture.assigner, 40000, 40099, server(&fixture, "i-a"), fixture.servers);
     cw_assigner_plan_write(fixture.assigner, fixture.now);
     assigner_fixture_tick(&fixture, CW_MS(20));
-    assigner_fixture_tick(&fixture, CW_MS(20)); /* read: not done so far */
-    assigner_fixture_tick(&fixture, CW_MS(20)); /* so the same write once more */
+    assigner_fixture_tick(&fixture, CW_MS(20)); /* read: the write has not been done so far */
+    assigner_fixture_tick(&fixture, CW_MS(20)); /* so the same write is repeated */
     ck_assert_uint_eq(fixture.writes, writes + 2);
     ck_assert_str_eq(assigner_fixture_range(&fixture, 40050)->owner.id, "i-a");
     assigner_fixture_clear(&fixture);
@@ -497,7 +497,7 @@
     assigner_fixture_set_servers(&fixture, two);
     assigner_fixture_settle(&fixture);
     begin_move(&fixture);
-    highest = fixture.orders[fixture.order_count - 1].fence + 1; /* of the move under way */
+    highest = fixture.orders[fixture.order_count - 1].fence + 1; /* the fence of the move in progress */
     overwrite_record(&fixture);
     assigner_fixture_take_over(&fixture, 2);
     assigner_fixture_tick(&fixture, CW_MS(20));
@@ -521,7 +521,7 @@
     assigner_fixture_settle(&fixture);
     assigner_fixture_take_over(&fixture, 2);
     sent = fixture.order_count;
-    assigner_fixture_tick(&fixture, CW_MS(20)); /* read: to be adopted */
+    assigner_fixture_tick(&fixture, CW_MS(20)); /* the record is read, to be adopted */
     overwrite_record(&fixture);
     assigner_fixture_tick(&fixture, CW_MS(20)); /* the write fails by its condition */
     assigner_fixture_tick(&fixture, CW_MS(20));
@@ -542,7 +542,7 @@
     assigner_fixture_init(&fixture, 1);
     assigner_fixture_set_servers(&fixture, two);
     assigner_fixture_settle(&fixture);
-    assigner_fixture_tick(&fixture, CW_SECONDS(20)); /* renewed: these holds have just begun */
+    assigner_fixture_tick(&fixture, CW_SECONDS(20)); /* the ranges are renewed: these holds have just begun */
     overwrite_record(&fixture);
     begin_move(&fixture);
     assigner_fixture_tick(&fixture, CW_MS(20));
--- a/tests/test_http_pipeline.c
+++ b/tests/test_http_pipeline.c
@@ -434,7 +434,7 @@
 
     listener_fixture_await_requests(&fixture, 1);
     listener_fixture_answer(&fixture, 0, "first");
-    ck_assert_uint_eq(fixture.count, 1); /* the second one is passed on in the loop's next turn */
+    ck_assert_uint_eq(fixture.count, 1); /* the second request is passed on in the loop's next turn */
     cw_http_listener_end_connections(fixture.listener);
     listener_fixture_run_for(&fixture, 50);
     ck_assert_uint_eq(fixture.count, 2);
--- a/tests/test_order_trust.c
+++ b/tests/test_order_trust.c
@@ -50,16 +50,16 @@
 }
 END_TEST
 
-START_TEST(pauses_between_tries_of_a_doubted_server_double)
+START_TEST(periods_of_doubt_of_a_server_double)
 {
     cw_order_trust_t *trust = cw_order_trust_create();
     cw_time_us_t      now = CW_SECONDS(1);
-    int               pause_s;
+    int               period_s;
 
-    for (pause_s = CW_ORDER_DOUBT_INITIAL_S; pause_s <= 4 * CW_ORDER_DOUBT_MAX_S; pause_s *= 2) {
-        int bounded_s = pause_s < CW_ORDER_DOUBT_MAX_S ? pause_s : CW_ORDER_DOUBT_MAX_S;
+    for (period_s = CW_ORDER_DOUBT_INITIAL_S; period_s <= 4 * CW_ORDER_DOUBT_MAX_S; period_s *= 2) {
+        int bounded_s = period_s < CW_ORDER_DOUBT_MAX_S ? period_s : CW_ORDER_DOUBT_MAX_S;
 
-        fail_orders(trust, 8, now); /* orders of one try */
+        fail_orders(trust, 8, now); /* orders of one plan */
         ck_assert(cw_order_trust_is_doubted(trust, SERVER, 0, now + CW_SECONDS(bounded_s) - 1));
         now += CW_SECONDS(bounded_s);
         ck_assert(!cw_order_trust_is_doubted(trust, SERVER, 0, now));
@@ -81,9 +81,9 @@
 }
 END_TEST
 
-/* Runs so many seconds with load while the first two servers are dead but still listed. Returns the number of grants
- * sent to the dead ones. */
-static size_t pass_seconds(node_fixture_t *node, int seconds)
+/* Runs the node for this number of seconds with load while the first two servers are dead but still listed. Returns the
+ * number of grants sent to the dead ones. */
+static size_t run_seconds(node_fixture_t *node, int seconds)
 {
     uint32_t keys[KEYS_SAMPLED];
     size_t   grants = 0;
@@ -126,9 +126,9 @@
     ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
     ck_assert_uint_eq(keys_not_held(node), 0);
-    (void)pass_seconds(node, 12); /* keys of a lost owner cannot move before its hold expires */
+    (void)run_seconds(node, 12); /* keys of a lost owner cannot move before its hold expires */
     ck_assert_uint_eq(keys_not_held(node), 0);
-    ck_assert_uint_le(pass_seconds(node, 60), 24); /* they are tried again after increasing pauses */
+    ck_assert_uint_le(run_seconds(node, 60), 24); /* orders are sent to them again after increasing periods of doubt */
     node_fixture_free(node);
 }
 END_TEST
@@ -141,7 +141,7 @@
     tcase_set_timeout(cases, 60);
     tcase_add_test(cases, a_server_is_doubted_after_two_failures_in_a_row);
     tcase_add_test(cases, a_server_that_answers_an_order_or_a_request_is_trusted_again);
-    tcase_add_test(cases, pauses_between_tries_of_a_doubted_server_double);
+    tcase_add_test(cases, periods_of_doubt_of_a_server_double);
     tcase_add_test(cases, servers_without_orders_are_discarded);
     tcase_add_test(cases, keys_do_not_alternate_between_two_dead_servers_that_stay_listed);
     suite_add_tcase(suite, cases);
--- a/tests/test_plan_timing.c
+++ b/tests/test_plan_timing.c
@@ -30,7 +30,7 @@
 {
     cw_plan_timing_t timing = {0};
     cw_time_us_t     now = CW_SECONDS(START_S);
-    cw_time_us_t     stable_time = CW_MS(HEARTBEAT_MS + CW_FIRST_PLAN_CALM_MS);
+    cw_time_us_t     stable_time = CW_MS(HEARTBEAT_MS + CW_FIRST_PLAN_STABLE_MS);
 
     ck_assert(!is_due(&timing, 1, now));
     ck_assert(!is_due(&timing, 2, now + stable_time)); /* one more server: the time starts again */
--- a/tests/test_planner.c
+++ b/tests/test_planner.c
@@ -353,7 +353,7 @@
 }
 END_TEST
 
-/* Only orders to i-d are answered, for so many ticks of 150 ms. */
+/* Makes this number of ticks of 150 ms, in which only orders to i-d are answered. */
 static void answer_only_orders_to_d(planner_fixture_t *fixture, int ticks)
 {
     while (ticks-- > 0) {
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -147,9 +147,9 @@
 }
 END_TEST
 
-/* Runs so many seconds with requests: those for keys of the lower half are restricted to `low_regions`, those for the
- * upper half to `high_regions`. */
-static void pass_seconds(node_fixture_t *node, int seconds, uint32_t low_regions, uint32_t high_regions)
+/* Runs the node for this number of seconds with requests: those for keys of the lower half are restricted to
+ * `low_regions`, those for the upper half to `high_regions`. */
+static void run_seconds(node_fixture_t *node, int seconds, uint32_t low_regions, uint32_t high_regions)
 {
     uint32_t            keys[KEYS];
     uint32_t            regions[KEYS];
@@ -199,7 +199,7 @@
 {
     node_fixture_t *node = lead_with("r1", "r2");
 
-    pass_seconds(node, 30, bit_of(node, "r2"), bit_of(node, "r1"));
+    run_seconds(node, 30, bit_of(node, "r2"), bit_of(node, "r1"));
     ck_assert_double_ge(share_in(node, 0, "r2"), 0.95);
     ck_assert_double_ge(share_in(node, 1, "r1"), 0.95);
     node_fixture_free(node);
@@ -240,7 +240,7 @@
     size_t          before =
         node->router.keyed[0].assigner == NULL ? 0 : cw_assigner_ranges(node->router.keyed[0].assigner)->count;
 
-    pass_seconds(node, 10, CW_REGIONS_ANY, CW_REGIONS_ANY);
+    run_seconds(node, 10, CW_REGIONS_ANY, CW_REGIONS_ANY);
     ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, before);
     node_fixture_free(node);
 }
@@ -253,7 +253,7 @@
     node_fixture_t *node = lead_with("r1", "r2");
     int             tick;
 
-    pass_seconds(node, 5, bit_of(node, "r1"), bit_of(node, "r2"));
+    run_seconds(node, 5, bit_of(node, "r1"), bit_of(node, "r2"));
     node_fixture_read_servers(node, "s", 2, "10.0.1.1:80"); /* only the servers of z1 and z2 are left */
     for (tick = 0; tick < 1000; tick++) {
         node_fixture_tick(node, CW_TICK_MS);
--- a/tests/test_traffic_account.c
+++ b/tests/test_traffic_account.c
@@ -14,10 +14,10 @@
     cw_traffic_account_t account = {0};
     cw_bytes_t           text = {0};
 
-    cw_traffic_account_note(&account, CWP__DATAGRAM__CONTENT_REPORT, CW_DISTANCE_ZONE, 100);
-    cw_traffic_account_note(&account, CWP__DATAGRAM__CONTENT_REPORT, CW_DISTANCE_REMOTE, 60);
-    cw_traffic_account_note(&account, CWP__DATAGRAM__CONTENT_REPORT, CW_DISTANCE_REMOTE, 40);
-    cw_traffic_account_note(&account, CWP__DATAGRAM__CONTENT_SERVERS, CW_DISTANCE_REGION, 7);
+    cw_traffic_account_add(&account, CWP__DATAGRAM__CONTENT_REPORT, CW_DISTANCE_ZONE, 100);
+    cw_traffic_account_add(&account, CWP__DATAGRAM__CONTENT_REPORT, CW_DISTANCE_REMOTE, 60);
+    cw_traffic_account_add(&account, CWP__DATAGRAM__CONTENT_REPORT, CW_DISTANCE_REMOTE, 40);
+    cw_traffic_account_add(&account, CWP__DATAGRAM__CONTENT_SERVERS, CW_DISTANCE_REGION, 7);
     cw_traffic_account_metrics(&account, &text);
     cw_bytes_append(&text, "", 1);
     ck_assert_ptr_nonnull(strstr(text.data, "cedarwinch_peer_bytes_total{kind=\"report\",distance=\"zone\"} 100\n"));
@@ -34,7 +34,7 @@
 {
     cw_traffic_account_t account = {0};
 
-    cw_traffic_account_note(&account, CW_TRAFFIC_KINDS + 3, CW_DISTANCE_ZONE, 9);
+    cw_traffic_account_add(&account, CW_TRAFFIC_KINDS + 3, CW_DISTANCE_ZONE, 9);
     ck_assert_str_eq(cw_traffic_kind_name(CW_TRAFFIC_KINDS + 3), "other");
     ck_assert_uint_eq(account.bytes[0][CW_DISTANCE_ZONE], 9);
 }
@@ -59,8 +59,8 @@
     char                 text[64];
     char                 narrow[24];
 
-    cw_traffic_account_note(&account, CWP__DATAGRAM__CONTENT_ACK, CW_DISTANCE_REGION, 30);
-    cw_traffic_account_note(&account, CWP__DATAGRAM__CONTENT_REPORT, CW_DISTANCE_REGION, 500);
+    cw_traffic_account_add(&account, CWP__DATAGRAM__CONTENT_ACK, CW_DISTANCE_REGION, 30);
+    cw_traffic_account_add(&account, CWP__DATAGRAM__CONTENT_REPORT, CW_DISTANCE_REGION, 500);
     cw_traffic_account_summary(&account, CW_DISTANCE_REGION, text, sizeof(text));
     ck_assert_str_eq(text, "530 report:500/1 ack:30/1");
     cw_traffic_account_summary(&account, CW_DISTANCE_REGION, narrow, sizeof(narrow));
