--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -79,9 +79,10 @@
 typedef struct cw_assigner_ports {
     void            *context;
     cw_store_port_t *store;
-    void (*order)(void             *context,
-                  const cw_order_t *order); /**< sends an order; cw_assigner_order_done must follow once */
-    void (*changed)(void *context);         /**< the ranges that requests are routed by have changed */
+    /** Sends an order; cw_assigner_order_done must follow once. */
+    void (*order)(void *context, const cw_order_t *order);
+    /** The ranges by which requests are routed have changed. */
+    void (*changed)(void *context);
     /** Logs one decision: the name of the event and a detail. */
     void (*note)(void *context, const char *service, const char *event, const cw_range_t *range, const char *detail);
 } cw_assigner_ports_t;
--- a/src/assignment/assigner_internal.h
+++ b/src/assignment/assigner_internal.h
@@ -7,6 +7,7 @@
 
 #include "assignment/assigner.h"
 
+/** An assigner with its record, its plan and its orders in flight. */
 struct cw_assigner {
     char                  *service;
     uint64_t               term;
--- a/src/assignment/assigner_orders.c
+++ b/src/assignment/assigner_orders.c
@@ -340,8 +340,8 @@
     if (!remove_order(assigner, id, &order)) {
         return;
     }
-    first =
-        cw_range_list_find(&assigner->record.ranges, order.low); /* the ranges are sorted: earlier ones are skipped */
+    /* The ranges are sorted, so those before the order's first key are skipped. */
+    first = cw_range_list_find(&assigner->record.ranges, order.low);
     index = first == NULL ? assigner->record.ranges.count : (size_t)(first - assigner->record.ranges.items);
     for (; index < assigner->record.ranges.count; index++) {
         cw_range_t *range = &assigner->record.ranges.items[index];
--- a/src/lease/leadership.c
+++ b/src/lease/leadership.c
@@ -128,8 +128,8 @@
 void cw_leadership_receive_step_down(cw_leadership_t *leadership, cw_time_us_t now)
 {
     if (!leadership->leading) {
-        leadership->last_received_at =
-            now - leadership->settings.heartbeat_timeout; /* a node with a take delay starts its extra wait now */
+        /* A node with a take delay starts its additional wait now. */
+        leadership->last_received_at = now - leadership->settings.heartbeat_timeout;
         leadership->next_at = now + CW_MS(RETRY_INITIAL_MS) + take_offset(leadership);
     }
 }
--- a/src/lease/leadership.h
+++ b/src/lease/leadership.h
@@ -107,8 +107,8 @@
 void cw_leadership_set_followers(cw_leadership_t *leadership, uint32_t followers);
 /** Sets the number of nodes, this one included. It is written into the lock for nodes that start later. */
 void cw_leadership_set_nodes(cw_leadership_t *leadership, uint32_t nodes);
-/** Sets, with each tick, how much later than it could this node takes the lock because a more capable one is in reach.
- * 0: no such node is in reach. */
+/** Sets, with each tick, how much later than it could this node takes the lock because a more capable one is
+ * reachable. 0: no such node is reachable. */
 void cw_leadership_set_take_delay(cw_leadership_t *leadership, cw_time_us_t take_delay);
 /** Handles a leader's step-down notice: the lock is read soon. */
 void cw_leadership_receive_step_down(cw_leadership_t *leadership, cw_time_us_t now);
--- a/src/model/server_absence.h
+++ b/src/model/server_absence.h
@@ -19,8 +19,9 @@
 
 /** Times that decide how long missing servers are kept. */
 typedef struct cw_absence_settings {
-    cw_time_us_t
-        outage; /**< the list in force is old from this age on; it counts as an outage only after a failed call */
+    /** A list in force of this age may be followed by a reading after an outage. Without a failed call to the store the
+     * list was merely not read again. */
+    cw_time_us_t outage;
     cw_time_us_t grace; /**< time for servers to register again */
 } cw_absence_settings_t;
 
--- a/src/model/server_view.c
+++ b/src/model/server_view.c
@@ -197,7 +197,8 @@
     return entry->missing_since == 0 && reading->revision > departure->revision && (reading->is_told || !is_earlier);
 }
 
-/* Corrects an entry by what is known of its server's departure. False: the entry must be removed from the list. */
+/* Corrects an entry by the recorded departure of its server, if there is one. False: the entry must be removed from the
+ * list. */
 static bool correct(const cw_server_view_t *view, cw_server_entry_t *entry, const cw_server_reading_t *reading,
                     cw_time_us_t now)
 {
--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -96,8 +96,8 @@
 uint16_t cw_http_listener_port(const cw_http_listener_t *listener);
 /** Sets the options of connections and requests that begin from now on. */
 void cw_http_listener_set_options(cw_http_listener_t *listener, const cw_http_listener_options_t *options);
-/** Sets the limits of requests that begin from now on. A connection that is idle now is closed after the longer
- * one of the former and the new idle timeout. */
+/** Sets the limits of requests that begin from now on. A connection that is idle now is closed after the longer one
+ * of the former and the new idle timeout. */
 void cw_http_listener_set_limits(cw_http_listener_t *listener, const cw_http_limits_t *limits);
 /** Sets the callback for requests whose heads are read from now on. NULL: no request is rejected by its head. */
 void cw_http_listener_set_reject_callback(cw_http_listener_t *listener, cw_http_rejects_t rejects);
--- a/src/net/http_listener_internal.h
+++ b/src/net/http_listener_internal.h
@@ -34,6 +34,7 @@
 
 typedef struct cw_http_connection cw_http_connection_t;
 
+/** A request with its answer. */
 struct cw_http_exchange {
     cw_pipeline_entry_t     entry; /* first member: the address of an entry is that of its exchange */
     cw_http_connection_t   *connection;
@@ -67,6 +68,7 @@
     void        *data;
 };
 
+/** A caller's connection with its requests. */
 struct cw_http_connection {
     uv_tcp_t            tcp; /* first member: libuv's callbacks get this pointer */
     uv_timer_t          timer;
@@ -102,6 +104,7 @@
     cw_http_connection_t *waiter_next;
 };
 
+/** A listener with its connections. */
 struct cw_http_listener {
     uv_loop_t                 *loop;
     uv_tcp_t                   tcp;
--- a/src/net/http_listener_request.c
+++ b/src/net/http_listener_request.c
@@ -182,7 +182,7 @@
     connection->parser.data = connection;
 }
 
-/* True for safe methods (RFC 9110, 9.2.1): a request with such a method may be executed repeatedly without effect. */
+/* Safe methods (RFC 9110, 9.2.1) are read-only, so their effect is the same however often they are executed. */
 static bool is_safe_method(const char *method)
 {
     return strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0 || strcmp(method, "OPTIONS") == 0;
--- a/src/net/http_listener_timer.c
+++ b/src/net/http_listener_timer.c
@@ -83,7 +83,8 @@
 
 /* ---- expired timeouts ---- */
 
-/* True if the caller has disconnected. While the connection is not read, only the state of the socket shows this. */
+/* True if the caller has disconnected; checked while the connection is not read, when only the socket's state shows it.
+ */
 static bool has_hung_up(cw_http_connection_t *connection, cw_time_us_t now)
 {
     struct pollfd polled = {.events = POLLRDHUP};
--- a/src/net/http_upstream_internal.h
+++ b/src/net/http_upstream_internal.h
@@ -22,7 +22,7 @@
     cw_upstream_target_t          *target;
     cw_upstream_call_t            *call; /* NULL: idle or closing */
     bool                           connected;
-    bool                           used;
+    bool                           used; /* it has carried a call */
     bool                           closing;
     bool                           writing;
     bool                           is_idle;
@@ -31,6 +31,7 @@
     struct cw_upstream_connection *next;
 } cw_upstream_connection_t;
 
+/** A call with its request, and the answer as far as it was received. */
 struct cw_upstream_call {
     cw_upstream_connection_t *connection;
     cw_upstream_answered_t    answered;
@@ -58,6 +59,7 @@
     cw_bytes_t                body;
 };
 
+/** A target with its connections. */
 struct cw_upstream_target {
     cw_upstream_t            *upstream;
     struct sockaddr_in        socket_address;
@@ -69,6 +71,7 @@
     cw_upstream_target_t     *next;
 };
 
+/** A client with its targets. */
 struct cw_upstream {
     uv_loop_t            *loop;
     cw_upstream_options_t options;
--- a/src/peer/detours.h
+++ b/src/peer/detours.h
@@ -43,8 +43,8 @@
 void cw_detours_received(cw_detours_t *detours, uint32_t address, uint32_t via, cw_time_us_t now);
 /** Address of the node that forwards datagrams to `address`; 0: no valid detour is known. */
 uint32_t cw_detours_via(const cw_detours_t *detours, uint32_t address, cw_time_us_t now);
-/** True if a probe of this suspect is due; it then counts as sent. turn: index of the probe, which
- * increases by one with each probe of the suspect. */
+/** True if a probe of this suspect is due; it then counts as sent. turn: index of the probe, which increases by one
+ * with each probe of the suspect. */
 bool cw_detours_begin_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn);
 /** Removes nodes that have not been suspects for a while. */
 void cw_detours_expire(cw_detours_t *detours, cw_time_us_t now);
--- a/src/placement/order_trust.h
+++ b/src/placement/order_trust.h
@@ -43,8 +43,8 @@
 void cw_order_trust_record_failure(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
 /** Records that the server answered an order. */
 void cw_order_trust_record_answer(cw_order_trust_t *trust, uint32_t server);
-/** Whether the server may get keys only if no other server can. served: requests of this node that
- * the server has answered so far; if they are more than at its last failed order, the doubt ends. */
+/** Whether the server may get keys only if no other server can. served: requests of this node that the
+ * server has answered so far; if they are more than at its last failed order, the doubt ends. */
 bool cw_order_trust_is_doubted(cw_order_trust_t *trust, uint32_t server, uint32_t served, cw_time_us_t now);
 /** Number of servers with recorded failures. */
 size_t cw_order_trust_servers(const cw_order_trust_t *trust);
--- a/src/placement/plan_timing.h
+++ b/src/placement/plan_timing.h
@@ -4,7 +4,7 @@
  *
  * Rules:
  *  - The first plan is made when the number of servers has not changed for a heartbeat plus CW_FIRST_PLAN_STABLE_MS,
- * and at the latest CW_FIRST_PLAN_WAIT_S after the first server was listed.
+ *    and at the latest CW_FIRST_PLAN_WAIT_S after the first server was listed.
  *  - A list that lacks more than CW_MISSING_PERCENT of the owners is not trusted for a grace time, since an outage of
  *    the store may have removed their entries.
  *
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -3,7 +3,7 @@
  * @brief Interface of a store of objects with revisions, conditional writes, listings and watches.
  *
  * The store is linearizable and never loses a write that it acknowledged. A write without an answer
- * (CW_STORE_UNKNOWN) may have been executed, or may be executed later as long as its condition holds.
+ * (CW_STORE_UNKNOWN) may have been executed, or may still be executed later as long as its condition holds.
  * Therefore reading the object back proves nothing until another write has changed the object's revision.
  */
 #ifndef CEDARWINCH_STORE_STORE_H
--- a/tests/assigner_fixture.c
+++ b/tests/assigner_fixture.c
@@ -11,7 +11,7 @@
 
 static void deliver(assigner_fixture_t *fixture, cw_store_replied_t replied, void *data, cw_store_reply_t *reply)
 {
-    if (fixture->hold_answers) {
+    if (fixture->delays_answers) {
         ck_assert_ptr_null(fixture->waiting);
         fixture->waiting = replied;
         fixture->waiting_data = data;
@@ -82,12 +82,13 @@
     fixture->orders[fixture->order_count++] = *order;
 }
 
-static void note_change(void *context)
+static void on_change(void *context)
 {
     ((assigner_fixture_t *)context)->changes++;
 }
 
-static void note(void *context, const char *service, const char *event, const cw_range_t *range, const char *detail)
+static void on_decision(void *context, const char *service, const char *event, const cw_range_t *range,
+                        const char *detail)
 {
     (void)context;
     (void)service;
@@ -107,7 +108,7 @@
                                        .late_order_time = CW_SECONDS(13),
                                        .table_validity = CW_MS(4000)};
     cw_assigner_ports_t    ports = {
-           .context = fixture, .store = &fixture->port, .order = take_order, .changed = note_change, .note = note};
+           .context = fixture, .store = &fixture->port, .order = take_order, .changed = on_change, .note = on_decision};
 
     fixture->assigner = cw_assigner_create("service", term, 1000 + term, &settings, &ports);
 }
--- a/tests/assigner_fixture.h
+++ b/tests/assigner_fixture.h
@@ -9,16 +9,17 @@
 
 enum { ASSIGNER_ORDERS_MAX = 256 };
 
+/** The assigner, its store and the orders that it has sent. */
 typedef struct assigner_fixture {
     cw_assigner_t     *assigner;
     cw_store_port_t    port;
     cw_server_list_t  *servers;
     cw_time_us_t       now;
-    json_t            *object; /**< NULL: none */
+    json_t            *object; /**< the object in the store; NULL: none */
     uint64_t           revision;
-    bool               hold_answers; /**< the store delays its answers until assigner_fixture_answer_store */
-    cw_store_result_t  fail_next;    /**< result of the next write; CW_STORE_DONE: it does not fail */
-    bool               done_before_fail;
+    bool               delays_answers;   /**< the store delays its answers until assigner_fixture_answer_store */
+    cw_store_result_t  fail_next;        /**< result of the next write; CW_STORE_DONE: it does not fail */
+    bool               done_before_fail; /**< a failing write is executed although its result is fail_next */
     cw_store_replied_t waiting;
     void              *waiting_data;
     cw_store_reply_t   waiting_reply;
@@ -26,11 +27,13 @@
     uint32_t           writes;
     cw_order_t         orders[ASSIGNER_ORDERS_MAX]; /**< all orders sent so far, in order */
     size_t             order_count;
-    size_t             answered; /**< number of orders answered so far */
-    uint32_t           changes;
+    size_t             answered; /**< how many of the orders are answered so far */
+    uint32_t           changes;  /**< calls of the port `changed` so far */
 } assigner_fixture_t;
 
+/** Creates the assigner of a leader with this term, and an empty store. */
 void assigner_fixture_init(assigner_fixture_t *fixture, uint64_t term);
+/** Frees the assigner, the list and the object. */
 void assigner_fixture_clear(assigner_fixture_t *fixture);
 /** Replaces the list of servers. Texts are "name[#start]@address[!]"; "!" marks a draining server. */
 void assigner_fixture_set_servers(assigner_fixture_t *fixture, const char *const *texts);
@@ -45,7 +48,8 @@
 /** Plans the first assignment and confirms all grants. */
 void assigner_fixture_settle(assigner_fixture_t *fixture);
 /** Returns the number of orders of this kind sent since index `from`. */
-size_t            assigner_fixture_count(const assigner_fixture_t *fixture, cw_order_kind_t kind, size_t from);
+size_t assigner_fixture_count(const assigner_fixture_t *fixture, cw_order_kind_t kind, size_t from);
+/** Returns the range of a key. */
 const cw_range_t *assigner_fixture_range(const assigner_fixture_t *fixture, uint32_t key);
 
 #endif
--- a/tests/listener_fixture.h
+++ b/tests/listener_fixture.h
@@ -58,6 +58,7 @@
 fixture_caller_t *listener_fixture_connect(listener_fixture_t *fixture);
 /** Writes all bytes, and runs the loop while the listener does not accept them. */
 void listener_fixture_send(fixture_caller_t *caller, const void *bytes, size_t length);
+/** The same for a text. */
 void listener_fixture_send_text(fixture_caller_t *caller, const char *text);
 /** Writes as many bytes as the listener's socket accepts without running the loop. Returns their number. */
 size_t listener_fixture_send_some(fixture_caller_t *caller, const void *bytes, size_t length);
--- a/tests/process/dead_servers_listed.sh
+++ b/tests/process/dead_servers_listed.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Two servers are killed and their entries stay in the list. Their keys must move to live servers, although the dead ones
-# appear idle. The limit in polls is a hold (5 s) and as long again.
+# appear idle. The limit of polls, a second apart, allows for a hold (5 s) and as long again.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 standard_cluster 3
 served() {
--- a/tests/test_assigner.c
+++ b/tests/test_assigner.c
@@ -37,7 +37,7 @@
     assigner_fixture_tick(&fixture, 0);
     entries[0] = server(&fixture, "i-a");
     entries[1] = server(&fixture, "i-b");
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     cw_assigner_plan_first(fixture.assigner, entries, 2, fixture.now);
     assigner_fixture_tick(&fixture, CW_MS(20));
     assigner_fixture_tick(&fixture, CW_MS(500));
@@ -157,7 +157,7 @@
     writes = fixture.writes;
     sent = fixture.order_count;
     assigner_fixture_take_over(&fixture, 2);
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     assigner_fixture_tick(&fixture, CW_MS(20));
     assigner_fixture_answer_store(&fixture); /* the read */
     assigner_fixture_tick(&fixture, CW_MS(20));
@@ -183,7 +183,7 @@
     assigner_fixture_settle(&fixture);
     sent = fixture.order_count;
     assigner_fixture_take_over(&fixture, 2);
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     assigner_fixture_tick(&fixture, CW_MS(20));
     led_since = fixture.now;
     assigner_fixture_answer_store(&fixture); /* the read */
@@ -211,7 +211,7 @@
     json_object_set_new(late, "write", json_integer(77));
     sent = fixture.order_count;
     assigner_fixture_take_over(&fixture, 2);
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     assigner_fixture_tick(&fixture, CW_MS(20));
     assigner_fixture_answer_store(&fixture); /* read: the old record */
     json_decref(fixture.object);             /* the former leader's write is done now */
@@ -286,7 +286,7 @@
     assigner_fixture_init(&fixture, 1);
     assigner_fixture_set_servers(&fixture, two);
     assigner_fixture_settle(&fixture);
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     cw_assigner_plan_move(fixture.assigner, 0, 99, server(&fixture, "i-b"), fixture.servers);
     cw_assigner_plan_write(fixture.assigner, fixture.now);
     sent = fixture.order_count;
