--- a/src/model/server_list.c
+++ b/src/model/server_list.c
@@ -374,8 +374,8 @@
         return NULL;
     }
     if (list->by_address == NULL) {
-        ((cw_server_list_t *)list)->by_address =
-            sort_by_address(list); /* a cache, which does not change the list's contents */
+        /* The index is a cache: it does not change the contents of the list. */
+        ((cw_server_list_t *)list)->by_address = sort_by_address(list);
     }
     found = other_at_address(list, id, address);
     if (found == NULL) {
--- a/tests/test_assigner.c
+++ b/tests/test_assigner.c
@@ -716,8 +716,8 @@
     const cw_order_t  *second;
 
     begin_with(&fixture, two);
-    cw_assigner_set_renewal_rate(fixture.assigner,
-                                 RENEWALS_PER_SECOND); /* two ranges: one renewal each in two seconds */
+    /* Two ranges: each is renewed once in two seconds. */
+    cw_assigner_set_renewal_rate(fixture.assigner, RENEWALS_PER_SECOND);
     renew(&fixture, CW_ORDER_DONE);
     first = last_grant_to(&fixture, "10.0.0.1:80");
     ck_assert_int_eq(first->hold, CW_MS(5000 + 2000 - 1250));
--- a/tests/test_detours.c
+++ b/tests/test_detours.c
@@ -177,8 +177,8 @@
     uint64_t        before = detours_sent(node);
 
     receive_detour(node, intermediate_text, inet_addr("10.1.0.9"), true); /* the destination is unknown to this node */
-    receive_detour(node, intermediate_text, inet_addr(suspect_text),
-                   true); /* the destination counts as lost at this node */
+    /* The destination counts as lost at this node. */
+    receive_detour(node, intermediate_text, inet_addr(suspect_text), true);
     ck_assert_uint_eq(detours_sent(node), before);
     node_fixture_receive_report(node, suspect_text, "z1", 2);
     receive_detour(node, intermediate_text, inet_addr(suspect_text), true);
@@ -225,18 +225,18 @@
 int main(void)
 {
     Suite *suite = suite_create("detours");
-    TCase *pauses = tcase_create("pauses");
+    TCase *intervals = tcase_create("intervals");
     TCase *node = tcase_create("node");
 
-    tcase_add_test(pauses, a_suspect_is_probed_three_times_before_it_counts_as_lost);
-    tcase_add_test(pauses, an_unreachable_node_is_probed_less_often);
-    tcase_add_test(pauses, probes_of_a_lost_zone_stay_within_the_rate_limit);
-    tcase_add_test(pauses, a_detour_is_valid_for_a_second_after_a_datagram);
+    tcase_add_test(intervals, a_suspect_is_probed_three_times_before_it_counts_as_lost);
+    tcase_add_test(intervals, an_unreachable_node_is_probed_less_often);
+    tcase_add_test(intervals, probes_of_a_lost_zone_stay_within_the_rate_limit);
+    tcase_add_test(intervals, a_detour_is_valid_for_a_second_after_a_datagram);
     tcase_add_test(node, a_lost_node_is_alive_while_another_one_reaches_it);
     tcase_add_test(node, a_probe_is_answered_but_does_not_prove_that_the_node_is_alive);
     tcase_add_test(node, a_detour_has_exactly_one_intermediate_node);
     tcase_add_test(node, a_node_that_does_not_receive_from_this_one_is_not_reachable);
-    suite_add_tcase(suite, pauses);
+    suite_add_tcase(suite, intervals);
     suite_add_tcase(suite, node);
     return cw_test_main(suite);
 }
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -455,8 +455,8 @@
     cw_test_run_until_set(&fixture.loop, &fixture.called_back);
     ck_assert_uint_eq(cw_upstream_target_idle(target), 1);
     raw_send(&fixture.accepted, "HTTP/1.1 200 OK\r\n");
-    (void)call(&fixture,
-               target); /* the bytes have arrived, but the loop has not read them: a new connection is opened */
+    /* The bytes have arrived, but the loop has not read them: a new connection is opened. */
+    (void)call(&fixture, target);
     ck_assert_uint_eq(cw_upstream_opened(fixture.upstream), 2);
 }
 END_TEST
--- a/tests/test_http_upload.c
+++ b/tests/test_http_upload.c
@@ -293,20 +293,20 @@
 {
     cw_http_limits_t   wide = limits;
     listener_fixture_t fixture;
-    fixture_caller_t  *too_large_here;
-    fixture_caller_t  *too_large;
+    fixture_caller_t  *beyond_memory;
+    fixture_caller_t  *beyond_size;
 
     wide.body_bytes = 2 * MEMORY_LIMIT_BYTES;
     listener_fixture_init(&fixture, &wide, &long_wait);
-    too_large_here = listener_fixture_connect(&fixture);
-    too_large = listener_fixture_connect(&fixture);
-    listener_fixture_send_text(too_large_here, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n");
-    listener_fixture_await_end(too_large_here);
-    ck_assert_ptr_nonnull(strstr(listener_fixture_received(too_large_here), "HTTP/1.1 503"));
-    ck_assert_ptr_nonnull(strstr(listener_fixture_received(too_large_here), "Retry-After: "));
-    listener_fixture_send_text(too_large, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\n\r\n");
-    listener_fixture_await_end(too_large);
-    ck_assert_ptr_nonnull(strstr(listener_fixture_received(too_large), "HTTP/1.1 413"));
+    beyond_memory = listener_fixture_connect(&fixture);
+    beyond_size = listener_fixture_connect(&fixture);
+    listener_fixture_send_text(beyond_memory, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n");
+    listener_fixture_await_end(beyond_memory);
+    ck_assert_ptr_nonnull(strstr(listener_fixture_received(beyond_memory), "HTTP/1.1 503"));
+    ck_assert_ptr_nonnull(strstr(listener_fixture_received(beyond_memory), "Retry-After: "));
+    listener_fixture_send_text(beyond_size, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\n\r\n");
+    listener_fixture_await_end(beyond_size);
+    ck_assert_ptr_nonnull(strstr(listener_fixture_received(beyond_size), "HTTP/1.1 413"));
 }
 END_TEST
 
--- a/tests/test_leadership.c
+++ b/tests/test_leadership.c
@@ -216,7 +216,7 @@
     ck_assert_int_eq(cw_leadership_tick(&leadership, now), CW_LEADERSHIP_READ);
     answer.value = json_pack("{s:s}", "holder", "of another form");
     cw_leadership_replied(&leadership, &answer, now);
-    for (; now < CW_MS(400) + HOLD; now += CW_MS(20)) { /* the writer may have authority until then */
+    for (; now < CW_MS(400) + HOLD; now += CW_MS(20)) { /* the writer may have authority until this time */
         cw_leadership_action_t action = cw_leadership_tick(&leadership, now);
 
         ck_assert_int_ne(action, CW_LEADERSHIP_REPLACE);
@@ -243,8 +243,8 @@
 
     ck_assert_int_eq(cw_leadership_tick(&leadership, 0), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 9, &lock, 0);
-    cw_leadership_receive_heartbeat(&leadership, 7, 9, true,
-                                    CW_MS(500)); /* the lock is not read while heartbeats arrive */
+    /* The lock is not read while heartbeats arrive. */
+    cw_leadership_receive_heartbeat(&leadership, 7, 9, true, CW_MS(500));
     answer.value = json_pack("{s:s}", "holder", "of another form");
     for (; now < CW_SECONDS(10); now += CW_MS(20)) {
         cw_leadership_action_t action = cw_leadership_tick(&leadership, now);
@@ -270,8 +270,8 @@
     lock.vacant = true;
     ck_assert_int_eq(cw_leadership_tick(&leadership, 0), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 9, &lock, 0);
-    ck_assert_int_eq(cw_leadership_tick(&leadership, CW_MS(20)),
-                     CW_LEADERSHIP_WAIT); /* the lock is not read continually either */
+    /* The lock may be taken later; until that time it is not read in every tick. */
+    ck_assert_int_eq(cw_leadership_tick(&leadership, CW_MS(20)), CW_LEADERSHIP_WAIT);
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_MS(400)), CW_LEADERSHIP_READ);
     reply(&leadership, CW_STORE_DONE, 9, &lock, CW_MS(400));
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_MS(800)), CW_LEADERSHIP_REPLACE);
@@ -356,8 +356,8 @@
     settings.first_read_within = CW_SECONDS(1);
     cw_leadership_init(&leadership, &settings, CW_SECONDS(5));
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_SECONDS(5) + 700122), CW_LEADERSHIP_WAIT);
-    cw_leadership_receive_heartbeat(&leadership, 1, 9, true,
-                                    CW_SECONDS(5) + 600000); /* another node has become the leader */
+    /* Another node has become the leader. */
+    cw_leadership_receive_heartbeat(&leadership, 1, 9, true, CW_SECONDS(5) + 600000);
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_SECONDS(5) + 700123), CW_LEADERSHIP_WAIT);
     cw_leadership_init(&leadership, &settings, CW_SECONDS(5));
     ck_assert_int_eq(cw_leadership_tick(&leadership, CW_SECONDS(5) + 700123), CW_LEADERSHIP_READ);
--- a/tests/test_order_trust.c
+++ b/tests/test_order_trust.c
@@ -8,7 +8,7 @@
 #include "loop_fixture.h"
 #include "node_fixture.h"
 
-enum { SERVERS = 6, TICKS_A_SECOND = 1000 / CW_TICK_MS, KEYS_SAMPLED = 16 };
+enum { SERVERS = 6, TICKS_PER_SECOND = 1000 / CW_TICK_MS, KEYS_SAMPLED = 16 };
 
 enum { SERVER = 77, OTHER = 78 };
 
@@ -90,7 +90,7 @@
     size_t   key;
     int      tick;
 
-    for (tick = 0; tick < seconds * TICKS_A_SECOND; tick++) {
+    for (tick = 0; tick < seconds * TICKS_PER_SECOND; tick++) {
         for (key = 0; key < KEYS_SAMPLED; key++) {
             keys[key] = (uint32_t)((size_t)tick * 7919 + key * 4096 + 17) % (CW_KEY_LAST + 1);
         }
--- a/tests/test_planner.c
+++ b/tests/test_planner.c
@@ -433,8 +433,8 @@
     cw_assigner_plan_move(fixture.assigner.assigner, 0, 99, to, fixture.assigner.servers);
     cw_assigner_plan_write(fixture.assigner.assigner, fixture.assigner.now);
     assigner_fixture_tick(&fixture.assigner, CW_MS(20));
-    assigner_fixture_take_over(&fixture.assigner,
-                               2); /* the record shows an unfinished move from i-a to i-b, and i-b may hold the keys */
+    /* The record shows an unfinished move from i-a to i-b, and i-b may hold the keys. */
+    assigner_fixture_take_over(&fixture.assigner, 2);
     assigner_fixture_set_servers(&fixture.assigner, without_b);
     refresh_servers(&fixture);
     assigner_fixture_tick(&fixture.assigner, CW_MS(20));
@@ -488,13 +488,13 @@
 
     for (index = 0; index < count; index++) {
         cw_time_us_t at = fixture->assigner.now - CW_SECONDS(2) + (cw_time_us_t)((double)CW_SECONDS(2) * index / count);
-        uint32_t     chance = (state >> 16) % 2 + 1;
-        cw_key_report_t seen = {.key = low + (uint32_t)((uint64_t)(last - low) * ((index * 7919) % count) / count),
-                                .from = from == 0 ? chance : from,
-                                .weight = 1};
+        uint32_t     random_region = (state >> 16) % 2 + 1;
+        cw_key_report_t report = {.key = low + (uint32_t)((uint64_t)(last - low) * ((index * 7919) % count) / count),
+                                  .from = from == 0 ? random_region : from,
+                                  .weight = 1};
 
         state = state * 1103515245 + 12345;
-        cw_load_window_add_sample(&fixture->window, &seen, at);
+        cw_load_window_add_sample(&fixture->window, &report, at);
     }
 }
 
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -261,8 +261,8 @@
         node_fixture_answer_orders(node, CW_ORDER_DONE);
     }
     ck_assert_double_eq(share_in(node, 0, "r1"), 1);
-    ck_assert_double_eq(share_in(node, 1, "r1"),
-                        1); /* requests restricted to r2 are refused, unrestricted ones are served */
+    /* Requests restricted to r2 are refused, unrestricted ones are served. */
+    ck_assert_double_eq(share_in(node, 1, "r1"), 1);
     node_fixture_free(node);
 }
 END_TEST
--- a/tests/test_zones.c
+++ b/tests/test_zones.c
@@ -191,10 +191,10 @@
 START_TEST(a_node_waits_after_its_known_nodes_have_changed)
 {
     cw_cold_rate_t *rate = node_of(1, 1, 3, start);
-    uint32_t        two[] = {2, 3, 4};
+    uint32_t        changed_nodes[] = {2, 3, 4};
 
     ck_assert(cw_cold_rate_is_sharer(rate, 7, cold_per_s, start + CW_SECONDS(3)));
-    cw_cold_rate_set_nodes(rate, two, 3, start + CW_SECONDS(3));
+    cw_cold_rate_set_nodes(rate, changed_nodes, 3, start + CW_SECONDS(3));
     ck_assert(!cw_cold_rate_is_sharer(rate, 7, 100, start + CW_SECONDS(3)));
     ck_assert(!cw_cold_rate_is_sharer(rate, 7, 100, start + CW_SECONDS(4)));
     ck_assert(cw_cold_rate_is_sharer(rate, 7, 100, start + CW_SECONDS(6)));
