--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -31,7 +31,7 @@
 trap cluster_end EXIT
 
 # Waits until a command succeeds. There is no timeout of its own: the time limit of the test runner ends a wait in vain.
-wait_until_true() { until "$@" >/dev/null 2>&1; do sleep 0.05; done; }
+until_true() { until "$@" >/dev/null 2>&1; do sleep 0.05; done; }
 
 # Address of the store for a node. If STORE_ENDPOINTS (number of endpoints) is set, the first endpoint serves operators and
 # servers, and each node has a further endpoint of its own; else all use the first one.
@@ -115,7 +115,7 @@
     local n
     "$BUILD/cw-store" --address "$NET.250" ${STORE_PAGE:+--page "$STORE_PAGE"} ${STORE_ENDPOINTS:+--endpoints "$STORE_ENDPOINTS"} >"$WORK/store.out" &
     PIDS+=("$!")
-    wait_until_true grep -q port "$WORK/store.out"
+    until_true grep -q port "$WORK/store.out"
     STORE="$NET.250:$(awk '{print $2}' "$WORK/store.out")" # the first endpoint also serves operators and servers
     [ -z "${LINKED:-}" ] || link_start
     NODES=""
@@ -157,7 +157,7 @@
 cluster_wait_ready() {
     local n
     for n in "${!NODE_PIDS[@]}"; do
-        wait_until_true curl -sf "http://$NET.$n:8081/readyz"
+        until_true curl -sf "http://$NET.$n:8081/readyz"
     done
 }
 
@@ -166,7 +166,7 @@
 cluster_wait_served() {
     local key
     for key in 0 10000 20000 30000 40000 50000 65535; do
-        wait_until_true curl -sf "http://$NET.1:8080/docks/x" -H 'Host: maps.example' -H "X-Shard-Key: $key" \
+        until_true curl -sf "http://$NET.1:8080/docks/x" -H 'Host: maps.example' -H "X-Shard-Key: $key" \
             -H "X-Request-Id: wait-$key-$RANDOM$RANDOM" -H 'X-Deadline-Ms: 1000' ${CALLER_KEY:+-H "Authorization: Bearer $CALLER_KEY"}
     done
 }
--- a/tests/fault_soak/soak.sh
+++ b/tests/fault_soak/soak.sh
@@ -108,7 +108,7 @@
     for index in "${!SERVER_NAMES[@]}"; do
         [ "${SERVER_NAMES[$index]}" != "$1" ] || SERVER_NAMES[index]="${1%%_*}_$NEXT_SERVER"
     done
-    wait_until_true is_started "$1"
+    until_true is_started "$1"
     kill -"$2" "${SERVER_PIDS[$1]}"
 }
 
--- a/tests/process/crashing_request.sh
+++ b/tests/process/crashing_request.sh
@@ -19,8 +19,8 @@
 seen=0
 for round in 1 2 3; do
     ask $((round % 4 + 1)) deadly >/dev/null
-    wait_until_true at_least "$(crashes)" "$round"
-    wait_until_true remembered 1
+    until_true at_least "$(crashes)" "$round"
+    until_true remembered 1
     sleep 0.3 # a crash is reported three times, about 400 ms apart; one report is enough
 done
 check "three servers crashed" [ "$(crashes)" = 3 ]
@@ -28,7 +28,7 @@
     local n
     for n in 1 2 3 4; do [ "$(ask "$n" deadly)" = 503 ] || return 1; done
 }
-wait_until_true refused_everywhere
+until_true refused_everywhere
 check "every node refuses the request" refused_everywhere
 check "the refusal says when to retry" grep -qi '^retry-after' "$WORK/head"
 check "at most three more servers crashed until then" at_most "$(crashes)" 6
--- a/tests/process/fatal_signal.sh
+++ b/tests/process/fatal_signal.sh
@@ -22,6 +22,6 @@
     check "$name: its addresses lead to main" at_least "$(functions | grep -cx main)" 1
     check "$name: each line of the log is whole" at_least "$(jq -s length "$WORK/node1.log" 2>/dev/null || echo 0)" 2
     start_node 1
-    wait_until_true curl -sf "http://$NET.1:8081/readyz"
+    until_true curl -sf "http://$NET.1:8081/readyz"
 done
 finish_test
--- a/tests/process/few_descriptors.sh
+++ b/tests/process/few_descriptors.sh
@@ -39,7 +39,7 @@
 
 for limit in $(seq "$LOWEST_LIMIT" "$HIGHEST_LIMIT"); do
     start_limited "$limit"
-    wait_until_true started_or_ended "$limit"
+    until_true started_or_ended "$limit"
     expected=1
     if [ "$limit" -ge "$NEEDED" ]; then
         expected=0
--- a/tests/process/foreign_entries.sh
+++ b/tests/process/foreign_entries.sh
@@ -23,12 +23,12 @@
 cluster_wait_served
 count_hires() { curl -sf "http://$NET.$1:8081/status" | jq -r '.servers[] | .service' | grep -c '^hires$'; }
 all_list_three() { [ "$(count_hires 1)" = 3 ] && [ "$(count_hires 2)" = 3 ] && [ "$(count_hires 3)" = 3 ]; }
-wait_until_true all_list_three
+until_true all_list_three
 check "all nodes list the servers, and no foreign entries" all_list_three
 create_foreign_entries z
 cluster_server h4 --service hires --zone z1 --work-ms 15
 all_list_four() { [ "$(count_hires 1)" = 4 ] && [ "$(count_hires 2)" = 4 ] && [ "$(count_hires 3)" = 4 ]; }
-wait_until_true all_list_four
+until_true all_list_four
 check "a server that starts beside new foreign entries is listed" all_list_four
 cluster_callers after --rate 100 --count 200
 check "all requests are answered" at_least "$(sum_of after s200)" 198
--- a/tests/process/hand_over.sh
+++ b/tests/process/hand_over.sh
@@ -15,7 +15,7 @@
 (cluster_callers over --rate 60 --count 500) &
 callers=$!
 handed() { grep -q '"leadership lost"' "$WORK/node1.log" && [ "$(leader)" != 1 ] && leader; }
-wait_until_true handed
+until_true handed
 wait "$callers"
 check "a more capable node leads" [ "$(leader)" != 1 ]
 check "no node missed the leader's heartbeat" [ "$(cat "$WORK"/node[23].log | grep -c '"leader silent"')" = 0 ]
--- a/tests/process/history_forgotten.sh
+++ b/tests/process/history_forgotten.sh
@@ -8,11 +8,11 @@
 standard_cluster 3
 listed() { curl -sf "http://$NET.$1:8081/status" | jq -r '.servers[] | select(.draining == false) | .service' | grep -c hires; }
 has() { local n; for n in 1 2 3; do [ "$(listed "$n")" = "$1" ] || return 1; done; }
-wait_until_true has 3
+until_true has 3
 turn=0
 for how in reset silent; do
     turn=$((turn + 1))
-    wait_until_true leader
+    until_true leader
     leading=$(leader)
     away=$((leading % 3 + 1))
     NODES=""
@@ -23,11 +23,11 @@
     kill -TERM "${SERVER_PIDS[h$turn]}"
     curl -sf -X POST "http://$STORE/control?forget=1" >/dev/null
     wait "$callers"
-    wait_until_true server_ended "h$turn"
+    until_true server_ended "h$turn"
     check "$how: no request in the leaving server's last half second" idle_before_end "h$turn"
     check "$how: most requests are answered" at_least "$(sum_of "$how" s200)" 590
     cluster_server "h$((turn + 3))" --service hires --zone z1 --work-ms 15 --hangs
-    wait_until_true has 3
+    until_true has 3
     check "$how: all nodes have the same servers again" has 3
 done
 check "records agree" cluster_check
--- a/tests/process/hot_key.sh
+++ b/tests/process/hot_key.sh
@@ -8,9 +8,9 @@
 hot 1 &
 PIDS+=("$!")
 planned() { grep -q '"plan written"' "$WORK"/node*.log; }
-wait_until_true planned # on a busy machine an order without an answer delays moves by about 20 s
+until_true planned # on a busy machine an order without an answer delays moves by about 20 s
 check "the planner moves ranges" planned
-wait_until_true grep -q '"sum"' "$WORK/callers-hot1.json"
+until_true grep -q '"sum"' "$WORK/callers-hot1.json"
 check "nearly all requests are answered" at_least "$(sum_of hot1 s200)" 550
 check "records agree" cluster_check
 finish_test
--- a/tests/process/intents.sh
+++ b/tests/process/intents.sh
@@ -59,9 +59,9 @@
 check "without the store, plan fails" refused cw plan "$WORK/a.yaml"
 sleep 1.6
 in_force() { [ "$(curl -sf "http://$NET.1:8081/metrics" | awk '/^cedarwinch_configuration_version/ {print $2}')" = 4 ]; }
-wait_until_true in_force
+until_true in_force
 served() { [ "$(status sesame "http://$NET.1:8080/docks/x" -H 'Host: lp.example')" = 200 ]; }
-wait_until_true served
+until_true served
 check "a caller with the tenant's key is served" served
 check "a caller with another key gets 401" [ "$(status open "http://$NET.1:8080/docks/x" -H 'Host: lp.example')" = 401 ]
 codes=$(for _ in 1 2 3 4 5 6 7 8 9 10 11 12; do status x "http://$NET.1:8080/pages/x" -H 'Host: rm.example'; echo; done | sort | uniq -c | xargs)
@@ -69,7 +69,7 @@
 check "requests of the other tenant are still served" served
 check "an intent with a key from a file is accepted" cw confirm "$(plan_of "$WORK/rimac-keys.yaml")" "$WORK/rimac-keys.yaml"
 known() { status opensesame "http://$NET.1:8080/pages/x" -H 'Host: rm.example' | grep -q '200\|429'; }
-wait_until_true known
+until_true known
 check "a caller with the key from the file is admitted" known
 check "a caller with another tenant's key gets 401" [ "$(status sesame "http://$NET.1:8080/pages/x" -H 'Host: rm.example')" = 401 ]
 check "neither the logs nor the store hold the key" [ "$(cat "$WORK"/node*.log <(curl -sf "http://$STORE/api/objects/config/main") | grep -c opensesame)" = 0 ]
--- a/tests/process/keys_taken_away.sh
+++ b/tests/process/keys_taken_away.sh
@@ -38,7 +38,7 @@
 
 check "without tenants no key is required" all_answer "" 200
 cluster_configure "$(keyed 2 '["red-1"]')"
-wait_until_true all_have 2
+until_true all_have 2
 check "with tenants a request without a key is rejected" all_answer "" 401
 check "a request with an unknown key is rejected" all_answer "red-2" 401
 check "a request with a known key is served" all_answer "red-1" 200
@@ -49,17 +49,17 @@
 for how in reset busy silent; do
     for n in 2 3; do curl -sf -X POST "http://$STORE/control?endpoint=$((n + 1))&down=60000&how=$how" >/dev/null; done
     cluster_configure "$(keyed $((version + 1)) '["red-2"]')"
-    wait_until_true all_have $((version + 1))
+    until_true all_have $((version + 1))
     check "$how: a revoked key is rejected, also by the nodes that the store refuses" all_answer "red-1" 401
     check "$how: a revoked key is rejected on the open connection" [ "$(ask_on_open_connection)" = 401 ]
     check "$how: a new key is accepted by all nodes" all_answer "red-2" 200
     check "$how: another tenant's key stays valid" all_answer "blue-key" 200
     cluster_configure "$(keyed $((version + 2)) '[]')"
-    wait_until_true all_have $((version + 2))
+    until_true all_have $((version + 2))
     check "$how: requests of a tenant without keys are rejected" all_answer "red-2" 401
     cluster_configure "$(keyed $((version + 3)) '["red-1"]')"
     version=$((version + 3))
-    wait_until_true all_have "$version"
+    until_true all_have "$version"
     check "$how: a key that is added again is accepted" all_answer "red-1" 200
     for n in 2 3; do curl -sf -X POST "http://$STORE/control?endpoint=$((n + 1))&down=1&how=$how" >/dev/null; done
 done
@@ -67,17 +67,17 @@
 # A configuration with the same key for two tenants, and one with a rate that is not a number, are refused; the version in
 # force stays.
 cluster_configure "$(keyed $((version + 1)) '["red-1", "blue-key"]')"
-wait_until_true grep -q "have the same key" "$WORK"/node*.log
+until_true grep -q "have the same key" "$WORK"/node*.log
 cluster_configure "$(keyed $((version + 2)) '["red-1"]' | jq -c '.tenants[1]["rate-per-s"] = "9"')"
-wait_until_true grep -q 'tenants\[1\].rate-per-s: not a number' "$WORK"/node*.log
+until_true grep -q 'tenants\[1\].rate-per-s: not a number' "$WORK"/node*.log
 check "a refused version leaves the previous one in force" all_have "$version"
 check "the keys of the previous version stay valid" all_answer "red-1" 200
 
 # The evidence is older than the bound: the nodes refuse requests with keys until there is new evidence.
 curl -sf -X POST "http://$STORE/control?down=8000&how=busy" >/dev/null
-wait_until_true all_answer "red-1" 503
+until_true all_answer "red-1" 503
 check "without evidence requests with a key are refused with 503" all_answer "red-1" 503
-wait_until_true all_answer "red-1" 200
+until_true all_answer "red-1" 200
 check "with evidence they are served again" all_answer "red-1" 200
 check "both changes are logged" [ "$(grep -c -h 'keys stale\|keys confirmed' "$WORK/node1.log")" -ge 2 ]
 
--- a/tests/process/kill_leader.sh
+++ b/tests/process/kill_leader.sh
@@ -10,7 +10,7 @@
 sleep 1
 kill -KILL "${NODE_PIDS[$first]}"
 unset "NODE_PIDS[$first]"
-wait_until_true leader
+until_true leader
 second=$(leader)
 check "another node leads" [ "$first" != "$second" ]
 start_node "$first"
@@ -18,7 +18,7 @@
 cluster_server m2b --service maps --zone z2 --keyed --work-ms 15
 wait "$callers"
 check "most answered during it" at_least "$(sum_of during s200)" 500
-wait_until_true cluster_wait_served
+until_true cluster_wait_served
 cluster_callers after --rate 100 --count 200
 check "all answered after it" at_least "$(sum_of after s200)" 199
 check "records agree" cluster_check
--- a/tests/process/peers_cut.sh
+++ b/tests/process/peers_cut.sh
@@ -11,24 +11,24 @@
 }
 
 standard_cluster 3
-wait_until_true knows_peers 1 2
-wait_until_true knows_peers 2 2
-wait_until_true knows_peers 3 2
+until_true knows_peers 1 2
+until_true knows_peers 2 2
+until_true knows_peers 3 2
 leading=$(leader)
 other=$((leading % 3 + 1))
 link cut-one-way "n$leading" "n$other"
-wait_until_true knows_peers "$other" 1
+until_true knows_peers "$other" 1
 check "the leader hears the other one still" knows_peers "$leading" 2
 served_by "$other" one-way
 check "one way: the node without the leader's datagrams serves all" at_least "$(sum_of one-way s200)" 398
 link cut "n$leading" "n$other"
-wait_until_true knows_peers "$leading" 1
+until_true knows_peers "$leading" 1
 served_by "$other" both-ways
 check "both ways: it serves all" at_least "$(sum_of both-ways s200)" 398
 check "the leader is the same" [ "$(leader)" = "$leading" ]
 link heal
-wait_until_true knows_peers "$leading" 2
-wait_until_true knows_peers "$other" 2
+until_true knows_peers "$leading" 2
+until_true knows_peers "$other" 2
 served_by "$other" after
 check "all answered after it" at_least "$(sum_of after s200)" 398
 check "records agree" cluster_check
--- a/tests/process/pipelined_stop.sh
+++ b/tests/process/pipelined_stop.sh
@@ -15,7 +15,7 @@
     wait "${NODE_PIDS[$n]}"
     check "node $n exits by itself with status 0" [ $? = 0 ]
     start_node "$n"
-    wait_until_true curl -sf "http://$NET.$n:8081/readyz"
+    until_true curl -sf "http://$NET.$n:8081/readyz"
 done
 wait "$callers"
 check "each answer belongs to its request" [ $? = 0 ]
--- a/tests/process/planned_stop.sh
+++ b/tests/process/planned_stop.sh
@@ -8,12 +8,12 @@
 not_ready() { [ "$(curl -s -o /dev/null -w '%{http_code}' "http://$NET.$1:8081/readyz")" != 200 ]; }
 for n in 1 2 3; do
     kill -TERM "${NODE_PIDS[$n]}"
-    wait_until_true not_ready "$n"
+    until_true not_ready "$n"
     check "node $n is not ready at once" not_ready "$n"
     wait "${NODE_PIDS[$n]}"
     check "node $n ends by itself, with 0" [ $? = 0 ]
     start_node "$n"
-    wait_until_true curl -sf "http://$NET.$n:8081/readyz"
+    until_true curl -sf "http://$NET.$n:8081/readyz"
 done
 wait "$callers"
 # Callers of this test each use one node only: while it is down their connections are refused, which no router can prevent.
--- a/tests/process/readers_and_relays_killed.sh
+++ b/tests/process/readers_and_relays_killed.sh
@@ -43,11 +43,11 @@
 }
 
 standard_cluster "$NODES_STARTED"
-wait_until_true all_know_each_other $((NODES_STARTED - 1))
+until_true all_know_each_other $((NODES_STARTED - 1))
 leading=$(leader)
 lost=west
 [ "$(region_of_node "$leading")" != west ] || lost=south
-wait_until_true has_readers_and_relays "$lost"
+until_true has_readers_and_relays "$lost"
 killed=$(readers_and_relays "$lost")
 check "there are nodes to kill" at_least "$(wc -w <<<"$killed")" 2
 for n in $killed; do kill -KILL "${NODE_PIDS[$n]}"; done
@@ -60,9 +60,9 @@
 cluster_server m7 --service maps --zone z1 --keyed --work-ms 15
 check "a change of the configuration is in force there" within 8 region_has "$lost" cedarwinch_configuration_version 2
 check "a server that comes is known there" within 8 region_has "$lost" cedarwinch_servers 10
-wait_until_true region_serves_all_keys "$lost"
+until_true region_serves_all_keys "$lost"
 check "the leader is the same" [ "$(leader)" = "$leading" ]
-wait_until_true has_readers_and_relays "$lost"
+until_true has_readers_and_relays "$lost"
 check "others there read and relay" has_readers_and_relays "$lost"
 region_callers "$lost" after --rate 60 --count 200
 check "all answered after it" at_least "$(sum_of after s200)" 195
--- a/tests/process/region_back.sh
+++ b/tests/process/region_back.sh
@@ -26,24 +26,24 @@
 # In the region that stays connected, one server leaves and another one joins. The region that is cut off knows only the
 # first of them.
 if [ "$kept" = east ]; then gone=m1 zone=z1; else gone=m3 zone=z3; fi
-wait_until_true one_view
+until_true one_view
 cut_off_region "$lost"
-wait_until_true region_refuses_all_keys "$lost"
+until_true region_refuses_all_keys "$lost"
 cluster_configure "$(configuration 2)"
 cluster_configure "$(configuration 3)"
 kill -TERM "${SERVER_PIDS[$gone]}"
 cluster_server m8 --service maps --zone "$zone" --keyed --work-ms 15
-wait_until_true region_has "$kept" 3
-wait_until_true region_lists "$kept" m8
-wait_until_true region_lists_no "$kept" "$gone"
-wait_until_true region_serves_all_keys "$kept"
+until_true region_has "$kept" 3
+until_true region_lists "$kept" m8
+until_true region_lists_no "$kept" "$gone"
+until_true region_serves_all_keys "$kept"
 check "the region cut off has the old configuration" region_has "$lost" 1
 check "and the old list" region_lists "$lost" "$gone"
 before=$(curl -sf "http://$NET.$(leader):8081/status" | jq .leadership.term)
 link heal
-wait_until_true one_view
-wait_until_true region_has "$lost" 3
-wait_until_true region_serves_all_keys "$lost"
+until_true one_view
+until_true region_has "$lost" 3
+until_true region_serves_all_keys "$lost"
 check "back, all nodes have one leader, configuration and list" one_view
 check "the server that has come is in it" region_lists "$lost" m8
 check "the one that went is not" region_lists_no "$lost" "$gone"
--- a/tests/process/region_cut.sh
+++ b/tests/process/region_cut.sh
@@ -12,20 +12,20 @@
 cut_off_region "$lost"
 (region_callers "$kept" outside --rate 60 --count 600) &
 outside=$!
-wait_until_true region_refuses_all_keys "$lost"
+until_true region_refuses_all_keys "$lost"
 check "inside, all keys are refused" region_refuses_all_keys "$lost"
-wait_until_true region_serves_all_keys "$kept"
+until_true region_serves_all_keys "$kept"
 check "outside, all keys are served" region_serves_all_keys "$kept"
 check "the leader is the same" [ "$(leader)" = "$leading" ]
 check "it has not resigned" at_most "$(cut_off_resignations)" 0
-wait_until_true region_serves_any "$lost"
+until_true region_serves_any "$lost"
 (KINDS=("${ANY_SERVER[@]}"); region_callers "$lost" inside --rate 40 --count 200)
 check "inside, servers there run what any may run" at_least "$(sum_of inside s200)" 190
 wait "$outside"
 link heal
-wait_until_true one_view
-wait_until_true region_serves_all_keys east
-wait_until_true region_serves_all_keys west
+until_true one_view
+until_true region_serves_all_keys east
+until_true region_serves_all_keys west
 cluster_callers after --rate 100 --count 300
 check "all answered after it" at_least "$(sum_of after s200)" 295
 check "records agree" cluster_check
--- a/tests/process/region_cut_leader.sh
+++ b/tests/process/region_cut_leader.sh
@@ -10,18 +10,18 @@
 cut_off_region "$lost"
 (region_callers "$kept" outside --rate 60 --count 600) &
 outside=$!
-wait_until_true leader_of_region "$kept"
+until_true leader_of_region "$kept"
 check "a node outside leads" leader_of_region "$kept"
-wait_until_true region_serves_all_keys "$kept"
+until_true region_serves_all_keys "$kept"
 check "outside, all keys are served" region_serves_all_keys "$kept"
 check "the new leader has not resigned" at_most "$(cut_off_resignations)" 0
-wait_until_true region_refuses_all_keys "$lost"
+until_true region_refuses_all_keys "$lost"
 check "inside, all keys are refused" region_refuses_all_keys "$lost"
 wait "$outside"
 link heal
-wait_until_true one_view
-wait_until_true region_serves_all_keys east
-wait_until_true region_serves_all_keys west
+until_true one_view
+until_true region_serves_all_keys east
+until_true region_serves_all_keys west
 cluster_callers after --rate 100 --count 300
 check "all answered after it" at_least "$(sum_of after s200)" 295
 check "records agree" cluster_check
--- a/tests/process/rehearsal.sh
+++ b/tests/process/rehearsal.sh
@@ -11,11 +11,11 @@
 metric() { curl -sf "http://$NET.1:8081/metrics" | awk -v name="$1" '$1 == name {print $2}'; }
 metric_is() { [ "$(metric "$1")" = "$2" ]; }
 cluster_configure "$(configuration 2 | jq '.routes[1].timeout_ms = 30000')" # a request keeps its slot until its stopped server continues
-wait_until_true metric_is cedarwinch_configuration_version 2
+until_true metric_is cedarwinch_configuration_version 2
 for i in 1 2 3; do kill -STOP "${SERVER_PIDS[h$i]}"; done
 sent=$(metric cedarwinch_sent_total)
 for i in 1 2 3 4 5 6; do ask /hire/x "hold-$i" 30000 -X POST >/dev/null & done
-wait_until_true metric_is cedarwinch_sent_total $((sent + 6)) # all slots: three servers with two each
+until_true metric_is cedarwinch_sent_total $((sent + 6)) # all slots: three servers with two each
 code=$(ask /hire/x refused-1 1000 -X POST)
 check "a request that gets no slot in time is refused ($code)" [ "$code" = 503 ]
 for i in 1 2 3; do kill -CONT "${SERVER_PIDS[h$i]}"; done
@@ -31,10 +31,10 @@
 check "status shows the ranges of owners" at_least "$(grep -c 'keys .* fence' "$WORK/status")" 6
 curl -sf -X POST "http://$STORE/control?down=2500&how=busy" >/dev/null
 logged() { grep -q "$1" "$WORK"/node*.log; }
-wait_until_true logged '"store lost"'
-wait_until_true logged '"store back"'
+until_true logged '"store lost"'
+until_true logged '"store back"'
 check "the outage of the store is logged" logged '"store back"'
 kill -HUP "${NODE_PIDS[1]}"
-wait_until_true logged '"reload"'
+until_true logged '"reload"'
 check "a reload is logged" logged '"reload".*taken'
 finish_test
--- a/tests/process/relays.sh
+++ b/tests/process/relays.sh
@@ -26,8 +26,8 @@
 lost_lines() { cat "$WORK"/node*.log | grep -c '"event":"peer lost"'; }
 
 standard_cluster "$NODES_STARTED"
-wait_until_true all_know_each_other $((NODES_STARTED - 1))
-wait_until_true test "$(relays | wc -l)" -ge 6
+until_true all_know_each_other $((NODES_STARTED - 1))
+until_true test "$(relays | wc -l)" -ge 6
 reports=$(datagrams_to_other_zones report)
 near=$(sum_of_metric 'cedarwinch_peer_datagrams_total{kind="report",distance="zone"}')
 cluster_callers calm --rate 100 --count 500
@@ -40,18 +40,18 @@
 still=$(relays | awk '$1 > 2' | head -1) # not a seed
 kill -STOP "${NODE_PIDS[$still]}"
 lost_by_all_others() { [ "$(lost_lines)" -ge $((NODES_STARTED - 1)) ]; }
-wait_until_true lost_by_all_others
+until_true lost_by_all_others
 others=$(cat "$WORK"/node*.log | grep '"event":"peer lost"' | grep -vc "$NET.$still\"")
 check "while a relay stands still, no other node is taken for lost" at_most "$others" 0
 check "the relay that stands still is, by each of them" at_most "$(lost_lines)" $((NODES_STARTED - 1))
 kill -CONT "${NODE_PIDS[$still]}"
-wait_until_true all_know_each_other $((NODES_STARTED - 1))
+until_true all_know_each_other $((NODES_STARTED - 1))
 
 before=$(lost_lines)
 killed=$(relays | awk -v s="$still" '$1 > 2 && $1 != s' | head -1)
 kill -KILL "${NODE_PIDS[$killed]}"
 unset "NODE_PIDS[$killed]"
-wait_until_true all_know_each_other $((NODES_STARTED - 2))
+until_true all_know_each_other $((NODES_STARTED - 2))
 check "each other node has missed the one killed, and no other" at_most $(($(lost_lines) - before)) $((NODES_STARTED - 1))
 # Both relays of a zone are suspended: the other nodes of the zone still get changes, directly from the leader.
 zone_of() { echo $((($1 - 1) % 3)); }
@@ -66,10 +66,10 @@
         grep -qx "$n" <<<"$pair" || [ "$(metric_of "$n" "cedarwinch_servers ")" -eq 10 ] || return 1
     done
 }
-wait_until_true others_have_ten_servers
+until_true others_have_ten_servers
 check "a change comes to a zone whose relays stand still" others_have_ten_servers
 for n in $pair; do kill -CONT "${NODE_PIDS[$n]}"; done
-wait_until_true all_know_each_other $((NODES_STARTED - 2))
+until_true all_know_each_other $((NODES_STARTED - 2))
 NODES=$(printf "$NET.%s:8080\n" "${!NODE_PIDS[@]}" | paste -sd,)
 cluster_callers after --rate 100 --count 300
 check "all answered after that" at_least "$(sum_of after s200)" 299
--- a/tests/process/server_connection_stalled.sh
+++ b/tests/process/server_connection_stalled.sh
@@ -17,18 +17,18 @@
 STALLED=0
 (cluster_callers during --rate 80 --count 960) &
 callers=$!
-wait_until_true has_served m1 20
-wait_until_true has_served h1 20
+until_true has_served m1 20
+until_true has_served h1 20
 stall m1
 stall h1
 check "there were open connections" at_least "$STALLED" 2
 runs=$(grep -c '"event":"run"' "$WORK/server-h1.json")
-wait_until_true has_served h1 $((runs + 20))
+until_true has_served h1 $((runs + 20))
 check "the server gets requests on new connections" has_served h1 $((runs + 20))
 wait "$callers"
 check "each request ends by its deadline" at_most "$(late during)" 0
 check "most requests are answered" at_least "$(sum_of during s200)" 800
-wait_until_true cluster_wait_served
+until_true cluster_wait_served
 cluster_callers after --rate 100 --count 200
 check "all later requests are answered" at_least "$(sum_of after s200)" 198
 check "records agree" cluster_check
--- a/tests/process/server_restarts_with_its_name.sh
+++ b/tests/process/server_restarts_with_its_name.sh
@@ -24,10 +24,10 @@
     named "$i"
 done
 has_restarted() { local id; id=$(listed i-named2) && [ -n "$id" ] && [ "$id" != "$before" ]; }
-wait_until_true has_restarted
+until_true has_restarted
 check "the restarted server has another id" has_restarted
 wait "$callers"
-wait_until_true serves_all_keys 1
+until_true serves_all_keys 1
 check "all keys are served after the restart" serves_all_keys 1
 check "most requests were answered meanwhile" at_least "$(sum_of during s200)" 450
 check "records agree" cluster_check
--- a/tests/process/silent_watch.sh
+++ b/tests/process/silent_watch.sh
@@ -8,7 +8,7 @@
 all_have() { [ "$(versions)" = "$1" ]; }
 control() { curl -sf -X POST "http://$STORE/control?$1" >/dev/null; }
 in_force_within() { # SECONDS VERSION
-    timeout "$1" bash -c "$(declare -f versions all_have wait_until_true); NET=$NET; wait_until_true all_have $2"
+    timeout "$1" bash -c "$(declare -f versions all_have until_true); NET=$NET; until_true all_have $2"
 }
 sleep 4 # a process that has just started is no reader
 control mute=1
--- a/tests/process/slots.sh
+++ b/tests/process/slots.sh
@@ -19,7 +19,7 @@
 }
 
 standard_cluster "$NODES_STARTED"
-wait_until_true all_know_each_other
+until_true all_know_each_other
 cluster_callers calm --rate 100 --count 300
 check "all requests are answered without failures" at_least "$(sum_of calm s200)" 299
 STILL=2000 # requests, 20 s: about four of the sixteen nodes hand out slots, and a round takes 8 s on an idle machine
@@ -42,7 +42,7 @@
     unset "NODE_PIDS[$n]"
 done
 NODES=$(printf "$NET.%s:8080\n" "${!NODE_PIDS[@]}" | paste -sd,)
-wait_until_true cluster_wait_served
+until_true cluster_wait_served
 cluster_callers after --rate 100 --count 300
 check "all requests are answered after some nodes were killed" at_least "$(sum_of after s200)" 299
 check "records agree" cluster_check
--- a/tests/process/start_strained.sh
+++ b/tests/process/start_strained.sh
@@ -16,7 +16,7 @@
         wait "${NODE_PIDS[$n]}"
         before=$(starts "$n")
         start_node "$n"
-        wait_until_true has_started "$n" "$before"
+        until_true has_started "$n" "$before"
         kill -HUP "${NODE_PIDS[$n]}"
     done 2>/dev/null
     for hang_up in 1 2 3 4 5 6; do
--- a/tests/process/store_connection_stalled.sh
+++ b/tests/process/store_connection_stalled.sh
@@ -7,7 +7,7 @@
 versions() { local n; for n in 1 2 3; do curl -sf "http://$NET.$n:8081/metrics" | awk '/^cedarwinch_configuration_version/ {print $2}'; done | sort -u | xargs; }
 all_have() { [ "$(versions)" = "$1" ]; }
 in_force_within() { # SECONDS VERSION
-    timeout "$1" bash -c "$(declare -f versions all_have wait_until_true); NET=$NET; wait_until_true all_have $2"
+    timeout "$1" bash -c "$(declare -f versions all_have until_true); NET=$NET; until_true all_have $2"
 }
 stall() { # END: stalls its open connections to the store; repeats until there is one
     until link stall "$1" store && [ "$LINK_REPLY" != "ok 0" ]; do sleep 0.05; done
@@ -26,7 +26,7 @@
 cluster_server m7 --service maps --zone z1 --keyed --work-ms 15
 kill -TERM "${SERVER_PIDS[h1]}"
 for n in 1 2 3; do stall "n$n"; done
-wait_until_true server_ended h1
+until_true server_ended h1
 check "a server that leaves gets no request in its last half second" idle_before_end h1
 wait "$callers"
 check "most requests are answered meanwhile" at_least "$(sum_of during s200)" 1150
--- a/tests/process/store_down.sh
+++ b/tests/process/store_down.sh
@@ -5,7 +5,7 @@
 curl -sf -X POST "http://$STORE/control?down=6000&how=silent" >/dev/null
 cluster_callers down --rate 80 --count 640
 check "all but a few requests are answered" at_least "$(sum_of down s200)" 630
-wait_until_true leader
+until_true leader
 cluster_wait_served
 curl -sf -X POST "http://$STORE/control?lose=3&late=2" >/dev/null
 cluster_callers lost --rate 80 --count 320
--- a/tests/process/store_region_cut.sh
+++ b/tests/process/store_region_cut.sh
@@ -15,9 +15,9 @@
 check "all but a few requests are answered while the store is unreachable" at_least "$(sum_of during s200)" 470
 check "a change is not in force meanwhile" [ "$(versions)" = 1 ]
 link heal
-wait_until_true all_have 2
+until_true all_have 2
 check "the change is in force afterwards" all_have 2
-wait_until_true leader
+until_true leader
 cluster_wait_served
 check "the owners are the same" [ "$(owners)" = "$before" ]
 cluster_callers after --rate 100 --count 200
--- a/tests/process/store_turns_leader_away.sh
+++ b/tests/process/store_turns_leader_away.sh
@@ -8,7 +8,7 @@
 turn=0
 for how in reset busy silent; do
     turn=$((turn + 1))
-    wait_until_true leader
+    until_true leader
     cluster_wait_served
     leading=$(leader)
     NODES=""
@@ -18,7 +18,7 @@
     curl -sf -X POST "http://$STORE/control?endpoint=$((leading + 1))&down=5000&how=$how" >/dev/null
     kill -TERM "${SERVER_PIDS[h$turn]}"
     wait "$callers"
-    wait_until_true server_ended "h$turn"
+    until_true server_ended "h$turn"
     check "$how: no request in the leaving server's last half second" idle_before_end "h$turn"
     check "$how: most answered" at_least "$(sum_of "$how" s200)" 600
     cluster_server "h$((turn + 3))" --service hires --zone z1 --work-ms 15 --hangs
--- a/tests/process/tenant_limit.sh
+++ b/tests/process/tenant_limit.sh
@@ -25,11 +25,11 @@
     done
     return 1
 }
-wait_until_true served 1
+until_true served 1
 # A node that has just started does not count, and a bucket is dropped when no request arrives, so each check sends a request first.
 counting_after_a_request() { status 1 >/dev/null; counting; }
-wait_until_true counting_after_a_request
-(sleep 6; wait_until_true counting; n=$(counting) && echo "$n" >"$WORK/counted" && kill -KILL "${NODE_PIDS[$n]}") &
+until_true counting_after_a_request
+(sleep 6; until_true counting; n=$(counting) && echo "$n" >"$WORK/counted" && kill -KILL "${NODE_PIDS[$n]}") &
 killer=$!
 (cluster_callers calm --rate 50 --count 800) &
 calm=$!
--- a/tests/process/tenant_limit_cut.sh
+++ b/tests/process/tenant_limit_cut.sh
@@ -8,15 +8,15 @@
 region_counts() { [ -n "$(for n in $(counting); do region_of_node "$n"; done | grep -x "$1")" ]; }
 
 regions_cluster
-wait_until_true all_in_touch
+until_true all_in_touch
 limited_callers limited 30 &
 callers=$!
 for _ in 1 2 3; do
     link cut east west
-    wait_until_true region_counts east
-    wait_until_true region_counts west
+    until_true region_counts east
+    until_true region_counts west
     link heal
-    wait_until_true all_in_touch
+    until_true all_in_touch
 done
 wait "$callers"
 check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
--- a/tests/process/tenant_limit_lossy.sh
+++ b/tests/process/tenant_limit_lossy.sh
@@ -6,7 +6,7 @@
 . "$(dirname "$0")/lib/limited_tenant.sh"
 
 regions_cluster
-wait_until_true all_in_touch
+until_true all_in_touch
 limited_callers limited 30 &
 callers=$!
 link lose all all 20
--- a/tests/process/tenant_limit_pair_cut.sh
+++ b/tests/process/tenant_limit_pair_cut.sh
@@ -7,10 +7,10 @@
 COUNT=${COUNT:-4} CUT_S=${CUT_S:-7}
 
 standard_cluster "$COUNT"
-wait_until_true all_in_touch
+until_true all_in_touch
 limited_callers limited $((2 * (COUNT - 1) * (CUT_S + 2) + 4)) &
 callers=$!
-wait_until_true one_counts
+until_true one_counts
 counter=$(counting)
 echo "n$counter counts"
 for cut in cut-one-way cut; do
@@ -19,7 +19,7 @@
         link "$cut" "n$counter" "n$other"
         sleep "$CUT_S"
         link heal
-        wait_until_true all_in_touch
+        until_true all_in_touch
         sleep 0.5
     done
 done
--- a/tests/process/tenant_limit_restart_all.sh
+++ b/tests/process/tenant_limit_restart_all.sh
@@ -7,16 +7,16 @@
 COUNT=${COUNT:-18}
 
 standard_cluster "$COUNT"
-wait_until_true all_in_touch
+until_true all_in_touch
 limited_callers limited 20 &
 callers=$!
-wait_until_true one_counts
+until_true one_counts
 for _ in 1 2; do
     sleep 3
     for n in "${!NODE_PIDS[@]}"; do kill -KILL "${NODE_PIDS[$n]}"; done
     for n in $(seq 1 "$COUNT"); do start_node "$n"; done
-    wait_until_true all_in_touch
-    wait_until_true one_counts
+    until_true all_in_touch
+    until_true one_counts
 done
 wait "$callers"
 check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
--- a/tests/process/zone_out.sh
+++ b/tests/process/zone_out.sh
@@ -28,7 +28,7 @@
 standard_cluster 3
 (cluster_callers out --rate 60 --count 900) &
 callers=$!
-wait_until_true has_run 30
+until_true has_run 30
 check "an unknown zone is refused" refused zone out z9
 check "a zone in service cannot be put back" refused zone in z1
 zone out z1 >"$WORK/plan"
@@ -38,8 +38,8 @@
 check "the id of another plan is refused" refused zone out z1 --confirm 0123456789abcdef
 check "a refused id changes nothing" [ "$(zones_out)" = "" ]
 check "the plan is confirmed" zone out z1 --confirm "$(plan_id "$WORK/plan")"
-wait_until_true out_metric 1
-wait_until_true owns_nothing
+until_true out_metric 1
+until_true owns_nothing
 check "the status names the zone" [ "$(curl -sf "http://$NET.1:8081/status" | jq -r '.zones_out[]')" = z1 ]
 sleep 1 # requests sent before have run after this time
 before=$(runs_of_zone)
@@ -49,8 +49,8 @@
 check "the plan for putting the zone back lists its servers" grep -q '^+ service maps: 2 servers' "$WORK/plan"
 check "putting the zone back is confirmed" zone in z1 --confirm "$(plan_id "$WORK/plan")"
 check "no zone is out of service any more" [ "$(zones_out)" = "" ]
-wait_until_true out_metric 0
-wait_until_true has_run $((before + 1))
+until_true out_metric 0
+until_true has_run $((before + 1))
 check "the zone's servers get requests again" true
 wait "$callers"
 check "nearly all requests were answered" at_least "$(sum_of out s200)" 890
--- a/tests/process/zone_power_loss.sh
+++ b/tests/process/zone_power_loss.sh
@@ -32,8 +32,8 @@
 }
 
 standard_cluster "$NODES_STARTED"
-wait_until_true know_all "${!NODE_PIDS[@]}"
-wait_until_true have_list "${!NODE_PIDS[@]}"
+until_true know_all "${!NODE_PIDS[@]}"
+until_true have_list "${!NODE_PIDS[@]}"
 lead=$(leader)
 hit=$((lead % 3 + 1)) # a zone other than the leader's
 victims=$(seq "$hit" 3 "$NODES_STARTED")
@@ -42,9 +42,9 @@
 for n in $victims; do kill -KILL "${NODE_PIDS[$n]}"; done
 link cut "z$hit" store
 for n in $victims; do start_node "$n"; done
-wait_until_true know_all "${!NODE_PIDS[@]}"
-wait_until_true have_list "${!NODE_PIDS[@]}"
-wait_until_true some_from_zone $victims
+until_true know_all "${!NODE_PIDS[@]}"
+until_true have_list "${!NODE_PIDS[@]}"
+until_true some_from_zone $victims
 check "the list came to nodes of the zone inside it" at_least "$(whole_lists $victims)" 1
 check "the same node leads" test "$(leader)" = "$lead"
 # A list of nine servers is one page, with at most 80 bytes a server and 100 bytes beside them. The leader sends it to the
@@ -53,7 +53,7 @@
 echo "bytes of lists across zones: $sent"
 check "bytes of lists that the leader sent across zones" at_most "$sent" $((ZONE_NODES / 2 * (9 * 80 + 100)))
 link heal
-wait_until_true know_all "${!NODE_PIDS[@]}"
+until_true know_all "${!NODE_PIDS[@]}"
 cluster_wait_ready
 cluster_callers after --rate 100 --count 200
 check "all answered after that" at_least "$(sum_of after s200)" 199
