--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -143,7 +143,7 @@
     X(CRASH_SUSPECTS, "cedarwinch_crash_suspects", "gauge", "requests remembered that were under way at crashes")      \
     X(LOSSES_DROPPED, "cedarwinch_losses_dropped_total", "counter",                                                    \
       "losses of servers, or reports of them, beyond what is remembered")                                              \
-    X(PAGES_NOT_PASSED_ON, "cedarwinch_pages_not_passed_on_total", "counter",                                          \
+    X(PAGES_NOT_FORWARDED, "cedarwinch_pages_not_passed_on_total", "counter",                                          \
       "pages of the leader that this relay dropped, since too many updates waited")                                    \
     X(LOG_DROPPED, "cedarwinch_log_lines_dropped", "gauge", "log lines not written")                                   \
     X(SERVERS, "cedarwinch_servers", "gauge", "servers listed")                                                        \
--- a/src/router/fleet_size.c
+++ b/src/router/fleet_size.c
@@ -13,7 +13,7 @@
     fleet->count_reliable_at = now + counting;
 }
 
-void cw_fleet_size_note(cw_fleet_size_t *fleet, uint32_t nodes)
+void cw_fleet_size_record(cw_fleet_size_t *fleet, uint32_t nodes)
 {
     if (nodes > 0) {
         fleet->stated = nodes;
--- a/src/router/fleet_size.h
+++ b/src/router/fleet_size.h
@@ -54,7 +54,7 @@
 void cw_fleet_size_init(cw_fleet_size_t *fleet, cw_time_us_t counting, cw_time_us_t now);
 /** Notes the number of nodes stated in a lock or a heartbeat. 0, from a leader that does not know it, changes nothing.
  */
-void cw_fleet_size_note(cw_fleet_size_t *fleet, uint32_t nodes);
+void cw_fleet_size_record(cw_fleet_size_t *fleet, uint32_t nodes);
 /** Returns the number of nodes to use. counted: most nodes that this process has seen at once lately, itself included.
  */
 uint32_t cw_fleet_size_nodes(const cw_fleet_size_t *fleet, uint32_t counted, cw_time_us_t now);
--- a/src/router/pass_on_queue.c
+++ b/src/router/forward_queue.c
@@ -1,8 +1,8 @@
 /**
- * @file pass_on_queue.c
+ * @file forward_queue.c
  * @brief Updates in the order in which they were received, each with the nodes that still have to be sent it.
  */
-#include "router/pass_on_queue.h"
+#include "router/forward_queue.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/router/pass_on_queue.h
+++ b/src/router/forward_queue.h
@@ -1,5 +1,5 @@
 /**
- * @file pass_on_queue.h
+ * @file forward_queue.h
  * @brief Queue of the leader's updates that a relay passes on to the nodes of its zone, a few nodes at a time.
  *
  * A change of the list may be many pages, and a zone may have hundreds of nodes. If all of it were sent at once, the
@@ -13,8 +13,8 @@
  *
  * No I/O, no clock.
  */
-#ifndef CEDARWINCH_ROUTER_PASS_ON_QUEUE_H
-#define CEDARWINCH_ROUTER_PASS_ON_QUEUE_H
+#ifndef CEDARWINCH_ROUTER_FORWARD_QUEUE_H
+#define CEDARWINCH_ROUTER_FORWARD_QUEUE_H
 
 #include <stdbool.h>
 
--- a/src/router/router_pass_on.c
+++ b/src/router/router_forward.c
@@ -1,8 +1,8 @@
 /**
- * @file router_pass_on.c
+ * @file router_forward.c
  * @brief How a relay passes the leader's changes and heartbeats on to the nodes of its zone.
  *
- * Pages are passed on unchanged to the nodes of the zone that lack them (pass_on_queue.h). A node to whose state the
+ * Pages are passed on unchanged to the nodes of the zone that lack them (forward_queue.h). A node to whose state the
  * changes do not apply ignores them. Nodes acknowledge both to the relay and to the leader. Nodes request whole lists
  * from other nodes of their zone (router_list_exchange.c).
  *
@@ -142,7 +142,7 @@
     cw_datagram_batch_clear(&packed);
     cw_peer_link_pack_into(router->link, &packed, datagram);
     if (packed.count == 1 && !cw_pass_on_queue_add(router->pass_on, &update, page, &packed, now)) {
-        cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, 1); /* the leader sends it to the nodes directly */
+        cw_metric_add(CW_METRIC_PAGES_NOT_FORWARDED, 1); /* the leader sends it to the nodes directly */
     }
     cw_router_pass_on_tick(router, now);
 }
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -23,9 +23,9 @@
 #include "router/configuration_freshness.h"
 #include "router/configuration_newest.h"
 #include "router/fleet_size.h"
+#include "router/forward_queue.h"
 #include "router/leader_tenure.h"
 #include "router/list_history.h"
-#include "router/pass_on_queue.h"
 #include "router/replaced_versions.h"
 #include "router/router.h"
 #include "router/signal_notices.h"
@@ -259,7 +259,7 @@
 /** Number of nodes of the largest zone, as far as this node knows. */
 uint32_t cw_router_largest_zone(const cw_router_t *router);
 
-/* ---- router_pass_on.c ---- */
+/* ---- router_forward.c ---- */
 /** Creates the queue of updates that this node, as a relay, forwards. */
 void cw_router_pass_on_init(cw_router_t *router);
 /** Forwards a page of changes, which the leader has sent to this relay, to the other nodes of its zone. */
--- a/src/router/router_push.c
+++ b/src/router/router_push.c
@@ -10,7 +10,7 @@
  *
  * In a zone that relays inform, each change is sent to the relays only, which pass it on. The whole list is sent at
  * once to the two relays of each zone; the other nodes request it inside their zone (router_list_exchange.c). Whole
- * tables come from the leader alone, for the reason that router_pass_on.c gives. To a node that still lacks them after
+ * tables come from the leader alone, for the reason that router_forward.c gives. To a node that still lacks them after
  * a while, the leader sends the pages directly: a relay that stops causes a delay, but no node depends on it.
  */
 #include <string.h>
@@ -59,7 +59,7 @@
     cw_peer_link_send_packed(router->link, peer, length);
 }
 
-/* Sends a batch of few pages at once. A longer one goes into the queue, which spreads it over time (pass_on_queue.h).
+/* Sends a batch of few pages at once. A longer one goes into the queue, which spreads it over time (forward_queue.h).
  */
 static void send_batch(cw_router_t *router, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
                        const cw_pass_on_update_t *update)
@@ -69,7 +69,7 @@
     if (batch->count <= CW_PASS_ON_PAGES_PER_TURN) {
         cw_send_allowance_spend(&router->push_allowance, cw_peer_link_send_batch(router->link, peer, batch));
     } else if (!cw_pass_on_queue_add_receiver(router->pass_on, update, batch, peer->address, now)) {
-        cw_metric_add(CW_METRIC_PAGES_NOT_PASSED_ON, batch->count); /* the pages are sent again later */
+        cw_metric_add(CW_METRIC_PAGES_NOT_FORWARDED, batch->count); /* the pages are sent again later */
     }
 }
 
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -238,7 +238,7 @@
 {
     uint32_t before = router->fleet_size.stated;
 
-    cw_fleet_size_note(&router->fleet_size, nodes);
+    cw_fleet_size_record(&router->fleet_size, nodes);
     if (router->fleet_size.stated != before) {
         cw_router_quota_update_nodes(router->quota, cw_router_now(router));
     }
--- a/src/router/router_view_pages.c
+++ b/src/router/router_view_pages.c
@@ -186,7 +186,7 @@
     return count;
 }
 
-/* Whole tables forwarded by a relay may be older than a record that this node has read (router_pass_on.c). They are
+/* Whole tables forwarded by a relay may be older than a record that this node has read (router_forward.c). They are
  * accepted only if this node has no tables yet. */
 static bool is_table_page_accepted(const cw_router_t *router, const cw_peer_t *sender, const Cwp__TablePage *page)
 {
--- a/tests/quota_sim.c
+++ b/tests/quota_sim.c
@@ -541,7 +541,7 @@
     const quota_sim_t *sim = node->sim;
 
     if (sim->size_known_after >= 0 && sim->now - node->fleet_size.started_at >= sim->size_known_after) {
-        cw_fleet_size_note(&node->fleet_size, (uint32_t)sim->node_count);
+        cw_fleet_size_record(&node->fleet_size, (uint32_t)sim->node_count);
     }
 }
 
--- a/tests/test_fleet_size.c
+++ b/tests/test_fleet_size.c
@@ -35,7 +35,7 @@
 {
     cw_fleet_size_t fleet = started();
 
-    cw_fleet_size_note(&fleet, 81);
+    cw_fleet_size_record(&fleet, 81);
     ck_assert(!cw_fleet_size_is_reached(&fleet, 72, CW_MS(100500)));
     ck_assert(cw_fleet_size_is_reached(&fleet, 73, CW_MS(100500)));
 }
@@ -45,7 +45,7 @@
 {
     cw_fleet_size_t fleet = started();
 
-    cw_fleet_size_note(&fleet, 81);
+    cw_fleet_size_record(&fleet, 81);
     ck_assert(!cw_fleet_size_is_reached(&fleet, 41, CW_MS(102999)));
     ck_assert(cw_fleet_size_is_reached(&fleet, 41, CW_MS(103000)));
     ck_assert_uint_eq(cw_fleet_size_nodes(&fleet, 41, CW_MS(103000)), 81);
@@ -56,7 +56,7 @@
 {
     cw_fleet_size_t fleet = started();
 
-    cw_fleet_size_note(&fleet, 81);
+    cw_fleet_size_record(&fleet, 81);
     ck_assert_uint_eq(cw_fleet_size_nodes(&fleet, 90, CW_SECONDS(101)), 90);
     ck_assert_uint_eq(cw_fleet_size_nodes(&fleet, 20, CW_SECONDS(109)), 81);
     ck_assert_uint_eq(cw_fleet_size_nodes(&fleet, 20, CW_SECONDS(110)), 20);
@@ -67,8 +67,8 @@
 {
     cw_fleet_size_t fleet = started();
 
-    cw_fleet_size_note(&fleet, 81);
-    cw_fleet_size_note(&fleet, 0);
+    cw_fleet_size_record(&fleet, 81);
+    cw_fleet_size_record(&fleet, 0);
     ck_assert_uint_eq(cw_fleet_size_nodes(&fleet, 1, CW_SECONDS(101)), 81);
 }
 END_TEST
@@ -79,7 +79,7 @@
 
     ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 12, CW_MS(109999)), 0);
     ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 12, CW_SECONDS(110)), 12);
-    cw_fleet_size_note(&fleet, 81);
+    cw_fleet_size_record(&fleet, 81);
     ck_assert_uint_eq(cw_fleet_size_to_state(&fleet, 12, CW_SECONDS(101)), 81);
 }
 END_TEST
@@ -102,8 +102,8 @@
 {
     cw_fleet_size_t fleet = started();
 
-    cw_fleet_size_note(&fleet, 81);
-    cw_fleet_size_note(&fleet, 20);
+    cw_fleet_size_record(&fleet, 81);
+    cw_fleet_size_record(&fleet, 20);
     ck_assert(cw_fleet_size_is_reached(&fleet, 18, CW_MS(100500)));
     ck_assert_uint_eq(cw_fleet_size_nodes(&fleet, 18, CW_MS(100500)), 20);
 }
--- a/tests/test_pass_on.c
+++ b/tests/test_forward.c
@@ -1,5 +1,5 @@
 /**
- * @file test_pass_on.c
+ * @file test_forward.c
  * @brief What a relay sends to nodes of its zone: changes unchanged, whole lists on request, whole tables never.
  */
 #include <arpa/inet.h>
--- a/tests/test_pass_on_queue.c
+++ b/tests/test_forward_queue.c
@@ -1,5 +1,5 @@
 /**
- * @file test_pass_on_queue.c
+ * @file test_forward_queue.c
  * @brief Updates that a relay passes on: only complete ones, within an allowance, to nodes that lack them.
  *
  * Pattern of load: a change of many pages, and a zone of hundreds of nodes.
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "loop_fixture.h"
-#include "router/pass_on_queue.h"
+#include "router/forward_queue.h"
 
 enum { NODES = 200, PAGE_BYTES = 5000, PAGES = 10, BYTES_PER_S = 1000000 };
 
