--- a/src/model/server_absence.h
+++ b/src/model/server_absence.h
@@ -19,8 +19,10 @@
 
 /** Times that decide how long missing servers are kept. */
 typedef struct cw_absence_settings {
-    cw_time_us_t outage; /**< a list of this age may follow an outage; without a failed call it was just not read */
-    cw_time_us_t grace;  /**< time for servers to register again */
+    /** A list in force of this age may be followed by a reading after an outage. Without a failed call to the store the
+     * list was merely not read again. */
+    cw_time_us_t outage;
+    cw_time_us_t grace; /**< time for servers to register again */
 } cw_absence_settings_t;
 
 /** Settings for servers that write their entries at the interval `heartbeat` and may get requests for `drain` after
--- a/tests/test_assigner.c
+++ b/tests/test_assigner.c
@@ -37,7 +37,7 @@
     assigner_fixture_tick(&fixture, 0);
     entries[0] = server(&fixture, "i-a");
     entries[1] = server(&fixture, "i-b");
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     cw_assigner_plan_first(fixture.assigner, entries, 2, fixture.now);
     assigner_fixture_tick(&fixture, CW_MS(20));
     assigner_fixture_tick(&fixture, CW_MS(500));
@@ -157,7 +157,7 @@
     writes = fixture.writes;
     sent = fixture.order_count;
     assigner_fixture_take_over(&fixture, 2);
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     assigner_fixture_tick(&fixture, CW_MS(20));
     assigner_fixture_answer_store(&fixture); /* the read */
     assigner_fixture_tick(&fixture, CW_MS(20));
@@ -183,12 +183,12 @@
     assigner_fixture_settle(&fixture);
     sent = fixture.order_count;
     assigner_fixture_take_over(&fixture, 2);
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     assigner_fixture_tick(&fixture, CW_MS(20));
     led_since = fixture.now;
     assigner_fixture_answer_store(&fixture); /* the read */
     assigner_fixture_tick(&fixture, CW_MS(20));
-    assigner_fixture_tick(&fixture, CW_MS(2000)); /* the store takes its time over the write */
+    assigner_fixture_tick(&fixture, CW_MS(2000)); /* the write takes the store two seconds */
     assigner_fixture_answer_store(&fixture);
     assigner_fixture_tick(&fixture, CW_MS(20));
     ck_assert_uint_eq(assigner_fixture_count(&fixture, CW_ORDER_GRANT, sent), 2);
@@ -211,7 +211,7 @@
     json_object_set_new(late, "write", json_integer(77));
     sent = fixture.order_count;
     assigner_fixture_take_over(&fixture, 2);
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     assigner_fixture_tick(&fixture, CW_MS(20));
     assigner_fixture_answer_store(&fixture); /* read: the old record */
     json_decref(fixture.object);             /* the former leader's write is done now */
@@ -270,8 +270,8 @@
     cw_assigner_plan_move(fixture.assigner, 40000, 40099, server(&fixture, "i-a"), fixture.servers);
     cw_assigner_plan_write(fixture.assigner, fixture.now);
     assigner_fixture_tick(&fixture, CW_MS(20));
-    assigner_fixture_tick(&fixture, CW_MS(20)); /* read: not done so far */
-    assigner_fixture_tick(&fixture, CW_MS(20)); /* so the same write once more */
+    assigner_fixture_tick(&fixture, CW_MS(20)); /* read: the write has not been done so far */
+    assigner_fixture_tick(&fixture, CW_MS(20)); /* so the same write is repeated */
     ck_assert_uint_eq(fixture.writes, writes + 2);
     ck_assert_str_eq(assigner_fixture_range(&fixture, 40050)->owner.id, "i-a");
     assigner_fixture_clear(&fixture);
@@ -286,7 +286,7 @@
     assigner_fixture_init(&fixture, 1);
     assigner_fixture_set_servers(&fixture, two);
     assigner_fixture_settle(&fixture);
-    fixture.hold_answers = true;
+    fixture.delays_answers = true;
     cw_assigner_plan_move(fixture.assigner, 0, 99, server(&fixture, "i-b"), fixture.servers);
     cw_assigner_plan_write(fixture.assigner, fixture.now);
     sent = fixture.order_count;
@@ -497,7 +497,7 @@
     assigner_fixture_set_servers(&fixture, two);
     assigner_fixture_settle(&fixture);
     begin_move(&fixture);
-    highest = fixture.orders[fixture.order_count - 1].fence + 1; /* of the move under way */
+    highest = fixture.orders[fixture.order_count - 1].fence + 1; /* the fence of the move in progress */
     overwrite_record(&fixture);
     assigner_fixture_take_over(&fixture, 2);
     assigner_fixture_tick(&fixture, CW_MS(20));
@@ -521,7 +521,7 @@
     assigner_fixture_settle(&fixture);
     assigner_fixture_take_over(&fixture, 2);
     sent = fixture.order_count;
-    assigner_fixture_tick(&fixture, CW_MS(20)); /* read: to be adopted */
+    assigner_fixture_tick(&fixture, CW_MS(20)); /* the record is read, to be adopted */
     overwrite_record(&fixture);
     assigner_fixture_tick(&fixture, CW_MS(20)); /* the write fails by its condition */
     assigner_fixture_tick(&fixture, CW_MS(20));
@@ -542,7 +542,7 @@
     assigner_fixture_init(&fixture, 1);
     assigner_fixture_set_servers(&fixture, two);
     assigner_fixture_settle(&fixture);
-    assigner_fixture_tick(&fixture, CW_SECONDS(20)); /* renewed: these holds have just begun */
+    assigner_fixture_tick(&fixture, CW_SECONDS(20)); /* the ranges are renewed: these holds have just begun */
     overwrite_record(&fixture);
     begin_move(&fixture);
     assigner_fixture_tick(&fixture, CW_MS(20));
@@ -716,8 +716,8 @@
     const cw_order_t  *second;
 
     begin_with(&fixture, two);
-    cw_assigner_set_renewal_rate(fixture.assigner,
-                                 RENEWALS_PER_SECOND); /* two ranges: one renewal each in two seconds */
+    /* Two ranges: each is renewed once in two seconds. */
+    cw_assigner_set_renewal_rate(fixture.assigner, RENEWALS_PER_SECOND);
     renew(&fixture, CW_ORDER_DONE);
     first = last_grant_to(&fixture, "10.0.0.1:80");
     ck_assert_int_eq(first->hold, CW_MS(5000 + 2000 - 1250));
