--- a/proto/peer.pb-c.h
+++ b/proto/peer.pb-c.h
@@ -62,7 +62,7 @@
 /* --- messages --- */
 
 /*
- * One server, as its requests look from one node.
+ * The load of one server as seen by the sending node.
  */
 struct  Cwp__ServerLoad
 {
@@ -71,10 +71,13 @@
    * hash of the server's id
    */
   uint32_t server;
+  /*
+   * requests in flight from the sending node
+   */
   uint32_t under_way;
   protobuf_c_boolean unreachable;
   /*
-   * requests that wait at this node for keys that it owns
+   * requests that wait at the sending node for keys that the server owns
    */
   uint32_t waiting;
 };
@@ -84,15 +87,18 @@
 
 
 /*
- * How fast a server answered one node, counted since that node's start.
+ * Response times of a server as measured by the sending node, accumulated since that node's start.
  */
 struct  Cwp__ServerPace
 {
   ProtobufCMessage base;
   uint32_t server;
+  /*
+   * requests answered
+   */
   uint32_t served;
   /*
-   * of the answers over what is usual, in thousandths, summed
+   * sum over the answers of response time divided by the usual response time, in thousandths
    */
   uint64_t time;
 };
@@ -101,6 +107,9 @@
     , 0, 0, 0 }
 
 
+/*
+ * Number of queued requests of one service.
+ */
 struct  Cwp__QueueLength
 {
   ProtobufCMessage base;
@@ -116,7 +125,7 @@
 
 
 /*
- * Keys of recent requests, for the leader's placement.
+ * A sample of the keys of recent requests, by which the leader places keys on servers.
  */
 struct  Cwp__KeySamples
 {
@@ -125,11 +134,12 @@
   size_t n_keys;
   uint32_t *keys;
   /*
-   * requests that the keys stand for
+   * number of requests that the sample represents
    */
   uint32_t seen;
   /*
-   * where each of them may go, a bit for each region by name; none: all of them anywhere
+   * for each key the regions it may be served in, one bit per region in the order of names; empty: every key may be
+   * served in any region
    */
   size_t n_regions;
   uint32_t *regions;
@@ -139,16 +149,19 @@
     , 0, 0,NULL, 0, 0,NULL }
 
 
+/*
+ * Heartbeat of the leader; part of its NodeReport.
+ */
 struct  Cwp__LeaderHeartbeat
 {
   ProtobufCMessage base;
   uint64_t term;
   /*
-   * of the lock
+   * revision of the leader's lock in the store
    */
   uint64_t revision;
   /*
-   * it has authority
+   * the leader has authority
    */
   protobuf_c_boolean able;
   /*
@@ -156,37 +169,40 @@
    */
   uint32_t list_age_ms;
   /*
-   * number of its newest list
+   * version of the newest list of servers
    */
   uint64_t servers;
   /*
-   * number of its newest tables
+   * version of the newest tables
    */
   uint64_t tables;
   /*
-   * of that list; a node whose own is the same has it already
+   * hash of that list; a node whose own list has the same hash has that list already
    */
   uint64_t servers_hash;
+  /*
+   * hash of those tables
+   */
   uint64_t tables_hash;
   /*
-   * of the store, up to which that list is known to stand
+   * revision of the store up to which that list is known to be valid
    */
   uint64_t list_revision;
   /*
-   * since its configuration was surely the newest one, plus one; 0: not known
+   * time since its configuration was known to be the newest one, plus one; 0: not known
    */
   uint32_t configuration_age_ms;
   /*
-   * that there are (router/fleet_size.h); 0: not known
+   * number of nodes in the fleet (router/fleet_size.h); 0: not known
    */
   uint32_t nodes;
   /*
-   * since earlier lists were last true, the latest first
+   * for each earlier list the time since it was last valid; latest first
    */
   size_t n_servers_replaced_ms;
   uint32_t *servers_replaced_ms;
   /*
-   * and earlier tables
+   * the same for earlier tables
    */
   size_t n_tables_replaced_ms;
   uint32_t *tables_replaced_ms;
@@ -196,11 +212,14 @@
     , 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0,NULL, 0,NULL }
 
 
+/*
+ * Report of a node on its state and load, sent periodically.
+ */
 struct  Cwp__NodeReport
 {
   ProtobufCMessage base;
   /*
-   * with the zone, only in some reports
+   * name; name and zone are sent in some reports only
    */
   char *node;
   uint64_t incarnation;
@@ -214,18 +233,24 @@
   size_t n_samples;
   Cwp__KeySamples **samples;
   /*
-   * only from a leader
+   * only in reports of a leader
    */
   Cwp__LeaderHeartbeat *leader;
   /*
-   * version in force
+   * configuration version in force
    */
   uint64_t configuration;
   /*
-   * of the view it has
+   * term of the sender's view (list of servers and tables)
    */
   uint64_t term;
+  /*
+   * version of its list of servers
+   */
   uint64_t servers;
+  /*
+   * version of its tables
+   */
   uint64_t tables;
   /*
    * only in some reports
@@ -233,23 +258,23 @@
   size_t n_paces;
   Cwp__ServerPace **paces;
   /*
-   * to lead; with the name
+   * capability to lead; sent with the name
    */
   uint32_t capability;
   /*
-   * term of the lock that this node has given up; 0: none lately
+   * term of the leader's lock that this node has given up; 0: none recently
    */
   uint64_t vacated;
   /*
-   * nodes that it has heard lately
+   * number of nodes that it received from recently
    */
   uint32_t peers;
   /*
-   * its calls to the store have brought nothing for a while
+   * its calls to the store have been without an answer for a while
    */
   protobuf_c_boolean store_lost;
   /*
-   * nodes that count as lost there: nothing of theirs comes directly
+   * addresses of nodes that count as lost at the sender: it receives nothing from them directly
    */
   size_t n_missed;
   uint32_t *missed;
@@ -260,7 +285,7 @@
 
 
 /*
- * A datagram between two nodes that do not reach one another directly, by way of a third one (peer/detours.h).
+ * A datagram forwarded by a third node between two nodes that do not reach each other directly (peer/detours.h).
  */
 struct  Cwp__Detour
 {
@@ -270,24 +295,24 @@
    */
   uint32_t origin;
   /*
-   * the node in between passes it on as it is
+   * address; the node in between forwards the message unchanged
    */
   uint32_t destination;
   /*
-   * the destination replies
+   * the destination is to reply
    */
   protobuf_c_boolean is_probe;
   /*
-   * none: a probe, or the reply to one
+   * empty: a probe or the reply to a probe
    */
   ProtobufCBinaryData datagram;
   /*
-   * of the origin, for one that has never received from it:
+   * Details of the origin, for a destination that has never received from it:
    */
   char *node;
   char *zone;
   /*
-   * to lead
+   * capability to lead
    */
   uint32_t capability;
   uint64_t incarnation;
@@ -298,27 +323,28 @@
 
 
 /*
- * A leader's heartbeat as a relay of another zone has just received it, for the other nodes of that zone.
+ * A leader's heartbeat that a relay of another zone forwards to the other nodes of its zone as soon as it receives
+ * it.
  */
 struct  Cwp__PassedHeartbeat
 {
   ProtobufCMessage base;
   /*
-   * its address
+   * address of the leader
    */
   uint32_t leader;
   /*
-   * its name
+   * name of the leader
    */
   char *node;
   uint64_t incarnation;
   /*
-   * of the report that it came with
+   * of the report that held the heartbeat
    */
   uint32_t sequence;
   protobuf_c_boolean stopping;
   /*
-   * version in force there
+   * configuration version in force at the leader
    */
   uint64_t configuration;
   Cwp__LeaderHeartbeat *heartbeat;
@@ -328,6 +354,9 @@
     , 0, (char *)protobuf_c_empty_string, 0, 0, 0, 0, NULL }
 
 
+/*
+ * One server of the leader's list.
+ */
 struct  Cwp__ViewServer
 {
   ProtobufCMessage base;
@@ -338,11 +367,11 @@
   uint32_t capacity;
   protobuf_c_boolean draining;
   /*
-   * its warm-up takes so much longer; 0: it is warm
+   * remaining time of its warm-up; 0: it is warm
    */
   uint32_t cold_ms;
   /*
-   * kept though its entry has been missing for so long; 0: it has an entry
+   * its entry has been missing for this time and it is still kept in the list; 0: it has an entry
    */
   uint32_t missing_ms;
 };
@@ -352,14 +381,20 @@
 
 
 /*
- * To the leader, at once: what has come.
+ * Acknowledgement to the leader, sent immediately: the list and tables that the node has now.
  */
 struct  Cwp__ViewAck
 {
   ProtobufCMessage base;
   uint64_t incarnation;
   uint64_t term;
+  /*
+   * version of the list
+   */
   uint64_t servers;
+  /*
+   * version of the tables
+   */
   uint64_t tables;
 };
 #define CWP__VIEW_ACK__INIT \
@@ -368,12 +403,16 @@
 
 
 /*
- * A page of the list. since 0: of the whole list; else only what changed after the list of that number.
+ * A page of the list of servers. since 0: a page of the whole list; otherwise only changes after the list of that
+ * version.
  */
 struct  Cwp__ServersPage
 {
   ProtobufCMessage base;
   uint64_t term;
+  /*
+   * version within the term
+   */
   uint64_t number;
   uint32_t page;
   uint32_t pages;
@@ -381,25 +420,25 @@
   Cwp__ViewServer **servers;
   uint64_t since;
   /*
-   * ids; only with a base, in page 0
+   * ids of removed servers; only if since is set, in page 0
    */
   size_t n_removed;
   char **removed;
   /*
-   * of the store, that the list stands for
+   * revision of the store that the list corresponds to
    */
   uint64_t revision;
   /*
-   * all zones out of service, in every page
+   * all zones out of service; repeated in every page
    */
   size_t n_zones_out;
   char **zones_out;
   /*
-   * the receiver, a relay, is to send it to the other nodes of its zone
+   * the receiver is a relay and is to forward the page to the other nodes of its zone
    */
   protobuf_c_boolean pass_on;
   /*
-   * pages 0: this node has sent enough for now; that one has the list too
+   * with pages 0: the sender has sent as much as its limit allows for now; address of another node that has the list
    */
   uint32_t ask_instead;
 };
@@ -409,18 +448,18 @@
 
 
 /*
- * Asks a node of the sender's zone for some pages of a whole list.
+ * Requests pages of a whole list from a node of the sender's zone.
  */
 struct  Cwp__ListRequest
 {
   ProtobufCMessage base;
   uint64_t term;
   /*
-   * within the term
+   * version of the list within the term
    */
   uint64_t number;
   /*
-   * the first one that is missing
+   * first page that the sender lacks
    */
   uint32_t first_page;
 };
@@ -430,7 +469,8 @@
 
 
 /*
- * From the leader, which every node makes itself known to: the others. Apart from the list, which a node may have already.
+ * From the leader, to which every node makes itself known: addresses of the other nodes. It is separate from the list
+ * of servers, since a node may have that list already.
  */
 struct  Cwp__NodesPage
 {
@@ -446,10 +486,19 @@
     , 0,NULL }
 
 
+/*
+ * A range of keys with its owner.
+ */
 struct  Cwp__TableRange
 {
   ProtobufCMessage base;
+  /*
+   * first key
+   */
   uint32_t low;
+  /*
+   * last key
+   */
   uint32_t last;
   /*
    * hash of the owner's id
@@ -467,12 +516,16 @@
 
 
 /*
- * A page of the tables. since 0: of whole tables; else only ranges that changed after the tables of that number.
+ * A page of the tables. since 0: a page of the whole tables; otherwise only ranges that changed after the tables of
+ * that version.
  */
 struct  Cwp__TablePage
 {
   ProtobufCMessage base;
   uint64_t term;
+  /*
+   * version within the term
+   */
   uint64_t number;
   uint32_t page;
   uint32_t pages;
@@ -502,7 +555,7 @@
   protobuf_c_boolean repeatable;
   uint64_t timeout_us;
   /*
-   * an answer within it has its full worth
+   * latency objective; an answer within this time has its full value
    */
   uint64_t objective_us;
   uint32_t max_attempts;
@@ -512,7 +565,7 @@
   size_t n_part_weights;
   double *part_weights;
   /*
-   * servers there only; none: anywhere
+   * requests are sent only to servers in these regions; empty: to any server
    */
   size_t n_regions;
   char **regions;
@@ -526,19 +579,28 @@
     , (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0, 0, 0, 0,NULL, 0,NULL, 0,NULL, 0 }
 
 
+/*
+ * One service of a configuration.
+ */
 struct  Cwp__ConfiguredService
 {
   ProtobufCMessage base;
   char *name;
+  /*
+   * divided by key
+   */
   protobuf_c_boolean keyed;
   uint32_t max_connections;
+  /*
+   * duration of a server's warm-up
+   */
   uint64_t warm_us;
   /*
-   * a server is cold for so long after its start
+   * time after its start during which a server is cold
    */
   uint64_t cold_us;
   /*
-   * requests a second that a cold server bears; 0: no bound
+   * requests per second that a cold server can take; 0: unlimited
    */
   double cold_per_s;
 };
@@ -547,6 +609,9 @@
     , (char *)protobuf_c_empty_string, 0, 0, 0, 0, 0 }
 
 
+/*
+ * One tenant of a configuration, or some of its keys.
+ */
 struct  Cwp__ConfiguredTenant
 {
   ProtobufCMessage base;
@@ -557,26 +622,29 @@
   size_t n_key_digests;
   ProtobufCBinaryData *key_digests;
   /*
-   * over all nodes; 0: no limit
+   * rate limit over all nodes; 0: no limit
    */
   double rate_per_s;
+  /*
+   * limit of concurrent requests
+   */
   uint32_t concurrent;
   size_t n_regions;
   char **regions;
   /*
-   * requests beyond the rate that may come at once
+   * requests beyond the rate that are admitted at once
    */
   double burst;
   /*
-   * goes before its routes'; 0 is the most urgent
+   * takes precedence over the priority of the routes; 0 is the most urgent
    */
   uint32_t priority;
   /*
-   * its callers are known by keys, also when it has none
+   * its callers are identified by keys, even if it has no key
    */
   protobuf_c_boolean needs_key;
   /*
-   * others of its keys stand in other entries of this name
+   * other keys of the tenant are in other entries with the same name
    */
   protobuf_c_boolean in_parts;
 };
@@ -585,6 +653,9 @@
     , (char *)protobuf_c_empty_string, 0,NULL, 0, 0, 0,NULL, 0, 0, 0, 0 }
 
 
+/*
+ * Limits of callers' requests.
+ */
 struct  Cwp__ConfiguredLimits
 {
   ProtobufCMessage base;
@@ -598,6 +669,9 @@
     , 0, 0, 0, 0 }
 
 
+/*
+ * Identifies a route.
+ */
 struct  Cwp__RouteKey
 {
   ProtobufCMessage base;
@@ -610,8 +684,9 @@
 
 
 /*
- * A page of a configuration. since 0: of the whole; else routes and tenants that changed since the configuration of that
- * version. Services and limits stand in page 0. A tenant of many keys stands in several pages, each with some of them.
+ * A page of a configuration. since 0: a page of the whole configuration; otherwise only routes and tenants that
+ * changed after that version. Services and limits are in page 0. A tenant with many keys has entries in several
+ * pages, each with some of its keys.
  */
 struct  Cwp__ConfigurationPage
 {
@@ -620,7 +695,8 @@
   uint64_t since;
   uint32_t page;
   /*
-   * 0: none is sent: too large for datagrams, to be read from the store, unless another node is named
+   * 0: no pages are sent. Without ask_instead the configuration is too large for datagrams and is to be read from the
+   * store.
    */
   uint32_t pages;
   size_t n_routes;
@@ -635,7 +711,7 @@
   size_t n_removed_tenants;
   char **removed_tenants;
   /*
-   * pages 0: this node has sent enough for now; that one has the version too
+   * with pages 0: the sender has sent as much as its limit allows for now; address of another node that has the version
    */
   uint32_t ask_instead;
 };
@@ -645,21 +721,21 @@
 
 
 /*
- * Asks a node for some pages of its configuration.
+ * Requests pages of a node's configuration.
  */
 struct  Cwp__ConfigurationRequest
 {
   ProtobufCMessage base;
   /*
-   * version in force at the asking node; 0: none
+   * configuration version in force at the requesting node; 0: none
    */
   uint64_t has;
   /*
-   * of which some pages have come already; 0: the newest
+   * version of which the requesting node has some pages already; 0: the newest
    */
   uint64_t version;
   /*
-   * the first one that is missing
+   * first page that the sender lacks
    */
   uint32_t first_page;
 };
@@ -669,31 +745,38 @@
 
 
 /*
- * From a node that reads the store for its zone: what it has read, so that others need not read it.
+ * From the node that reads the store for its zone: the state that it has read, so that the other nodes need not read
+ * it.
  */
 struct  Cwp__StoreNotice
 {
   ProtobufCMessage base;
   /*
-   * version in force there
+   * configuration version in force at the sender
    */
   uint64_t configuration;
   /*
-   * of its list of servers; 0: none
+   * hash of its list of servers; 0: none
    */
   uint64_t servers_hash;
+  /*
+   * revision of the store that the list corresponds to
+   */
   uint64_t servers_revision;
   /*
-   * since the list was surely true
+   * time since the list was known to be valid
    */
   uint32_t servers_age_ms;
   /*
-   * of its tables; 0: none
+   * hash of its tables; 0: none
    */
   uint64_t tables_hash;
+  /*
+   * time since the tables were known to be valid
+   */
   uint32_t tables_age_ms;
   /*
-   * since the configuration was surely the newest one, plus one; 0: not known
+   * time since the configuration was known to be the newest one, plus one; 0: not known
    */
   uint32_t configuration_age_ms;
 };
@@ -703,7 +786,7 @@
 
 
 /*
- * A rate limit that a server named in its answers (balance/server_limit.h).
+ * A rate limit that a server stated in its answers (balance/server_limit.h).
  */
 struct  Cwp__ServerLimit
 {
@@ -713,11 +796,11 @@
    */
   uint32_t server;
   /*
-   * below 0: it has ended
+   * below 0: the limit has ended
    */
   double per_s;
   /*
-   * since it was named, or was found to have ended
+   * time since it was stated or was found to have ended
    */
   uint32_t age_ms;
 };
@@ -727,7 +810,7 @@
 
 
 /*
- * To all nodes, by way of the relays: what servers have said of themselves to a node.
+ * Sent to all nodes through the relays: what servers have stated about themselves in answers to a node.
  */
 struct  Cwp__SignalNotice
 {
@@ -737,12 +820,12 @@
    */
   uint32_t stage;
   /*
-   * that began, changed or ended, or go on
+   * limits that began, changed, ended or continue
    */
   size_t n_limits;
   Cwp__ServerLimit **limits;
   /*
-   * hashes of incarnations that leave
+   * hashes of the ids of incarnations that leave
    */
   size_t n_leaving;
   uint32_t *leaving;
@@ -753,13 +836,13 @@
 
 
 /*
- * Asks the node that counts the slots of a zone's servers for one.
+ * Requests a slot from the node that counts the slots of a zone's servers.
  */
 struct  Cwp__SlotAsk
 {
   ProtobufCMessage base;
   /*
-   * the asking node's number of it
+   * identifies the request at the requesting node
    */
   uint32_t ticket;
   /*
@@ -767,32 +850,32 @@
    */
   uint32_t service;
   /*
-   * hash of the only server that will do; 0: any
+   * hash of the only acceptable server; 0: any server
    */
   uint32_t server;
   /*
-   * hash of one that has failed the request; 0: none
+   * hash of a server at which the request has failed; 0: none
    */
   uint32_t except;
   uint32_t priority;
   /*
-   * left until the request's latency objective
+   * time left until the request's latency objective
    */
   uint32_t objective_ms;
   /*
-   * longest time that the slot is needed
+   * maximum time for which the slot is needed
    */
   uint32_t lease_ms;
   /*
-   * to be refused if a slot is expected later
+   * the request is to be refused if a slot is expected later than this
    */
   uint32_t wait_ms;
   /*
-   * hash of the name of the tenant whose turn it takes; 0: none
+   * hash of the name of the tenant in whose turn the request is served; 0: none
    */
   uint32_t tenant;
   /*
-   * of that only server, as the asking node knows it; none: it has none
+   * limit of that only server as known to the requesting node; absent: the server has none
    */
   Cwp__ServerLimit *limit;
 };
@@ -801,6 +884,9 @@
     , 0, 0, 0, 0, 0, 0, 0, 0, 0, NULL }
 
 
+/*
+ * The reply to SlotAsk.
+ */
 struct  Cwp__SlotReply
 {
   ProtobufCMessage base;
@@ -809,7 +895,13 @@
    * 0 granted, 1 waits, 2 refused
    */
   uint32_t outcome;
+  /*
+   * hash of the server whose slot is granted
+   */
   uint32_t server;
+  /*
+   * time after which a slot is expected
+   */
   uint32_t free_after_ms;
 };
 #define CWP__SLOT_REPLY__INIT \
@@ -818,29 +910,29 @@
 
 
 /*
- * Gives a slot back, or withdraws an ask.
+ * Returns a slot or withdraws a SlotAsk.
  */
 struct  Cwp__SlotReturn
 {
   ProtobufCMessage base;
   uint32_t ticket;
   /*
-   * 0 answered, 1 failed, 2 says nothing of the server
+   * 0 answered, 1 failed, 2 no statement about the server
    */
   uint32_t end;
   /*
-   * the server's load with its answer; slots 0: not told
+   * the server's load as stated in its answer; slots 0: not stated
    */
   uint32_t running;
   uint32_t waiting;
   uint32_t slots;
   uint32_t work_percent;
   /*
-   * what the server said of itself is here: its load above, and
+   * the message holds what the server stated about itself: its load above, and
    */
   protobuf_c_boolean answered;
   /*
-   * its rate limit; below 0: it named none
+   * its rate limit; below 0: it stated none
    */
   double limit_per_s;
 };
@@ -850,7 +942,7 @@
 
 
 /*
- * What changes rarely of a node of the sender's zone.
+ * The rarely changing state of a node of the sender's zone.
  */
 struct  Cwp__ZoneNode
 {
@@ -867,57 +959,58 @@
 
 
 /*
- * From a relay of a zone to one of another zone, which passes it on to its own zone as it is: who is alive, and sums.
+ * From a relay of a zone to a relay of another zone, which forwards it unchanged within its own zone: the nodes that
+ * are alive and the sums of their loads.
  */
 struct  Cwp__ZoneSummary
 {
   ProtobufCMessage base;
   char *zone;
   /*
-   * address of the node that made it
+   * address of the relay that created the summary
    */
   uint32_t relay;
   /*
-   * of that node
+   * incarnation of that relay
    */
   uint64_t incarnation;
   uint32_t sequence;
   /*
-   * by a node of the receiver's own zone
+   * forwarded by a node of the receiver's own zone
    */
   protobuf_c_boolean passed_on;
   /*
-   * addresses of nodes that the relay has received from lately, and its own
+   * addresses of the relay and of the nodes that it received from recently
    */
   size_t n_nodes;
   uint32_t *nodes;
   /*
-   * since then
+   * time since the relay last received from each
    */
   size_t n_ages_ms;
   uint32_t *ages_ms;
   size_t n_capabilities;
   uint32_t *capabilities;
   /*
-   * of nodes that changed lately; of all only now and then
+   * of nodes that changed recently; of all nodes at longer intervals
    */
   size_t n_details;
   Cwp__ZoneNode **details;
   /*
-   * hashes of the zones whose summaries the relay has received lately
+   * hashes of the zones whose summaries the relay received recently
    */
   size_t n_received;
   uint32_t *received;
   /*
-   * version in force at the relay
+   * configuration version in force at the relay
    */
   uint64_t configuration;
   /*
-   * the sums that follow replace the ones before
+   * the following sums replace the previous ones
    */
   protobuf_c_boolean has_loads;
   /*
-   * of services divided by key, as requests of the zone's nodes look
+   * servers of services divided by key, as seen by the zone's nodes
    */
   size_t n_servers;
   uint32_t *servers;
@@ -936,7 +1029,7 @@
 
 
 /*
- * What a node has let through for a tenant (tenancy/quota.h).
+ * The requests of a tenant that a node has admitted (tenancy/quota.h).
  */
 struct  Cwp__QuotaUsage
 {
@@ -950,19 +1043,19 @@
    */
   uint64_t admitted;
   /*
-   * of them, with tokens of the receiver
+   * of admitted, those with tokens granted by the receiver
    */
   uint64_t with_tokens;
   /*
-   * of admitted, before the node counted on the receiver
+   * of admitted, those before the receiver became the tenant's counting node for this node
    */
   uint64_t elsewhere;
   /*
-   * of admitted, in the last window
+   * of admitted, those in the last window
    */
   uint32_t recent;
   /*
-   * by the last word of a counting node
+   * state of the tenant by the last message of a counting node
    */
   protobuf_c_boolean metered;
 };
@@ -972,7 +1065,8 @@
 
 
 /*
- * From a node to the one that counts for some tenants. A whole state: a lost one is mended by the next.
+ * From a node to the counting node of some tenants. It holds the complete state, so that the next report makes up for
+ * a lost one.
  */
 struct  Cwp__QuotaReport
 {
@@ -982,7 +1076,7 @@
   size_t n_usages;
   Cwp__QuotaUsage **usages;
   /*
-   * of the configuration that the node goes by
+   * version of the configuration in force at the node
    */
   uint64_t version;
 };
@@ -992,13 +1086,13 @@
 
 
 /*
- * The reply, and at once to those that reported a tenant which gets metered.
+ * The reply to QuotaReport. It is also sent immediately to the nodes that reported a tenant which becomes metered.
  */
 struct  Cwp__QuotaStatus
 {
   ProtobufCMessage base;
   /*
-   * of the report; 0: it is no reply
+   * sequence of the report; 0: this is no reply
    */
   uint32_t sequence;
   /*
@@ -1007,21 +1101,21 @@
   size_t n_metered;
   uint32_t *metered;
   /*
-   * it does not count: it has just started, or stops
+   * the sender does not count, because it has just started or is stopping
    */
   protobuf_c_boolean declines;
   /*
-   * tenants without a limit in its configuration, which is earlier than the report's
+   * tenants without a limit in the sender's configuration, whose version is earlier than the report's
    */
   size_t n_unknown;
   uint32_t *unknown;
   /*
-   * tenants that the sender does not count, and for each
+   * tenants that the sender does not count
    */
   size_t n_redirected;
   uint32_t *redirected;
   /*
-   * the node that does, as the sender sees it
+   * for each tenant of redirected the counting node by the sender's view
    */
   size_t n_counters;
   uint32_t *counters;
@@ -1032,24 +1126,24 @@
 
 
 /*
- * Asks for tokens.
+ * Requests tokens.
  */
 struct  Cwp__QuotaAsk
 {
   ProtobufCMessage base;
   uint64_t incarnation;
   /*
-   * a repeated ask has the same one
+   * a repeated request has the same sequence
    */
   uint32_t sequence;
   uint32_t wanted;
   /*
-   * requests refused since the last ask, without asking
+   * requests refused since the last QuotaAsk without requesting tokens for them
    */
   uint32_t refused;
   Cwp__QuotaUsage *usage;
   /*
-   * of the configuration that the node goes by
+   * version of the configuration in force at the node
    */
   uint64_t version;
 };
@@ -1058,26 +1152,29 @@
     , 0, 0, 0, 0, NULL, 0 }
 
 
+/*
+ * The reply to QuotaAsk.
+ */
 struct  Cwp__QuotaGrant
 {
   ProtobufCMessage base;
   uint32_t tenant;
   /*
-   * of the ask
+   * sequence of the QuotaAsk
    */
   uint32_t sequence;
   uint32_t tokens;
   /*
-   * for the first request that got none
+   * for the first request that got no token
    */
   uint32_t retry_after_ms;
   protobuf_c_boolean metered;
   /*
-   * no limit in the sender's configuration, which is earlier than the ask's
+   * the tenant has no limit in the sender's configuration, whose version is earlier than the QuotaAsk's
    */
   protobuf_c_boolean unknown;
   /*
-   * of the asking node at the sender
+   * the sender's record of the requesting node
    */
   uint32_t record;
 };
@@ -1087,7 +1184,7 @@
 
 
 /*
- * Tokens that were not used.
+ * Returns unused tokens.
  */
 struct  Cwp__QuotaReturn
 {
@@ -1095,11 +1192,11 @@
   uint32_t tenant;
   uint32_t tokens;
   /*
-   * of the grant
+   * record of the QuotaGrant
    */
   uint32_t record;
   /*
-   * rises with each return of the sender
+   * increases with each return of the sender
    */
   uint32_t number;
 };
@@ -1109,13 +1206,13 @@
 
 
 /*
- * A server's end with a request under way there, or an answer to such a request (retry/crash_suspects.h).
+ * The loss of a server with a request in flight there, or an answer to such a request (retry/crash_suspects.h).
  */
 struct  Cwp__CrashSighting
 {
   ProtobufCMessage base;
   /*
-   * digest
+   * digest of the request
    */
   uint64_t request;
   /*
@@ -1123,15 +1220,15 @@
    */
   uint32_t server;
   /*
-   * since the request was sent to it
+   * time since the request was sent to the server
    */
   uint32_t sent_age_ms;
   /*
-   * since the server was lost, or answered
+   * time since the server was lost or answered
    */
   uint32_t lost_age_ms;
   /*
-   * a server has answered it
+   * a server has answered the request
    */
   protobuf_c_boolean is_clearance;
 };
@@ -1140,11 +1237,14 @@
     , 0, 0, 0, 0, 0 }
 
 
+/*
+ * Sightings that a node sends to other nodes, through the relays.
+ */
 struct  Cwp__CrashReport
 {
   ProtobufCMessage base;
   /*
-   * 0 from the node that has seen it, 1 between relays of zones, 2 from a relay to its zone
+   * 0 from the node that observed the loss, 1 between relays of zones, 2 from a relay to its zone
    */
   uint32_t stage;
   size_t n_sightings;
@@ -1182,6 +1282,9 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(CWP__DATAGRAM__CONTENT__CASE)
 } Cwp__Datagram__ContentCase;
 
+/*
+ * The content of one datagram. The names of the kinds are label values of the traffic metrics.
+ */
 struct  Cwp__Datagram
 {
   ProtobufCMessage base;
