--- a/src/balance/cold_rate.c
+++ b/src/balance/cold_rate.c
@@ -26,7 +26,7 @@
     return oldest == 0 || now - oldest >= CW_MS(SEND_WINDOW_MS);
 }
 
-void cw_cold_sends_note(cw_cold_sends_t *sends, cw_time_us_t now)
+void cw_cold_sends_record(cw_cold_sends_t *sends, cw_time_us_t now)
 {
     sends->at[sends->next] = now;
     sends->next = (sends->next + 1) % CW_COLD_SENDS_PER_SECOND;
--- a/src/balance/cold_rate.h
+++ b/src/balance/cold_rate.h
@@ -39,7 +39,7 @@
 /** True if this node may send one more request now. */
 bool cw_cold_sends_allowed(const cw_cold_sends_t *sends, cw_time_us_t now);
 /** Records a request sent now. */
-void cw_cold_sends_note(cw_cold_sends_t *sends, cw_time_us_t now);
+void cw_cold_sends_record(cw_cold_sends_t *sends, cw_time_us_t now);
 
 /** The nodes known to run, from which the sharers of each cold server are selected. */
 typedef struct cw_cold_rate cw_cold_rate_t;
--- a/src/balance/server_pool.c
+++ b/src/balance/server_pool.c
@@ -347,7 +347,7 @@
 {
     server->own++;
     if (cw_server_is_rate_bounded(server, now)) {
-        cw_cold_sends_note(&server->cold_sends, now);
+        cw_cold_sends_record(&server->cold_sends, now);
     }
 }
 
--- a/src/cli/zone.c
+++ b/src/cli/zone.c
@@ -272,14 +272,14 @@
 
 int cw_cli_zone(const char *zone, bool out, const char *plan, const char *store)
 {
-    zone_session_t     session = {.zone = zone, .change = out ? CW_ZONE_TAKEN_OUT : CW_ZONE_PUT_BACK};
-    cw_store_readers_t readers = {.context = &session,
-                                  .configuration = on_configuration_watched,
-                                  .configuration_newest = on_newest_watched,
-                                  .answered = on_answered,
-                                  .zones_can_be_taken_out = true,
-                                  .servers = on_servers};
-    int                code;
+    zone_session_t       session = {.zone = zone, .change = out ? CW_ZONE_TAKEN_OUT : CW_ZONE_PUT_BACK};
+    cw_store_callbacks_t readers = {.context = &session,
+                                    .configuration = on_configuration_watched,
+                                    .configuration_newest = on_newest_watched,
+                                    .answered = on_answered,
+                                    .zones_can_be_taken_out = true,
+                                    .servers = on_servers};
+    int                  code;
 
     uv_loop_init(&session.loop);
     session.adapter = cw_adapter.create(&session.loop, store, &readers);
--- a/src/model/configuration.c
+++ b/src/model/configuration.c
@@ -242,7 +242,7 @@
     return !have_same_hash(configuration, problem, size);
 }
 
-cw_configuration_t *cw_configuration_hold(cw_configuration_t *configuration)
+cw_configuration_t *cw_configuration_retain(cw_configuration_t *configuration)
 {
     configuration->references++;
     return configuration;
--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -99,7 +99,7 @@
 void cw_configuration_copy_tenant(cw_configuration_t *configuration, const cw_tenant_t *tenant);
 
 /** Takes another reference. */
-cw_configuration_t *cw_configuration_hold(cw_configuration_t *configuration);
+cw_configuration_t *cw_configuration_retain(cw_configuration_t *configuration);
 /** Releases a reference; the last one frees the configuration. NULL is allowed. */
 void cw_configuration_release(cw_configuration_t *configuration);
 
--- a/src/model/server_list.c
+++ b/src/model/server_list.c
@@ -220,7 +220,7 @@
     return hash;
 }
 
-cw_server_list_t *cw_server_list_hold(cw_server_list_t *list)
+cw_server_list_t *cw_server_list_retain(cw_server_list_t *list)
 {
     list->references++;
     return list;
--- a/src/model/server_list.h
+++ b/src/model/server_list.h
@@ -59,7 +59,7 @@
 /** Hash of the servers, their states and the zones out of service; independent of sequences and times. */
 uint64_t cw_server_list_hash(const cw_server_list_t *list);
 /** Takes another reference. */
-cw_server_list_t *cw_server_list_hold(cw_server_list_t *list);
+cw_server_list_t *cw_server_list_retain(cw_server_list_t *list);
 /** Releases a reference; the last one frees the list. NULL is allowed. */
 void cw_server_list_release(cw_server_list_t *list);
 
--- a/src/model/server_view.c
+++ b/src/model/server_view.c
@@ -10,7 +10,7 @@
 #include "base/memory.h"
 #include "model/server_incarnation.h"
 
-enum { FORGET_S = 60 }; /* longer than any message or write about a server that has left can be delayed */
+enum { DEPARTURE_RETENTION_S = 60 }; /* longer than any message or write about a server that has left can be delayed */
 
 void cw_server_view_init(cw_server_view_t *view, const cw_absence_settings_t *absence)
 {
@@ -89,7 +89,7 @@
     size_t index;
 
     for (index = 0; index < view->departure_count; index++) {
-        if (now - view->departures[index].last_recorded_at > CW_SECONDS(FORGET_S)) {
+        if (now - view->departures[index].last_recorded_at > CW_SECONDS(DEPARTURE_RETENTION_S)) {
             free(view->departures[index].id);
         } else {
             view->departures[kept++] = view->departures[index];
--- a/src/proxy/engine.c
+++ b/src/proxy/engine.c
@@ -114,7 +114,7 @@
 void cw_engine_set_configuration(cw_engine_t *engine, cw_configuration_t *configuration)
 {
     cw_configuration_release(engine->configuration);
-    engine->configuration = cw_configuration_hold(configuration);
+    engine->configuration = cw_configuration_retain(configuration);
     cw_engine_check_callers(engine);
 }
 
--- a/src/proxy/engine.h
+++ b/src/proxy/engine.h
@@ -55,8 +55,8 @@
     double       keyed_extra_slots;             /**< requests that an owner of keys may have in addition to its slots */
     cw_time_us_t leave_grace;     /**< how long a server that announced leaving still gets requests for its keys */
     cw_time_us_t connect_timeout; /**< for a new connection to a server */
-    double silence_factor; /**< a repeatable request is repeated if no answer has come within this many mean times */
-    cw_time_us_t margin;   /**< the final answer is sent this long before the caller's own deadline */
+    double repeat_factor; /**< a repeatable request is repeated if no answer has come within this many mean times */
+    cw_time_us_t margin;  /**< the final answer is sent this long before the caller's own deadline */
     const char  *credential_scheme; /**< scheme of callers' keys in the "Authorization" field; NULL: Bearer */
     size_t       answer_max;        /**< largest answer of a server, in bytes */
     size_t       queue_max;         /**< limit of the requests that wait for one service */
@@ -109,9 +109,9 @@
 typedef struct cw_signal_port {
     void *context;
     /** The server has named its rate limit in an answer to this node, or its limit has changed or ended. */
-    void (*on_limit_stated)(void *context, const cw_server_t *server, cw_limit_change_t change);
+    void (*on_limit_named)(void *context, const cw_server_t *server, cw_limit_change_t change);
     /** The server has announced to this node that it leaves, and no other node had reported that before. */
-    void (*on_leave_stated)(void *context, const cw_server_t *server);
+    void (*on_leaving_announced)(void *context, const cw_server_t *server);
 } cw_signal_port_t;
 
 /** Routes, queues, sends and answers the requests of one node. */
@@ -129,8 +129,8 @@
 void cw_engine_set_signal_port(cw_engine_t *engine, const cw_signal_port_t *port);
 /** Applies the signals of a server's answer, either to this node or to a node that returned the server's slot here.
  * request: id of the request, for the log; NULL: the request of another node. */
-void cw_engine_note_signals(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
-                            const char *request);
+void cw_engine_apply_signals(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
+                             const char *request);
 /** Another node reports the rate limit that a server named at that time; per_s below 0: its limit had ended. */
 void cw_engine_apply_reported_limit(cw_engine_t *engine, cw_server_t *server, double per_s, cw_time_us_t made_at);
 /** Another node reports that the server incarnation with this hash has announced that it leaves. */
--- a/src/proxy/engine_admission.c
+++ b/src/proxy/engine_admission.c
@@ -129,7 +129,7 @@
 
     request->engine = engine;
     request->exchange = exchange;
-    request->configuration = cw_configuration_hold(engine->configuration);
+    request->configuration = cw_configuration_retain(engine->configuration);
     request->route = route;
     request->route_state = route_state(engine, route);
     request->caller = *caller;
@@ -189,7 +189,7 @@
 {
     cw_engine_t *engine = request->engine;
 
-    cw_shared_budget_note_request(&request->service->budget, &engine->settings.budget, cw_engine_now(engine));
+    cw_shared_budget_record_request(&request->service->budget, &engine->settings.budget, cw_engine_now(engine));
     record_key_sample(request);
     cw_request_enqueue(request);
     cw_service_dispatch(engine, request->service);
--- a/src/proxy/engine_attempt.c
+++ b/src/proxy/engine_attempt.c
@@ -67,7 +67,7 @@
 static void set_repeat_time(cw_request_t *request, cw_time_us_t now)
 {
     double expected = (double)request->route_state->mean_time * (request->server->pace > 1 ? request->server->pace : 1);
-    cw_time_us_t delay = (cw_time_us_t)(expected * request->engine->settings.silence_factor);
+    cw_time_us_t delay = (cw_time_us_t)(expected * request->engine->settings.repeat_factor);
 
     if (!request->route->repeatable) {
         request->repeat_at = CW_NEVER;
--- a/src/proxy/engine_signals.c
+++ b/src/proxy/engine_signals.c
@@ -54,8 +54,8 @@
         change = cw_server_limit_record_unnamed(&server->limit, now);
     }
     record_limit_change(server, change, request);
-    if (engine->signal_port.on_limit_stated != NULL && (signals->has_limit || change != CW_LIMIT_UNCHANGED)) {
-        engine->signal_port.on_limit_stated(engine->signal_port.context, server, change);
+    if (engine->signal_port.on_limit_named != NULL && (signals->has_limit || change != CW_LIMIT_UNCHANGED)) {
+        engine->signal_port.on_limit_named(engine->signal_port.context, server, change);
     }
 }
 
@@ -131,12 +131,12 @@
     engine->signal_port = *port;
 }
 
-void cw_engine_note_signals(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
-                            const char *request)
+void cw_engine_apply_signals(cw_engine_t *engine, cw_server_t *server, const cw_server_signals_t *signals,
+                             const char *request)
 {
     if (signals->is_leaving && record_leaving(engine, server->hash, request) &&
-        engine->signal_port.on_leave_stated != NULL) {
-        engine->signal_port.on_leave_stated(engine->signal_port.context, server);
+        engine->signal_port.on_leaving_announced != NULL) {
+        engine->signal_port.on_leaving_announced(engine->signal_port.context, server);
     }
     record_limit(engine, server, signals, request, cw_engine_now(engine));
 }
@@ -162,5 +162,5 @@
     if (signals->has_rest) {
         record_rest(engine, server, signals, request->id, now);
     }
-    cw_engine_note_signals(engine, server, signals, request->id);
+    cw_engine_apply_signals(engine, server, signals, request->id);
 }
--- a/src/retry/crash_suspects.c
+++ b/src/retry/crash_suspects.c
@@ -212,7 +212,7 @@
     return false;
 }
 
-void cw_crash_suspects_note_end(cw_crash_suspects_t *suspects, uint32_t server, cw_time_us_t now)
+void cw_crash_suspects_record_end(cw_crash_suspects_t *suspects, uint32_t server, cw_time_us_t now)
 {
     size_t kept = 0;
     size_t index;
@@ -230,7 +230,7 @@
     suspects->loss_count = kept;
 }
 
-void cw_crash_suspects_note_reported(cw_crash_suspects_t *suspects, const cw_crash_t *crash, cw_time_us_t now)
+void cw_crash_suspects_record_reported(cw_crash_suspects_t *suspects, const cw_crash_t *crash, cw_time_us_t now)
 {
     add_crash(suspects, crash, now);
 }
--- a/src/retry/crash_suspects.h
+++ b/src/retry/crash_suspects.h
@@ -65,9 +65,9 @@
 /** Returns whether a loss at this server is not confirmed yet. */
 bool cw_crash_suspects_has_loss_at(const cw_crash_suspects_t *suspects, uint32_t server);
 /** Confirms the losses at this server as crashes: the incarnation has ended without announcing that it leaves. */
-void cw_crash_suspects_note_end(cw_crash_suspects_t *suspects, uint32_t server, cw_time_us_t now);
+void cw_crash_suspects_record_end(cw_crash_suspects_t *suspects, uint32_t server, cw_time_us_t now);
 /** Records a crash that another node has reported. */
-void cw_crash_suspects_note_reported(cw_crash_suspects_t *suspects, const cw_crash_t *crash, cw_time_us_t now);
+void cw_crash_suspects_record_reported(cw_crash_suspects_t *suspects, const cw_crash_t *crash, cw_time_us_t now);
 /** Ends the chain of the request, since a server answered it at this time. Returns true if crashes were recorded for
  * the request, so the other nodes need to be notified. */
 bool cw_crash_suspects_clear(cw_crash_suspects_t *suspects, uint64_t request, cw_time_us_t answered_at);
--- a/src/retry/shared_budget.c
+++ b/src/retry/shared_budget.c
@@ -22,7 +22,7 @@
     return index;
 }
 
-void cw_shared_budget_note_request(cw_shared_budget_t *budget, const cw_budget_settings_t *settings, cw_time_us_t now)
+void cw_shared_budget_record_request(cw_shared_budget_t *budget, const cw_budget_settings_t *settings, cw_time_us_t now)
 {
     budget->requests[bucket_at(budget, settings, now)]++;
 }
--- a/src/retry/shared_budget.h
+++ b/src/retry/shared_budget.h
@@ -34,7 +34,8 @@
 } cw_shared_budget_t;
 
 /** Counts a request for the service. */
-void cw_shared_budget_note_request(cw_shared_budget_t *budget, const cw_budget_settings_t *settings, cw_time_us_t now);
+void cw_shared_budget_record_request(cw_shared_budget_t *budget, const cw_budget_settings_t *settings,
+                                     cw_time_us_t now);
 /** Charges one repeat to the budget; returns false if the budget does not allow it. nodes: number of nodes; 0 while
  * unknown, and then no part of `extra` is used. */
 bool cw_shared_budget_take(cw_shared_budget_t *budget, const cw_budget_settings_t *settings, uint32_t nodes,
--- a/src/router/adapter.h
+++ b/src/router/adapter.h
@@ -36,7 +36,7 @@
     cw_server_signals_decoder_t decode_signals;
     /** Creates the adapter's state. store_address: "IPv4:PORT". Standing reads begin at once; their results go to
      * `readers` (NULL: no standing reads). */
-    void *(*create)(uv_loop_t *loop, const char *store_address, const cw_store_readers_t *readers);
+    void *(*create)(uv_loop_t *loop, const char *store_address, const cw_store_callbacks_t *readers);
     /** The store, as the router calls it. */
     cw_store_port_t *(*store)(void *adapter);
     /** Sends a grant or a release to a server. done: called once. */
--- a/src/router/configuration_exchange.c
+++ b/src/router/configuration_exchange.c
@@ -75,7 +75,7 @@
     for (index = KEPT_VERSIONS - 1; index > 0; index--) {
         exchange->kept_versions[index] = exchange->kept_versions[index - 1];
     }
-    exchange->kept_versions[0] = cw_configuration_hold(configuration);
+    exchange->kept_versions[0] = cw_configuration_retain(configuration);
     exchange->served_count = 0;
 }
 
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -154,7 +154,7 @@
         .keyed_extra_slots = 2,
         .leave_grace = router->settings.drain / 2,
         .connect_timeout = CW_MS(CONNECT_TIMEOUT_MS),
-        .silence_factor = 4,
+        .repeat_factor = 4,
         .margin = CW_MS(15),
         .credential_scheme = router->settings.credential_scheme,
         .answer_max = ANSWER_BYTES_MAX,
@@ -199,7 +199,7 @@
     cw_upstream_options_t upstream = {.idle_max = CW_MS(IDLE_CONNECTION_MS),
                                       .unacknowledged = CW_MS(UNACKNOWLEDGED_TIMEOUT_MS)};
     cw_peer_handler_t     peers = {router, cw_router_on_datagram};
-    cw_store_readers_t    readers = {.context = router,
+    cw_store_callbacks_t  readers = {.context = router,
                                      .configuration = cw_router_on_configuration,
                                      .configuration_within = router->settings.configuration_within,
                                      .configuration_newest = cw_router_on_configuration_evidence,
--- a/src/router/router_crashes.c
+++ b/src/router/router_crashes.c
@@ -50,7 +50,7 @@
     cw_router_t    *router = probe->crashes->router;
 
     if (result == CW_PROBE_REFUSED) {
-        cw_crash_suspects_note_end(probe->crashes->suspects, probe->server, cw_router_now(router));
+        cw_crash_suspects_record_end(probe->crashes->suspects, probe->server, cw_router_now(router));
     }
     free(probe);
 }
@@ -87,7 +87,7 @@
     uint32_t server = cw_name_hash(entry->id);
 
     if (!entry->draining && cw_crash_suspects_has_loss_at(router->crashes->suspects, server)) {
-        cw_crash_suspects_note_end(router->crashes->suspects, server, cw_router_now(router));
+        cw_crash_suspects_record_end(router->crashes->suspects, server, cw_router_now(router));
     }
 }
 
@@ -206,7 +206,7 @@
         /* The clearance is not reported again, since the sender has sent it to the other nodes. */
         (void)cw_crash_suspects_clear(crashes->suspects, crash.request, crash.lost_at);
     } else {
-        cw_crash_suspects_note_reported(crashes->suspects, &crash, now);
+        cw_crash_suspects_record_reported(crashes->suspects, &crash, now);
     }
 }
 
--- a/src/router/router_list_exchange.c
+++ b/src/router/router_list_exchange.c
@@ -61,7 +61,7 @@
 
     cw_server_list_release(snapshot->list);
     snapshot->of = of;
-    snapshot->list = cw_server_list_hold(router->server_view.list);
+    snapshot->list = cw_server_list_retain(router->server_view.list);
     snapshot->revision = router->server_view.revision;
 }
 
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -54,7 +54,7 @@
 
 static bool is_unresponsive(const cw_router_quota_t *quota, uint32_t address)
 {
-    return cw_quota_share_is_silent(quota->share, address, now_of(quota));
+    return cw_quota_share_is_skipped(quota->share, address, now_of(quota));
 }
 
 static uint32_t choose(cw_router_quota_t *quota, uint32_t tenant, bool excludes_unresponsive)
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -27,7 +27,7 @@
     /* The list may differ from the leader's for this time before the whole list is requested, since a node may have
      * observed that a server leaves when the leader has not, or the reverse. */
     SERVERS_UNEQUAL_S = 10,
-    /* Interval between requests: an observed leave is forgotten within it (FORGET_S of server_view.c). */
+    /* Interval between requests: an observed leave is forgotten within it (DEPARTURE_RETENTION_S of server_view.c). */
     SERVERS_REPEAT_S = 60,
     TABLES_UNEQUAL_MS = 1000, /* three heartbeats */
     TABLES_REPEAT_MS = 5000,
--- a/src/router/router_signals.c
+++ b/src/router/router_signals.c
@@ -24,14 +24,14 @@
     return now <= since ? 0 : (uint32_t)((now - since) / 1000);
 }
 
-static void on_limit_stated(void *context, const cw_server_t *server, cw_limit_change_t change)
+static void on_limit_named(void *context, const cw_server_t *server, cw_limit_change_t change)
 {
     cw_router_t *router = context;
 
     cw_signal_notices_record_limit(router->signal_notices, server->hash, change, cw_router_now(router));
 }
 
-static void on_leave_stated(void *context, const cw_server_t *server)
+static void on_leaving_announced(void *context, const cw_server_t *server)
 {
     cw_router_t *router = context;
 
@@ -158,7 +158,8 @@
 
 void cw_router_signals_init(cw_router_t *router)
 {
-    cw_signal_port_t port = {.context = router, .on_limit_stated = on_limit_stated, .on_leave_stated = on_leave_stated};
+    cw_signal_port_t port = {
+        .context = router, .on_limit_named = on_limit_named, .on_leaving_announced = on_leaving_announced};
 
     router->signal_notices = cw_signal_notices_create();
     cw_engine_set_signal_port(router->engine, &port);
--- a/src/router/router_slots.c
+++ b/src/router/router_slots.c
@@ -75,7 +75,7 @@
     cw_server_t      *server = (cw_server_t *)cw_server_pool_find_hash(router->pool, hash);
 
     if (server != NULL && returned->signals != NULL && returned->node != own_address(router->slots)) {
-        cw_engine_note_signals(router->engine, server, returned->signals, NULL);
+        cw_engine_apply_signals(router->engine, server, returned->signals, NULL);
     }
     cw_slot_broker_return(broker, returned, now);
 }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -47,7 +47,7 @@
 
 /** Callbacks that an adapter calls for its watches and reads. Objects are passed as references that the receiver owns.
  */
-typedef struct cw_store_readers {
+typedef struct cw_store_callbacks {
     void *context;
     /** A configuration was read. NULL: it cannot be used, and `problem` says why. */
     void (*configuration)(void *context, cw_configuration_t *configuration, const char *problem);
@@ -65,7 +65,7 @@
     bool zones_can_be_taken_out;
     /** A read of the list of servers has ended. */
     void (*servers)(void *context, const cw_servers_read_t *read);
-} cw_store_readers_t;
+} cw_store_callbacks_t;
 
 /** Operations that the router needs from a store. Each call's callback is called exactly once, from the event loop. */
 typedef struct cw_store_port {
--- a/src/tenancy/quota_reports.c
+++ b/src/tenancy/quota_reports.c
@@ -46,7 +46,7 @@
     return link;
 }
 
-bool cw_quota_share_is_silent(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now)
+bool cw_quota_share_is_skipped(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now)
 {
     const cw_quota_link_t *link;
 
--- a/src/tenancy/quota_share.c
+++ b/src/tenancy/quota_share.c
@@ -231,7 +231,7 @@
     *retry_after = 0;
     set_limit(share, tenant, limit, now);
     tenant->last_request_at = now;
-    if (tenant->counter == 0 || cw_quota_share_is_silent(share, tenant->counter, now)) {
+    if (tenant->counter == 0 || cw_quota_share_is_skipped(share, tenant->counter, now)) {
         cw_quota_choose_counter(share, tenant, now);
     }
     answer = decide(share, tenant, now, retry_after);
--- a/src/tenancy/quota_share.h
+++ b/src/tenancy/quota_share.h
@@ -42,7 +42,7 @@
  * call returns. */
 typedef struct cw_quota_port {
     void *context;
-    /** Address of a tenant's counting node, chosen among nodes for which cw_quota_share_is_silent is false; 0: none */
+    /** Address of a tenant's counting node, chosen among nodes for which cw_quota_share_is_skipped is false; 0: none */
     uint32_t (*counter_of)(void *context, uint32_t tenant);
     /** Sends a report of tenants' usage to a counting node. */
     void (*report)(void *context, uint32_t counter, uint32_t sequence, const cw_quota_usage_t *usages, size_t count);
@@ -89,7 +89,7 @@
  * next ones in order would all begin to count too, each with a bucket of its own. */
 size_t cw_quota_share_declined_count(const cw_quota_share_t *share, cw_time_us_t now);
 /** True while a counting node is skipped, either because it is unresponsive or because it refused to count. */
-bool cw_quota_share_is_silent(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now);
+bool cw_quota_share_is_skipped(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now);
 /** True while a node is skipped because it has itself declined to count. It is unknown whether unresponsive nodes
  * that are skipped count. */
 bool cw_quota_share_has_declined(const cw_quota_share_t *share, uint32_t counter, cw_time_us_t now);
--- a/tests/engine_fixture.c
+++ b/tests/engine_fixture.c
@@ -145,7 +145,7 @@
 
 engine_fixture_setup_t engine_fixture_default_setup(void)
 {
-    return (engine_fixture_setup_t){.servers = ENGINE_FIXTURE_SERVERS, .capacity = 1, .silence_factor = 1000};
+    return (engine_fixture_setup_t){.servers = ENGINE_FIXTURE_SERVERS, .capacity = 1, .repeat_factor = 1000};
 }
 
 static cw_engine_settings_t engine_settings(const engine_fixture_setup_t *setup)
@@ -162,7 +162,7 @@
                                   .crossing = {.ms_per_mb = setup->crossing_ms_per_mb},
                                   .budget = {.ratio = 0.2, .extra = 50, .window = CW_SECONDS(10), .share = 1},
                                   .connect_timeout = CW_SECONDS(5),
-                                  .silence_factor = setup->silence_factor,
+                                  .repeat_factor = setup->repeat_factor,
                                   .answer_max = 100000,
                                   .credential_scheme = setup->credential_scheme,
                                   .queue_max = 100};
@@ -251,11 +251,11 @@
     configure(fixture);
 }
 
-void engine_fixture_init_with_repeat_factor(engine_fixture_t *fixture, double silence_factor)
+void engine_fixture_init_with_repeat_factor(engine_fixture_t *fixture, double repeat_factor)
 {
     engine_fixture_setup_t setup = engine_fixture_default_setup();
 
-    setup.silence_factor = silence_factor;
+    setup.repeat_factor = repeat_factor;
     engine_fixture_begin(fixture, &setup);
     configure(fixture);
 }
--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -77,7 +77,7 @@
 typedef struct engine_fixture_setup {
     size_t   servers; /**< number of servers: s0 in zone z1 (region near), s1 in z2 (region far); the engine is in z1 */
     uint32_t capacity;             /**< slots of each server */
-    double   silence_factor;       /**< cw_engine_settings_t */
+    double   repeat_factor;        /**< cw_engine_settings_t */
     double   crossing_ms_per_mb;   /**< cost of a megabyte across the regions' border, in ms */
     const char *tenant_field;      /**< name of the header field with the tenant's name; NULL: servers do not get it */
     const char *credential_scheme; /**< NULL: the engine's default */
@@ -90,8 +90,8 @@
 /** Starts the default setup with the routes safe (repeatable), once (not repeatable), keyed, far and far-keyed
  * (restricted to the region of s1) and elsewhere (restricted to a region without servers). */
 void engine_fixture_init(engine_fixture_t *fixture);
-/** Like engine_fixture_init, with another silence_factor, which sets when unanswered requests are repeated. */
-void engine_fixture_init_with_repeat_factor(engine_fixture_t *fixture, double silence_factor);
+/** Like engine_fixture_init, with another repeat_factor, which sets when unanswered requests are repeated. */
+void engine_fixture_init_with_repeat_factor(engine_fixture_t *fixture, double repeat_factor);
 /** Like engine_fixture_init, with another crossing_ms_per_mb. */
 void engine_fixture_init_with_crossing(engine_fixture_t *fixture, double crossing_ms_per_mb);
 
--- a/tests/quota_sim.c
+++ b/tests/quota_sim.c
@@ -370,7 +370,7 @@
     for (index = 0; index < sim->node_count; index++) {
         uint32_t address = sim->nodes[index].address;
         bool     is_own = address == node->address;
-        bool     is_left_out = skips_unresponsive ? cw_quota_share_is_silent(node->share, address, sim->now)
+        bool     is_left_out = skips_unresponsive ? cw_quota_share_is_skipped(node->share, address, sim->now)
                                                   : cw_quota_share_has_declined(node->share, address, sim->now);
 
         if ((is_own ? !declines(node) : is_known(node, index)) && !is_left_out) {
@@ -387,7 +387,7 @@
     uint32_t first = choose(node, tenant, false);
     uint32_t next;
 
-    if (!cw_quota_share_is_silent(node->share, first, node->sim->now)) {
+    if (!cw_quota_share_is_skipped(node->share, first, node->sim->now)) {
         return first;
     }
     next = choose(node, tenant, true);
--- a/tests/test_configuration.c
+++ b/tests/test_configuration.c
@@ -84,7 +84,7 @@
 START_TEST(a_configuration_with_a_reference_outlives_a_release)
 {
     cw_configuration_t *configuration = some_configuration();
-    cw_configuration_t *held = cw_configuration_hold(configuration);
+    cw_configuration_t *held = cw_configuration_retain(configuration);
 
     cw_configuration_release(configuration);
     ck_assert_uint_eq(held->version, 7);
--- a/tests/test_crash_suspects.c
+++ b/tests/test_crash_suspects.c
@@ -46,7 +46,7 @@
 {
     uint32_t server = lose(request);
 
-    cw_crash_suspects_note_end(suspects, server, now);
+    cw_crash_suspects_record_end(suspects, server, now);
 }
 
 static bool is_refused(uint64_t request)
@@ -98,7 +98,7 @@
     }
     now += CW_MS(COPIES);
     for (server = first; server < next_server; server++) {
-        cw_crash_suspects_note_end(suspects, server, now);
+        cw_crash_suspects_record_end(suspects, server, now);
     }
     ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, INNOCENT), 1);
     ck_assert(!is_refused(INNOCENT));
@@ -115,7 +115,7 @@
 
         ck_assert(cw_crash_suspects_record_loss(suspects, &loss));
     }
-    cw_crash_suspects_note_end(suspects, server, now + CW_MS(5));
+    cw_crash_suspects_record_end(suspects, server, now + CW_MS(5));
     for (request = 1000; request < 1200; request++) {
         ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, request), 1);
         ck_assert(!is_refused(request));
@@ -151,7 +151,7 @@
 
     crash(INNOCENT);
     ck_assert(cw_crash_suspects_clear(suspects, INNOCENT, now));
-    cw_crash_suspects_note_reported(suspects, &late, now + CW_MS(300));
+    cw_crash_suspects_record_reported(suspects, &late, now + CW_MS(300));
     ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, INNOCENT), 0);
 }
 END_TEST
@@ -163,9 +163,9 @@
     crash(KILLER);
     other.sent_at = now + CW_MS(10);
     other.lost_at = now + CW_MS(30);
-    cw_crash_suspects_note_reported(suspects, &other, now + CW_MS(200));
-    cw_crash_suspects_note_reported(suspects, &other,
-                                    now + CW_MS(600)); /* the report is sent repeatedly, since datagrams may be lost */
+    cw_crash_suspects_record_reported(suspects, &other, now + CW_MS(200));
+    cw_crash_suspects_record_reported(
+        suspects, &other, now + CW_MS(600)); /* the report is sent repeatedly, since datagrams may be lost */
     ck_assert_uint_eq(cw_crash_suspects_crashes(suspects, KILLER), 2);
     now += CW_MS(700);
     crash(KILLER);
@@ -186,7 +186,7 @@
     }
     now += CW_SECONDS(1);
     for (index = CW_CRASHES_MAX; index > 0; index--) {
-        cw_crash_suspects_note_reported(suspects, &crashes[index - 1], now);
+        cw_crash_suspects_record_reported(suspects, &crashes[index - 1], now);
     }
     ck_assert(is_refused(KILLER));
 }
--- a/tests/test_engine_callers.c
+++ b/tests/test_engine_callers.c
@@ -13,11 +13,11 @@
 
 enum { TEXT_BYTES = ENGINE_FIXTURE_TEXT_BYTES };
 
-static void init_with_repeat_factor(engine_fixture_t *fixture, double silence_factor)
+static void init_with_repeat_factor(engine_fixture_t *fixture, double repeat_factor)
 {
     engine_fixture_setup_t setup = {.servers = 1,
                                     .capacity = 1,
-                                    .silence_factor = silence_factor,
+                                    .repeat_factor = repeat_factor,
                                     .tenant_field = "The-Tenant",
                                     .credential_scheme = "Token"};
 
--- a/tests/test_engine_limits.c
+++ b/tests/test_engine_limits.c
@@ -202,12 +202,12 @@
     server = cw_server_pool_find(fixture.pool, "s0");
     cw_engine_apply_reported_limit(fixture.engine, server, 6, cw_engine_now(fixture.engine) - CW_SECONDS(2));
     for (answer = 0; answer < 10; answer++) {
-        cw_engine_note_signals(fixture.engine, server, &signals, "r");
+        cw_engine_apply_signals(fixture.engine, server, &signals, "r");
     }
     ck_assert(cw_server_is_limited(server, cw_engine_now(fixture.engine)));
     signals.has_run = true;
     for (answer = 0; answer < CW_LIMIT_UNNAMED_ANSWERS; answer++) {
-        cw_engine_note_signals(fixture.engine, server, &signals, "r");
+        cw_engine_apply_signals(fixture.engine, server, &signals, "r");
     }
     ck_assert(!cw_server_is_limited(server, cw_engine_now(fixture.engine)));
 }
--- a/tests/test_engine_quota.c
+++ b/tests/test_engine_quota.c
@@ -52,7 +52,7 @@
 
 static void init(fixture_t *fixture)
 {
-    engine_fixture_setup_t setup = {.servers = 1, .capacity = 4, .silence_factor = 1000};
+    engine_fixture_setup_t setup = {.servers = 1, .capacity = 4, .repeat_factor = 1000};
     cw_quota_settings_t    quota = {.window = CW_SECONDS(5), .overshoot = 0.1, .slack = 20};
     cw_quota_port_t        port;
 
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -27,7 +27,7 @@
     for (index = 0; index < requests; index++) {
         cw_time_us_t now = from + length * index / requests;
 
-        cw_shared_budget_note_request(budget, &budget_settings, now);
+        cw_shared_budget_record_request(budget, &budget_settings, now);
         while (cw_shared_budget_take(budget, &budget_settings, nodes, now)) {
             spent++;
         }
--- a/tests/test_zones.c
+++ b/tests/test_zones.c
@@ -162,7 +162,7 @@
 
     for (now = start; now < start + CW_SECONDS(5); now += CW_MS(7)) {
         if (cw_cold_sends_allowed(&sends, now) && count < 64) {
-            cw_cold_sends_note(&sends, now);
+            cw_cold_sends_record(&sends, now);
             sent[count++] = now;
         }
     }
