--- /dev/null
+++ b/sim/lease_sim.h
@@ -0,0 +1,64 @@
+/**
+ * @file lease_sim.h
+ * @brief Deterministic simulation of leadership, assignments and grants: runs the router's own state machines with a
+ *        model of the store, the servers and the links between them, in logical time.
+ *
+ * The key space is divided into CW_CELLS equal cells; moves begin and end at bounds of cells. The simulation checks
+ *
+ *  - at each request that a server begins: no other server that holds the cell at the same time has begun a request on
+ *    it since both hold it,
+ *  - at each grant that a server accepts: its fence is above all fences with which other servers held the cell,
+ *  - at the end: the assignment record in the store covers all keys, and all cells are served again.
+ */
+#ifndef CEDARWINCH_SIM_LEASE_SIM_H
+#define CEDARWINCH_SIM_LEASE_SIM_H
+
+#include "assignment/assigner.h"
+#include "lease/leadership.h"
+
+enum {
+    CW_CELLS = 32, /**< parts of the key space */
+    CW_CELL_KEYS = (CW_KEY_LAST + 1) / CW_CELLS,
+    CW_SIM_NODES = 5,
+    CW_SIM_ADDRESSES = 6,
+    CW_SIM_VIOLATIONS_MAX = 8
+};
+
+/** Length of a run and frequency of faults: probabilities of a call, or rates per second. */
+typedef struct cw_sim_settings {
+    uint64_t     seed;
+    cw_time_us_t length;         /**< duration of the run */
+    cw_time_us_t faults_end_at;  /**< no faults from this time on */
+    double       store_lost;     /**< probability that a write is done and not answered */
+    double       store_late;     /**< probability that a write is done 1 to 6 s later and not answered */
+    double       order_lost;     /**< probability that an order is carried out and not answered */
+    double       order_late;     /**< probability that an order is carried out 2 to 12 s later and not answered */
+    double       outages;        /**< outages of the store per second */
+    double       kills;          /**< kills of a node per second */
+    double       freezes;        /**< freezes of a node per second */
+    double       cuts;           /**< cuts of a node from the store, from servers or from nodes, per second */
+    double       crashes;        /**< crashes of a server per second */
+    double       all_node_kills; /**< kills of all nodes at once per second */
+    double       moves;          /**< moves of a random cell per second */
+    bool         trace;          /**< print each decision of a leader's assigner */
+} cw_sim_settings_t;
+
+/** Counts and violations of a run. */
+typedef struct cw_sim_result {
+    uint64_t requests;    /**< requests that servers began */
+    uint64_t turned_away; /**< requests rejected by servers that did not hold the cell */
+    uint64_t unrouted;    /**< requests that a node did not route: no valid table, or the cell is being moved */
+    uint64_t grants;      /**< grants that servers accepted */
+    uint64_t moves;       /**< random moves */
+    uint64_t leaders;     /**< changes of leadership */
+    uint32_t violations;
+    char     violation[CW_SIM_VIOLATIONS_MAX][160];
+    bool     served_at_end; /**< each cell has been served in the last seconds */
+} cw_sim_result_t;
+
+/** Sets the usual frequencies of faults. */
+void cw_sim_settings_with_faults(cw_sim_settings_t *settings, uint64_t seed);
+/** Runs the simulation; runs with equal settings are equal. */
+void cw_sim_run(const cw_sim_settings_t *settings, cw_sim_result_t *result);
+
+#endif
--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -1,22 +1,26 @@
 /**
  * @file assigner.h
- * @brief The leader's care for one service divided by key: writes assignments, then sends grants and releases.
+ * @brief Assigns the keys of one service divided by key to its servers: writes the assignments to the store, then sends
+ * grants and releases. The leader runs one assigner for each such service.
  *
  * Rules:
- *  - Every change of owner is written to the store, under the record's revision, before the first order that follows
- *    from it. A new leader writes each record once more, with its own term, before its first order: so no write of a
- *    former leader can land behind what it read.
- *  - Renewing (the same call to the same server) needs no wait. A move needs one of: the former holder's answer to the
- *    release; proof that its life ended (another id at its address); or its hold, with the clocks' drift, run out since
- *    the last grant or renewal that may have reached it was sent.
- *  - Fences only rise, for each service.
- *  - No order leaves without the leader's authority at that moment; the caller passes it with each tick.
- *  - An order that went unanswered may wake a holder again after its hold has run out, and a node without a heartbeat
- * of the leader may still route to it: so after such an order the wait lasts at least as long as tables are valid.
- *  - A server may start anew under the name that it had, and takes any fence then. So an owner of such a name that an
- *    order did not reach is granted nothing more under a fence that it may have had: the next grant has a new one.
- *  - Orders under way are bounded, so that their answers are taken in time however many ranges there are.
- *  - A range is not moved for balance while an order to its owner went unanswered lately: it may still be carried out.
+ *  - Every change of owner is written to the store, conditional on the record's revision, before the first order that
+ *    follows from it. A new leader rewrites each record with its own term before it sends its first order. A late write
+ *    of an earlier leader then fails its condition, so it cannot replace the state that the new leader has read.
+ *  - A renewal repeats a grant to the same server and needs no wait. A move needs one of: the former holder's
+ *    confirmation of the release; proof that its incarnation has ended (another id at its address); or the expiry of
+ *    its hold, including clock drift, counted from the last grant or renewal sent that may have reached it.
+ *  - The fences of a service only increase.
+ *  - An order is sent only while the leader has authority. The caller states the authority with each tick.
+ *  - A server may carry out an unanswered order after its hold has expired, and a node that receives no heartbeat of
+ *    the leader may still route to it. After such an order a move therefore waits at least as long as a node's table of
+ *    ranges stays valid.
+ *  - A server may restart under its former name, and then it accepts any fence. When an order does not reach an owner
+ *    whose id is such a name, the owner gets no more grants with a fence that it may have received: the next grant
+ *    has a new fence.
+ *  - The number of orders in flight is bounded, so that their results are handled in time for any number of ranges.
+ *  - A range is not moved for balance while a recent order to its owner is unanswered, since the server may still
+ *    carry it out.
  */
 #ifndef CEDARWINCH_ASSIGNMENT_ASSIGNER_H
 #define CEDARWINCH_ASSIGNMENT_ASSIGNER_H
@@ -28,99 +32,119 @@
 /** Kind of the objects in the store that hold the assignments of a service. */
 #define CW_ASSIGNMENTS_KIND "assignments"
 
+/** Kind of an order to a server. */
 typedef enum cw_order_kind { CW_ORDER_GRANT, CW_ORDER_RELEASE } cw_order_kind_t;
 
+/** Result of an order. */
 typedef enum cw_order_result {
     CW_ORDER_DONE,
-    CW_ORDER_FENCED,    /**< a higher fence was seen on one of the keys */
-    CW_ORDER_ENDED,     /**< another life of a server answers at the address: not done, and the one meant has ended */
-    CW_ORDER_REFUSED,   /**< another answer: not done */
-    CW_ORDER_NOT_SENT,  /**< proved: nothing left */
-    CW_ORDER_UNANSWERED /**< may be done, now or seconds later */
+    CW_ORDER_FENCED, /**< not done: the server has seen a higher fence for one of the keys */
+    /** Not done: another incarnation answers at the address, so the addressed one has ended. */
+    CW_ORDER_OTHER_INCARNATION,
+    CW_ORDER_REFUSED,   /**< not done: any other answer */
+    CW_ORDER_NOT_SENT,  /**< certainly no byte of the order was sent */
+    CW_ORDER_UNANSWERED /**< the server may have carried out the order, or may do so seconds later */
 } cw_order_result_t;
 
+/** An order to a server about a range of keys. */
 typedef struct cw_order {
     uint64_t        id;
     cw_order_kind_t kind;
-    char            server[CW_SERVER_ID_MAX]; /**< the life that is meant */
+    char            server[CW_SERVER_ID_MAX]; /**< id of the addressed incarnation */
     char            address[CW_SERVER_ADDRESS_MAX];
     uint32_t        low;
     uint32_t        last;
     uint64_t        fence;
     cw_time_us_t    hold;
     char            handover[CW_HANDOVER_MAX];
-    bool            fresh; /**< on a new connection: the last one brought no answer */
+    bool            fresh; /**< a new connection must be used, since recent orders about the range have failed */
     cw_time_us_t    timeout;
     cw_time_us_t    sent_at;
-    cw_time_us_t    until_before; /**< end of the owner's hold if this order never leaves */
+    cw_time_us_t    hold_until_before; /**< end of the owner's hold if this order is not sent */
 } cw_order_t;
 
+/** Times that an assigner uses. */
 typedef struct cw_assigner_settings {
-    cw_time_us_t hold;      /**< of grants on a calm day */
-    cw_time_us_t hold_long; /**< while the store cannot be reached */
-    cw_time_us_t hold_most; /**< that servers take */
-    cw_time_us_t renew_every;
-    cw_time_us_t order_timeout; /**< of a grant */
+    cw_time_us_t hold;          /**< hold of a grant while the store answers */
+    cw_time_us_t hold_long;     /**< hold of a grant while the store does not answer */
+    cw_time_us_t max_hold;      /**< longest hold that servers accept */
+    cw_time_us_t renew_every;   /**< shortest interval between the renewals of a range */
+    cw_time_us_t order_timeout; /**< timeout of a grant */
     cw_time_us_t release_timeout;
-    cw_time_us_t late_orders; /**< an unanswered order may be carried out this much later */
-    cw_time_us_t table_valid; /**< a node may route by a table that it has had no heartbeat for so long */
+    cw_time_us_t late_order_time; /**< longest time after which a server may still carry out an unanswered order */
+    cw_time_us_t table_validity;  /**< for how long a node may route by its table without a heartbeat of the leader */
 } cw_assigner_settings_t;
 
+/** Functions that the assigner calls. */
 typedef struct cw_assigner_ports {
     void            *context;
     cw_store_port_t *store;
-    void (*order)(void *context, const cw_order_t *order); /**< cw_assigner_order_done must follow, once */
-    void (*changed)(void *context);                        /**< what requests are routed by has changed */
-    /** One decision for the log: an event's name and its text. */
+    /** Sends an order; cw_assigner_order_done must follow once. */
+    void (*order)(void *context, const cw_order_t *order);
+    /** The ranges by which requests are routed have changed. */
+    void (*changed)(void *context);
+    /** Logs one decision: the name of the event and a detail. */
     void (*note)(void *context, const char *service, const char *event, const cw_range_t *range, const char *detail);
 } cw_assigner_ports_t;
 
+/** Assigner of one service. */
 typedef struct cw_assigner cw_assigner_t;
 
+/** State of the service's record in the store, as far as the assigner knows it. */
 typedef enum cw_assigner_state {
-    CW_ASSIGNER_NEW,     /**< the record is to be read */
-    CW_ASSIGNER_CALLING, /**< a store call is under way, or its outcome unknown */
-    CW_ASSIGNER_EMPTY,   /**< no record exists: ranges are to be made */
-    CW_ASSIGNER_READY,   /**< the record carries this leader's term */
-    CW_ASSIGNER_DEPOSED  /**< a later leader has written */
+    CW_ASSIGNER_NEW,     /**< the record has not been read yet */
+    CW_ASSIGNER_CALLING, /**< a store call is in flight, or its outcome is unknown */
+    CW_ASSIGNER_EMPTY,   /**< there is no usable record: the first assignment has to be planned */
+    CW_ASSIGNER_READY,   /**< the record has this leader's term */
+    CW_ASSIGNER_DEPOSED  /**< a later leader has written the record */
 } cw_assigner_state_t;
 
+/** Creates an assigner for a service. term, incarnation: of the leader, written into the record. */
 cw_assigner_t *cw_assigner_create(const char *service, uint64_t term, uint64_t incarnation,
                                   const cw_assigner_settings_t *settings, const cw_assigner_ports_t *ports);
-/** Store answers and orders that come later are dropped by the caller's cw_assigner_order_done and by the assigner. */
+/** Ends the assigner. It discards a reply of the store that arrives later; the caller discards later results of orders.
+ */
 void cw_assigner_free(cw_assigner_t *assigner);
 
-/** Sends what is due. able: the leader has authority now. long_hold: the store does not answer. */
-void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool able, bool long_hold,
+/** Makes the store call and sends the orders that are due. has_authority: the leader has authority now. long_hold: the
+ * store does not answer. */
+void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool has_authority, bool long_hold,
                       cw_time_us_t now);
+/** Handles the result of an order. handover: the server's handover after a release that was carried out; NULL: none. */
 void cw_assigner_order_done(cw_assigner_t *assigner, uint64_t order, cw_order_result_t result, const char *handover,
                             cw_time_us_t now);
 
-/** Renewals are to take so many orders a second: the pause between those of a range grows with the ranges, and holds
- * with it, as far as servers take it. */
-void cw_assigner_set_pace(cw_assigner_t *assigner, double orders_per_s);
+/** Limits renewals to this many orders per second. The interval between the renewals of a range then increases with
+ * the number of ranges, and the holds with it, up to the longest hold that servers accept. */
+void cw_assigner_set_renewal_rate(cw_assigner_t *assigner, double orders_per_s);
 
-cw_assigner_state_t    cw_assigner_state(const cw_assigner_t *assigner);
-const char            *cw_assigner_service(const cw_assigner_t *assigner);
+/** Returns the state of the record, as far as this leader knows it. */
+cw_assigner_state_t cw_assigner_state(const cw_assigner_t *assigner);
+/** Returns the name of the service. */
+const char *cw_assigner_service(const cw_assigner_t *assigner);
+/** Returns the ranges of the record, which belong to the assigner; empty until there is a record. */
 const cw_range_list_t *cw_assigner_ranges(const cw_assigner_t *assigner);
-/** May a plan be made now? Not while a write is under way. */
+/** Whether a plan can be made now. False while a write is in flight. */
 bool cw_assigner_may_plan(const cw_assigner_t *assigner);
-/** First assignment of all keys, in equal parts. Only when the state is CW_ASSIGNER_EMPTY. */
+/** Plans and submits the first assignment of all keys, in equal parts. Only when the state is CW_ASSIGNER_EMPTY. */
 void cw_assigner_plan_first(cw_assigner_t *assigner, const cw_server_entry_t *const *servers, size_t count,
                             cw_time_us_t now);
-/** Adds to the plan: keys low to last, within one range, go to `to`. */
+/** Adds a move to the plan: keys low to last, which lie within one range, are assigned to `to`. */
 void cw_assigner_plan_move(cw_assigner_t *assigner, uint32_t low, uint32_t last, const cw_server_entry_t *to,
                            const cw_server_list_t *servers);
-/** Adds to the plan: the range at `index` of the plan and the next one, of one owner, become one. */
+/** Adds a merge to the plan: the range of key `low` and the next one become one. False: the two have different owners,
+ * or one of them is not held or is being moved. */
 bool cw_assigner_plan_merge(cw_assigner_t *assigner, uint32_t low);
-/** Writes the plan, if there is anything in it. */
+/** Submits the plan, which is written as soon as the store can be called, unless it is empty. */
 void cw_assigner_plan_write(cw_assigner_t *assigner, cw_time_us_t now);
-/** May this range be moved for balance? */
+/** Whether this range may be moved for balance: its owner holds it, its last order did not fail, and no unanswered
+ * order can still have an effect. */
 bool cw_assigner_is_settled(const cw_assigner_t *assigner, const cw_range_t *range, cw_time_us_t now);
-/** The record still names former holders that have let go: it should be written once more. */
+/** Whether the record still names former holders that have released their keys, so that it should be rewritten. */
 bool cw_assigner_is_stale(const cw_assigner_t *assigner, cw_time_us_t now);
-void cw_assigner_plan_refresh(cw_assigner_t *assigner);
-/** Owners that no order reaches, over all owners that hold ranges. */
+/** Plans a rewrite of the record without any change of owners. */
+void cw_assigner_plan_rewrite(cw_assigner_t *assigner);
+/** Share of the ranges whose orders have failed for more than a second. */
 double cw_assigner_failing_share(const cw_assigner_t *assigner, cw_time_us_t now);
 
 #endif
--- a/src/assignment/assigner_tick.c
+++ b/src/assignment/assigner_tick.c
@@ -1,14 +1,14 @@
 /**
  * @file assigner_tick.c
- * @brief What an assigner does with each tick.
+ * @brief The periodic step of an assigner.
  */
 #include "assignment/assigner_internal.h"
 
-void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool able, bool long_hold,
+void cw_assigner_tick(cw_assigner_t *assigner, const cw_server_list_t *servers, bool has_authority, bool long_hold,
                       cw_time_us_t now)
 {
     assigner->now = now;
-    if (!able || assigner->state == CW_ASSIGNER_DEPOSED) {
+    if (!has_authority || assigner->state == CW_ASSIGNER_DEPOSED) {
         return;
     }
     if (assigner->led_since == 0) {
--- a/src/balance/crossing_cost.h
+++ b/src/balance/crossing_cost.h
@@ -33,10 +33,11 @@
     cw_time_us_t objective_left; /**< time left until its latency objective */
 } cw_crossing_input_t;
 
+/** Value of cw_crossing_input_t.wait: no slot is expected in the region. */
 #define CW_CROSSING_NO_SLOT INT64_MAX
 
 /** True if the request should wait in its region: the wait must not exceed the crossing cost, and the request must
  * still meet its latency objective, since another region may meet it. */
-bool cw_crossing_waits_here(const cw_crossing_input_t *input);
+bool cw_crossing_should_wait(const cw_crossing_input_t *input);
 
 #endif
--- a/src/balance/server_signals.h
+++ b/src/balance/server_signals.h
@@ -1,6 +1,6 @@
 /**
  * @file server_signals.h
- * @brief State that a server reports about itself in the header fields of an answer.
+ * @brief A server's signals: its state as it reports it in the header fields of an answer.
  *
  * Each answer reports the complete state: a signal missing from an answer does not apply at the time of that answer.
  */
@@ -15,8 +15,8 @@
 struct cw_http_fields;
 
 enum {
-    CW_SERVER_LIMIT_MOST = 1000000, /**< requests a second; a greater limit is lowered to this */
-    CW_SERVER_REST_MOST_S = 600     /**< a longer rest is shortened to this */
+    CW_SERVER_LIMIT_MAX = 1000000, /**< requests a second; a greater limit is lowered to this */
+    CW_SERVER_REST_MAX_S = 600     /**< a longer rest is shortened to this */
 };
 
 /** Signals decoded from one answer. */
--- a/src/config/router_settings.c
+++ b/src/config/router_settings.c
@@ -26,10 +26,10 @@
     STOP_GRACE_MS = 6000,
     LINK_MBPS = 1000,
     LINK_MBPS_MAX = 1000000,
-    REMOTE_BYTE_COST_MS_PER_MB = 30000, /* sending a body of 60 KB costs 1.8 s, longer than usual objectives: it stays
-                                         * in its region while that has a slot in time. A kilobyte costs 30 ms, about
-                                         * the latency of the way itself: it leaves the region as soon as a queue
-                                         * forms */
+    /* Sending a body of 60 KB costs 1.8 s, longer than usual objectives: the request stays in its region while the
+     * region has a slot in time. A kilobyte costs 30 ms, about the latency of the link itself: such a request leaves
+     * the region as soon as a queue forms. */
+    REMOTE_BYTE_COST_MS_PER_MB = 30000,
     RETRY_WINDOW_MS = 10000,
     RETRY_EXTRA = 20,
     PIPELINE_DEPTH = 16,
@@ -239,7 +239,7 @@
 static void read_tuning(cw_router_settings_t *settings, cw_yaml_mapping_t *mapping)
 {
     settings->leader_hold = read_ms(mapping, "leader_hold_ms", 500, 60000, settings->leader_hold);
-    settings->first_look_within = read_ms(mapping, "first_look_within_ms", 0, 60000, settings->first_look_within);
+    settings->first_read_within = read_ms(mapping, "first_look_within_ms", 0, 60000, settings->first_read_within);
     settings->hold = read_ms(mapping, "hold_ms", 1000, 60000, settings->hold);
     settings->hold_long = read_ms(mapping, "hold_long_ms", 1000, 60000, settings->hold_long);
     settings->drain = read_ms(mapping, "drain_ms", 200, 600000, settings->drain);
--- a/src/model/server_view.c
+++ b/src/model/server_view.c
@@ -1,6 +1,6 @@
 /**
  * @file server_view.c
- * @brief The list in force, and what has been seen of servers' leaving.
+ * @brief The list in force, and the departures of servers.
  */
 #include "model/server_view.h"
 
@@ -10,7 +10,7 @@
 #include "base/memory.h"
 #include "model/server_incarnation.h"
 
-enum { FORGET_S = 60 }; /* longer than anything about a server that has left can be under way */
+enum { DEPARTURE_RETENTION_S = 60 }; /* longer than any message or write about a server that has left can be delayed */
 
 void cw_server_view_init(cw_server_view_t *view, const cw_absence_settings_t *absence)
 {
@@ -32,7 +32,7 @@
 
 /* ---- departures ---- */
 
-/* Place of an id among the departures, or where it would stand. */
+/* Returns the index of an id among the departures, or the index at which it would be inserted. */
 static size_t place_of(const cw_server_view_t *view, const char *id)
 {
     size_t low = 0;
@@ -63,7 +63,7 @@
     return find_departure(view, id);
 }
 
-static cw_server_departure_t *departure_of(cw_server_view_t *view, const char *id)
+static cw_server_departure_t *find_or_add_departure(cw_server_view_t *view, const char *id)
 {
     size_t                 place = place_of(view, id);
     cw_server_departure_t *departure;
@@ -83,13 +83,13 @@
     return departure;
 }
 
-static void forget_departures(cw_server_view_t *view, cw_time_us_t now)
+static void discard_departures(cw_server_view_t *view, cw_time_us_t now)
 {
     size_t kept = 0;
     size_t index;
 
     for (index = 0; index < view->departure_count; index++) {
-        if (now - view->departures[index].last_noted_at > CW_SECONDS(FORGET_S)) {
+        if (now - view->departures[index].last_recorded_at > CW_SECONDS(DEPARTURE_RETENTION_S)) {
             free(view->departures[index].id);
         } else {
             view->departures[kept++] = view->departures[index];
@@ -98,60 +98,60 @@
     view->departure_count = kept;
 }
 
-static void note_missing(cw_server_view_t *view, const cw_server_entry_t *entry, uint64_t latest, cw_time_us_t now)
+static void record_missing(cw_server_view_t *view, const cw_server_entry_t *entry, uint64_t latest, cw_time_us_t now)
 {
-    cw_server_departure_t *departure = departure_of(view, entry->id);
+    cw_server_departure_t *departure = find_or_add_departure(view, entry->id);
 
     if (departure->since == 0) {
         departure->since = entry->missing_since != 0 ? entry->missing_since : now;
     }
     departure->sequence = entry->sequence > departure->sequence ? entry->sequence : departure->sequence;
     departure->revision = latest > departure->revision ? latest : departure->revision;
-    departure->last_noted_at = now;
+    departure->last_recorded_at = now;
 }
 
-static void note_leaving(cw_server_view_t *view, const cw_server_entry_t *entry, cw_time_us_t now)
+static void record_leaving(cw_server_view_t *view, const cw_server_entry_t *entry, cw_time_us_t now)
 {
-    cw_server_departure_t *departure = departure_of(view, entry->id);
+    cw_server_departure_t *departure = find_or_add_departure(view, entry->id);
 
     departure->is_leaving = true;
-    departure->last_noted_at = now;
+    departure->last_recorded_at = now;
 }
 
-/** A list that comes into force. */
-typedef struct departures_look {
+/** Context of record_departure: the list that is applied. */
+typedef struct departures_context {
     cw_server_view_t *view;
-    uint64_t          latest; /* no change after this revision is in it */
+    uint64_t          latest; /* the list contains no change after this revision */
     cw_time_us_t      now;
-} departures_look_t;
+} departures_context_t;
 
-static void note_departure(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
+static void record_departure(void *context, const cw_server_entry_t *before, cw_server_entry_t *after)
 {
-    const departures_look_t *look = context;
+    const departures_context_t *applied = context;
 
     if (after == NULL) {
-        note_missing(look->view, before, look->latest, look->now);
+        record_missing(applied->view, before, applied->latest, applied->now);
         return;
     }
     if (after->missing_since != 0) {
-        note_missing(look->view, after, look->latest, look->now);
+        record_missing(applied->view, after, applied->latest, applied->now);
     }
     if (after->draining) {
-        note_leaving(look->view, after, look->now);
+        record_leaving(applied->view, after, applied->now);
     }
 }
 
-/* Who has left, or is leaving, by the list that comes into force. */
-static void note_departures(cw_server_view_t *view, cw_server_list_t *list, uint64_t latest, cw_time_us_t now)
+/* Records the servers that are missing or leaving in the list that is applied. */
+static void record_departures(cw_server_view_t *view, cw_server_list_t *list, uint64_t latest, cw_time_us_t now)
 {
-    departures_look_t look = {.view = view, .latest = latest, .now = now};
+    departures_context_t applied = {.view = view, .latest = latest, .now = now};
 
-    cw_server_lists_compare(view->list, list, note_departure, &look);
+    cw_server_lists_compare(view->list, list, record_departure, &applied);
 }
 
-/* ---- what is known against an entry ---- */
+/* ---- correction of entries ---- */
 
-/* Has a later incarnation of the same server left? */
+/* Whether a later incarnation of the same server is known to have left. */
 static bool has_later_departure(const cw_server_view_t *view, const char *id)
 {
     size_t length = cw_server_id_name_length(id);
@@ -170,12 +170,14 @@
     return false;
 }
 
-/* An entry of a former incarnation, written late: the later one stands for it. False: that one has left. */
+/* Replaces a late-written entry of a former incarnation by that of the later incarnation. False: the later one has
+ * left.
+ */
 static bool use_latest_incarnation(const cw_server_view_t *view, cw_server_entry_t *entry)
 {
     const cw_server_entry_t *newest;
 
-    if (cw_server_id_born(entry->id) == 0) {
+    if (cw_server_id_start_ms(entry->id) == 0) {
         return true;
     }
     newest = cw_server_list_newest(view->list, entry->id);
@@ -186,7 +188,7 @@
     return !has_later_departure(view, entry->id);
 }
 
-/* Does the entry show that a server that was missing is back? */
+/* Whether the entry proves that a server that was missing is present again. */
 static bool is_back(const cw_server_departure_t *departure, const cw_server_entry_t *entry,
                     const cw_server_reading_t *reading)
 {
@@ -195,14 +197,15 @@
     return entry->missing_since == 0 && reading->revision > departure->revision && (reading->is_told || !is_earlier);
 }
 
-/* Brings an entry in line with what has been seen of its server. False: it is not to be in the list. */
+/* Corrects an entry by the recorded departure of its server, if there is one. False: the entry must be removed from the
+ * list. */
 static bool correct(const cw_server_view_t *view, cw_server_entry_t *entry, const cw_server_reading_t *reading,
                     cw_time_us_t now)
 {
     cw_server_departure_t *departure = find_departure(view, entry->id);
 
     if (departure != NULL) {
-        departure->last_noted_at = now;
+        departure->last_recorded_at = now;
         entry->draining = entry->draining || departure->is_leaving;
         if (departure->since != 0 && is_back(departure, entry, reading)) {
             departure->since = 0;
@@ -213,8 +216,9 @@
     return !cw_absence_is_over(&view->absence, entry, now);
 }
 
-/* The list with each entry corrected; the one given is released. */
-static cw_server_list_t *correct_all(const cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now)
+/* Returns the list with all entries corrected, and releases the given one if a new list was made. */
+static cw_server_list_t *correct_entries(const cw_server_view_t *view, const cw_server_reading_t *reading,
+                                         cw_time_us_t now)
 {
     cw_server_list_t *list = reading->list;
     char            **dropped = calloc(list->count + 1, sizeof(*dropped));
@@ -242,7 +246,7 @@
 
 /* ---- the list in force ---- */
 
-/* The same servers in the same states: just how far their heartbeats are, and since when they are missing, is new. */
+/* Updates the list in force from a list with the same servers in the same states: only sequences and times are new. */
 static void refresh_entries(cw_server_list_t *list, const cw_server_list_t *newer)
 {
     size_t index;
@@ -276,8 +280,8 @@
     return CW_VIEW_CHANGED;
 }
 
-cw_view_result_t cw_server_view_take(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
-                                     cw_server_list_t **before)
+cw_view_result_t cw_server_view_apply(cw_server_view_t *view, const cw_server_reading_t *reading, cw_time_us_t now,
+                                      cw_server_list_t **before)
 {
     uint64_t          latest = reading->latest > reading->revision ? reading->latest : reading->revision;
     cw_server_list_t *list;
@@ -287,24 +291,24 @@
         cw_server_list_release(reading->list);
         return CW_VIEW_OLDER;
     }
-    list = correct_all(view, reading, now);
+    list = correct_entries(view, reading, now);
     if (!reading->is_told) {
-        /* How many were added is seen in the list, and logged by the caller. */
-        (void)cw_server_absence_fill(&view->absence, list, view->list, view->true_at, reading->store_failed, now);
+        /* The caller finds the number of added servers in the list and logs it. */
+        (void)cw_server_absence_fill(&view->absence, list, view->list, view->valid_at, reading->store_failed, now);
     }
-    note_departures(view, list, latest, now);
-    forget_departures(view, now);
-    cw_server_view_confirm(view, reading->revision, reading->true_at);
+    record_departures(view, list, latest, now);
+    discard_departures(view, now);
+    cw_server_view_confirm(view, reading->revision, reading->valid_at);
     return replace(view, list, before);
 }
 
-void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t true_at)
+void cw_server_view_confirm(cw_server_view_t *view, uint64_t revision, cw_time_us_t valid_at)
 {
     view->revision = revision > view->revision ? revision : view->revision;
-    view->true_at = true_at > view->true_at ? true_at : view->true_at;
+    view->valid_at = valid_at > view->valid_at ? valid_at : view->valid_at;
 }
 
-static bool is_any_over(const cw_server_view_t *view, cw_time_us_t now)
+static bool has_expired_entry(const cw_server_view_t *view, cw_time_us_t now)
 {
     size_t index;
 
@@ -321,9 +325,9 @@
     cw_server_reading_t unchanged = {.revision = view->revision, .is_told = true};
 
     *before = NULL;
-    if (!is_any_over(view, now)) {
+    if (!has_expired_entry(view, now)) {
         return CW_VIEW_SAME;
     }
     unchanged.list = cw_server_list_copy_without(view->list, NULL, 0);
-    return cw_server_view_take(view, &unchanged, now, before);
+    return cw_server_view_apply(view, &unchanged, now, before);
 }
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -13,7 +13,7 @@
 #include "net/http_listener_internal.h"
 
 enum {
-    BACKLOG = 512,
+    BACKLOG = 512,              /* connections that the kernel keeps until they are accepted */
     MIN_IDLE_MS = 300,          /* a connection that has been idle for a shorter time may have a request in transit */
     USER_TIMEOUT_MS = 10 * 1000 /* a connection ends if sent data is not acknowledged for this time */
 };
@@ -165,7 +165,7 @@
     listener->bodies.limit_bytes = options->body_bytes_most == 0 ? SIZE_MAX : options->body_bytes_most;
 }
 
-void cw_http_listener_set_rejects(cw_http_listener_t *listener, cw_http_rejects_t rejects)
+void cw_http_listener_set_reject_callback(cw_http_listener_t *listener, cw_http_rejects_t rejects)
 {
     listener->rejects = rejects;
 }
--- a/src/peer/configuration_pages.h
+++ b/src/peer/configuration_pages.h
@@ -22,10 +22,11 @@
 #include "peer.pb-c.h"
 
 enum {
-    CW_CONFIGURATION_PAGE_ITEMS =
-        40, /**< routes and parts of tenants per page: about 5 KB, well below the size limit of a datagram */
-    CW_CONFIGURATION_PAGES_MAX = 512 /**< 20,480 items: more than an object of 1 MB in the store holds (an item takes
-                                      * about 70 bytes there: a tenant with one key, or three keys) */
+    /** Routes and parts of tenants per page: about 5 KB, well below the size limit of a datagram. */
+    CW_CONFIGURATION_PAGE_ITEMS = 40,
+    /** 20,480 items: more than an object of 1 MB in the store holds (an item takes about 70 bytes there: a tenant with
+     * one key, or three keys). */
+    CW_CONFIGURATION_PAGES_MAX = 512
 };
 
 /** Receives a page, which is valid during the call only. */
@@ -55,7 +56,7 @@
 } cw_configuration_assembly_t;
 
 /** The first page that has not been received; 0 while no page has. */
-uint32_t cw_configuration_assembly_missing(const cw_configuration_assembly_t *assembly);
+uint32_t cw_configuration_assembly_first_missing(const cw_configuration_assembly_t *assembly);
 /** Discards the received pages. */
 void cw_configuration_assembly_clear(cw_configuration_assembly_t *assembly);
 /**
@@ -63,8 +64,8 @@
  * NULL.
  * in_force: the receiver's own configuration (NULL: none). Pages that are based on another one are ignored.
  */
-cw_configuration_t *cw_configuration_assembly_take(cw_configuration_assembly_t  *assembly,
-                                                   const cw_configuration_t     *in_force,
-                                                   const Cwp__ConfigurationPage *page);
+cw_configuration_t *cw_configuration_assembly_add_page(cw_configuration_assembly_t  *assembly,
+                                                       const cw_configuration_t     *in_force,
+                                                       const Cwp__ConfigurationPage *page);
 
 #endif
--- a/src/peer/detours.c
+++ b/src/peer/detours.c
@@ -10,8 +10,8 @@
 #include "base/memory.h"
 
 enum {
-    PROBE_INTERVAL_MS = 200,       /* three probes from when a node becomes a suspect until it counts as lost */
-    FREQUENT_PROBES = 10,          /* probes at that interval; a node that any other reaches has replied to one */
+    PROBE_INTERVAL_MS = 200, /* three probes from when a node becomes a suspect until it counts as lost */
+    FREQUENT_PROBES = 10,    /* probes at that interval; a node that any other one reaches replies to one of them */
     RARE_PROBE_INTERVAL_MS = 1000, /* interval of later probes, which detect that the node is back */
     PROBES_PER_SECOND = 20, /* of all suspects: two or three datagrams of 60 bytes each, within 3 KB/s of control */
     PROBE_BURST = 25, /* probes that may be sent at once, so that the first probes of some suspects are not delayed */
@@ -108,7 +108,7 @@
     detours->refilled_at = now;
 }
 
-bool cw_detours_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn)
+bool cw_detours_begin_probe(cw_detours_t *detours, uint32_t address, cw_time_us_t now, uint32_t *turn)
 {
     detour_t    *detour = find_or_add(detours, address);
     cw_time_us_t interval_us = CW_MS(detour->probes < FREQUENT_PROBES ? PROBE_INTERVAL_MS : RARE_PROBE_INTERVAL_MS);
--- a/src/peer/peer_link.c
+++ b/src/peer/peer_link.c
@@ -133,14 +133,14 @@
     }
 }
 
-void cw_peer_link_set_place(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count)
+void cw_peer_link_set_zone(cw_peer_link_t *link, const char *zone, const cw_zone_region_t *zones, size_t count)
 {
     cw_text_copy(link->zone, sizeof(link->zone), zone);
     link->zones = zones;
     link->zone_count = count;
 }
 
-void cw_peer_link_note_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone)
+void cw_peer_link_set_peer_zone(const cw_peer_link_t *link, cw_peer_t *peer, const char *zone)
 {
     if (strcmp(peer->zone, zone) == 0) {
         return;
@@ -241,7 +241,7 @@
         return;
     }
     socket_address.sin_addr.s_addr = peer->address;
-    cw_traffic_account_note(&link->traffic, kind, peer->distance, length);
+    cw_traffic_account_add(&link->traffic, kind, peer->distance, length);
     (void)uv_udp_try_send(&link->socket, &buffer, 1, (const struct sockaddr *)&socket_address);
 }
 
@@ -276,8 +276,8 @@
     return sent;
 }
 
-size_t cw_peer_link_send_part(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
-                              size_t first, size_t count)
+size_t cw_peer_link_send_range(cw_peer_link_t *link, const cw_peer_t *peer, const cw_datagram_batch_t *batch,
+                               size_t first, size_t count)
 {
     size_t offset = 0;
     size_t sent = 0;
@@ -311,7 +311,7 @@
     }
 }
 
-bool cw_peer_is_former(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now)
+bool cw_peer_is_former_incarnation(const cw_peer_t *peer, uint64_t incarnation, cw_time_us_t now)
 {
     return incarnation != 0 && incarnation == peer->former_incarnation &&
            now - peer->incarnation_at < CW_SECONDS(LATE_MESSAGE_S);
@@ -319,14 +319,14 @@
 
 /* Every peer of the list is in the hash table. The analyzer does not follow uthash's macros and assumes an empty table.
  */
-void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now)
+void cw_peer_link_expire(cw_peer_link_t *link, cw_time_us_t timeout, cw_time_us_t now)
 {
     cw_peer_t **position = &link->peers;
 
     while (*position != NULL) {
         cw_peer_t *peer = *position;
 
-        if (now - (peer->last_received_at > peer->learned_at ? peer->last_received_at : peer->learned_at) > silence) {
+        if (now - (peer->last_received_at > peer->learned_at ? peer->last_received_at : peer->learned_at) > timeout) {
             *position = peer->next;
             /* NOLINTNEXTLINE(clang-analyzer-core.NullDereference) */
             HASH_DELETE(by_address, link->by_address, peer);
@@ -337,13 +337,13 @@
     }
 }
 
-uint32_t cw_peer_link_alive(const cw_peer_link_t *link, cw_time_us_t silence, cw_time_us_t now)
+uint32_t cw_peer_link_count_alive(const cw_peer_link_t *link, cw_time_us_t timeout, cw_time_us_t now)
 {
     const cw_peer_t *peer;
     uint32_t         count = 0;
 
     for (peer = link->peers; peer != NULL; peer = peer->next) {
-        count += peer->last_received_at != 0 && now - peer->last_received_at <= silence ? 1 : 0;
+        count += peer->last_received_at != 0 && now - peer->last_received_at <= timeout ? 1 : 0;
     }
     return count;
 }
--- a/src/placement/load_window.c
+++ b/src/placement/load_window.c
@@ -1,6 +1,7 @@
 /**
  * @file load_window.c
- * @brief Recent keys, each weighed by exp(-age / CW_LOAD_MEMORY): a rate that follows a change within seconds.
+ * @brief Keys of recent requests, weighted by exp(-age / time_constant_s), so that rates follow a change within
+ * seconds.
  */
 #include "placement/load_window.h"
 
@@ -12,16 +13,16 @@
 #include "base/memory.h"
 #include "model/region_mask.h"
 
-static const double memory_s = 1.0; /* time constant; shorter follows faster and sees more noise */
-static const double horizon_s = 4.0;
-static const double span_min_s = 0.2;
+static const double time_constant_s = 1.0; /* a shorter one follows changes faster and shows more noise */
+static const double horizon_s = 4.0;       /* older samples are ignored */
+static const double span_min_s = 0.2;      /* shortest time for which the window counts as having been filled */
 
 void cw_load_window_add(cw_load_window_t *window, uint32_t key, double weight, cw_time_us_t now)
 {
-    cw_load_window_note(window, &(cw_key_sighting_t){.key = key, .weight = weight}, now);
+    cw_load_window_add_sample(window, &(cw_key_report_t){.key = key, .weight = weight}, now);
 }
 
-void cw_load_window_note(cw_load_window_t *window, const cw_key_sighting_t *seen, cw_time_us_t now)
+void cw_load_window_add_sample(cw_load_window_t *window, const cw_key_report_t *report, cw_time_us_t now)
 {
     cw_load_sample_t *sample;
 
@@ -33,13 +34,13 @@
     }
     window->last_ms = (uint32_t)(now / 1000);
     sample = &window->samples[window->next];
-    sample->key = seen->key;
-    sample->weight = (float)seen->weight;
-    sample->regions = seen->regions;
-    sample->from = seen->from;
+    sample->key = report->key;
+    sample->weight = (float)report->weight;
+    sample->regions = report->regions;
+    sample->from = report->from;
     sample->at_ms = (uint32_t)(now / 1000);
     window->next = (window->next + 1) % CW_LOAD_SAMPLES_MAX;
-    if (window->count < CW_LOAD_SAMPLES_MAX) { /* else the oldest has been replaced: the rest is the newest sample */
+    if (window->count < CW_LOAD_SAMPLES_MAX) { /* otherwise the new sample has replaced the oldest one */
         window->count++;
     }
 }
@@ -52,7 +53,7 @@
     return a->key < b->key ? -1 : a->key > b->key;
 }
 
-static size_t join_same(cw_key_load_t *loads, size_t count)
+static size_t merge_same_keys(cw_key_load_t *loads, size_t count)
 {
     size_t index;
     size_t kept = 0;
@@ -67,26 +68,27 @@
     return kept;
 }
 
-/* A window that has only begun to fill holds less than its share of the rate. */
+/* Share of the rate that the samples show. It is below 1 while the window has been filling for less than some time
+ * constants. */
 static double filled_share(const cw_load_window_t *window, uint32_t now_ms)
 {
     double span_s = (double)(now_ms - window->first_ms) / 1000;
 
-    return 1 - exp(-(span_s < span_min_s ? span_min_s : span_s) / memory_s);
+    return 1 - exp(-(span_s < span_min_s ? span_min_s : span_s) / time_constant_s);
 }
 
-/* Requests a second that a sample still stands for; 0: it is too old. */
+/* Requests per second that a sample still contributes; 0: it is too old. */
 static double present_rate(const cw_load_sample_t *sample, uint32_t now_ms, double share)
 {
     double age_s = (double)(now_ms - sample->at_ms) / 1000;
 
-    return age_s > horizon_s ? 0 : (double)sample->weight * exp(-age_s / memory_s) / memory_s / share;
+    return age_s > horizon_s ? 0 : (double)sample->weight * exp(-age_s / time_constant_s) / time_constant_s / share;
 }
 
-static int compare_bound(const void *left, const void *right)
+static int compare_region_loads(const void *left, const void *right)
 {
-    const cw_bound_load_t *a = left;
-    const cw_bound_load_t *b = right;
+    const cw_region_load_t *a = left;
+    const cw_region_load_t *b = right;
 
     if (a->key != b->key) {
         return a->key < b->key ? -1 : 1;
@@ -94,13 +96,13 @@
     return a->regions < b->regions ? -1 : a->regions > b->regions;
 }
 
-static size_t join_same_bound(cw_bound_load_t *loads, size_t count)
+static size_t merge_same_regions(cw_region_load_t *loads, size_t count)
 {
     size_t kept = 0;
     size_t index;
 
     for (index = 0; index < count; index++) {
-        if (kept > 0 && compare_bound(&loads[kept - 1], &loads[index]) == 0) {
+        if (kept > 0 && compare_region_loads(&loads[kept - 1], &loads[index]) == 0) {
             loads[kept - 1].per_s += loads[index].per_s;
         } else {
             loads[kept++] = loads[index];
@@ -109,7 +111,7 @@
     return kept;
 }
 
-/* Regions of a sample as they count for a reading; CW_REGIONS_ANY: not at all. */
+/* Regions of a sample, by origin or by permission; CW_REGIONS_ANY: the sample is left out. */
 static uint32_t regions_of(const cw_load_sample_t *sample, bool by_origin)
 {
     uint32_t regions = by_origin ? sample->from : sample->regions;
@@ -117,7 +119,8 @@
     return regions == CW_REGIONS_NOWHERE ? CW_REGIONS_ANY : regions;
 }
 
-static size_t read_by_regions(const cw_load_window_t *window, bool by_origin, cw_time_us_t now, cw_bound_load_t **loads)
+static size_t read_by_regions(const cw_load_window_t *window, bool by_origin, cw_time_us_t now,
+                              cw_region_load_t **loads)
 {
     uint32_t now_ms = (uint32_t)(now / 1000);
     double   share = filled_share(window, now_ms);
@@ -134,24 +137,24 @@
         double                  per_s = present_rate(sample, now_ms, share);
 
         if (regions != CW_REGIONS_ANY && per_s > 0) {
-            (*loads)[count++] = (cw_bound_load_t){sample->key, regions, per_s};
+            (*loads)[count++] = (cw_region_load_t){sample->key, regions, per_s};
         }
     }
-    qsort(*loads, count, sizeof(**loads), compare_bound);
-    return join_same_bound(*loads, count);
+    qsort(*loads, count, sizeof(**loads), compare_region_loads);
+    return merge_same_regions(*loads, count);
 }
 
-size_t cw_load_window_read_bound(const cw_load_window_t *window, cw_time_us_t now, cw_bound_load_t **loads)
+size_t cw_load_window_read_restricted(const cw_load_window_t *window, cw_time_us_t now, cw_region_load_t **loads)
 {
     return read_by_regions(window, false, now, loads);
 }
 
-size_t cw_load_window_read_origins(const cw_load_window_t *window, cw_time_us_t now, cw_bound_load_t **loads)
+size_t cw_load_window_read_origins(const cw_load_window_t *window, cw_time_us_t now, cw_region_load_t **loads)
 {
     return read_by_regions(window, true, now, loads);
 }
 
-size_t cw_bound_loads_first(const cw_bound_load_t *loads, size_t count, uint32_t key)
+size_t cw_region_loads_first(const cw_region_load_t *loads, size_t count, uint32_t key)
 {
     size_t low = 0;
     size_t high = count;
@@ -187,7 +190,7 @@
         }
     }
     qsort(*loads, count, sizeof(**loads), compare_keys);
-    return join_same(*loads, count);
+    return merge_same_keys(*loads, count);
 }
 
 size_t cw_key_loads_first(const cw_key_load_t *loads, size_t count, uint32_t key)
@@ -220,7 +223,7 @@
 
 double cw_load_error(double per_s)
 {
-    return per_s <= 0 ? 0 : sqrt(per_s / (2 * memory_s));
+    return per_s <= 0 ? 0 : sqrt(per_s / (2 * time_constant_s));
 }
 
 void cw_load_window_clear(cw_load_window_t *window)
--- a/src/proxy/engine.c
+++ b/src/proxy/engine.c
@@ -40,7 +40,7 @@
         return;
     }
     if (request->call != NULL && now >= request->repeat_at) {
-        cw_request_repeat_after_silence(request);
+        cw_request_repeat_unanswered(request);
         return;
     }
     if (cw_request_waits_for_slot(request) && now >= request->claim.due) {
@@ -96,8 +96,8 @@
     engine->pool = pool;
     engine->upstream = upstream;
     engine->nodes = 1;
-    engine->last_ticket =
-        (uint32_t)(uv_hrtime() / 1000); /* brokers still hold slots of the previous process of this node */
+    /* Brokers still hold slots of the previous process of this node: its ticket numbers are not reused. */
+    engine->last_ticket = (uint32_t)(uv_hrtime() / 1000);
     engine->gate = cw_tenant_gate_create();
     engine->turns = cw_fair_turns_create();
     cw_engine_init_callers(engine);
@@ -114,13 +114,13 @@
 void cw_engine_set_configuration(cw_engine_t *engine, cw_configuration_t *configuration)
 {
     cw_configuration_release(engine->configuration);
-    engine->configuration = cw_configuration_hold(configuration);
+    engine->configuration = cw_configuration_retain(configuration);
     cw_engine_check_callers(engine);
 }
 
-void cw_engine_set_nodes(cw_engine_t *engine, uint32_t nodes, uint32_t in_reach)
+void cw_engine_set_nodes(cw_engine_t *engine, uint32_t nodes, uint32_t reachable)
 {
-    double affinity = in_reach <= DIRECT_REPORT_NODES ? 0 : affinity_per_node * (in_reach - DIRECT_REPORT_NODES);
+    double affinity = reachable <= DIRECT_REPORT_NODES ? 0 : affinity_per_node * (reachable - DIRECT_REPORT_NODES);
 
     engine->nodes = nodes;
     engine->settings.choice.affinity = affinity > affinity_max ? affinity_max : affinity;
--- a/src/proxy/engine_placement.c
+++ b/src/proxy/engine_placement.c
@@ -12,7 +12,7 @@
     LIMIT_PAUSE_MS = 100 /* a request that may have run tries again after this time */
 };
 
-typedef enum placing {
+typedef enum placement {
     PLACED,
     ASKED,
     OUTSIDE_REGIONS,
@@ -28,7 +28,7 @@
 {
     cw_server_t *server = cw_request_owner(request);
 
-    if (server == NULL || !cw_server_takes(server, true, now) || !cw_server_zone_allows(server, true, now)) {
+    if (server == NULL || !cw_server_accepts(server, true, now) || !cw_server_zone_allows(server, true, now)) {
         return WAITS_FOR_OWNER;
     }
     if (!cw_server_region_allows(server, &request->regions)) {
@@ -85,13 +85,13 @@
     return PLACED;
 }
 
-/* Tells whether the owner of the request's key has announced that it leaves and its keys have not moved in the time
+/* Returns whether the owner of the request's key has announced that it leaves and its keys have not moved in the time
  * allowed for that: it is not known when there will be another owner. */
 static bool has_no_owner_soon(const cw_request_t *request, cw_time_us_t now)
 {
     const cw_server_t *owner = request->is_keyed ? cw_request_owner(request) : NULL;
 
-    return owner != NULL && owner->has_said_leaving && !cw_server_takes(owner, true, now);
+    return owner != NULL && owner->announced_leaving && !cw_server_accepts(owner, true, now);
 }
 
 /* A request that could not be placed waits or is refused with a time to retry. It is admitted if it is expected to be
@@ -114,7 +114,7 @@
         request->not_before = now + (reason == SERVER_RESTS ? cw_request_holdoff(request, now) : CW_MS(LIMIT_PAUSE_MS));
     }
     if (reason == PAUSED ||
-        request->attempts > 0) { /* a server may have run it: it may use all of its time to get an answer */
+        request->attempts > 0) { /* a server may have run the request, which may use all of its time to get an answer */
         cw_request_arm(request);
         return;
     }
--- a/src/proxy/engine_regions.c
+++ b/src/proxy/engine_regions.c
@@ -11,7 +11,7 @@
     ANSWER_WEIGHT_DIVISOR = 24 /* weight of an answer in its route's mean is 1/24, as for times */
 };
 
-void cw_request_note_answer_bytes(cw_request_t *request, size_t bytes)
+void cw_request_record_answer_bytes(cw_request_t *request, size_t bytes)
 {
     double both = (double)bytes + (double)request->body_length;
 
@@ -57,7 +57,7 @@
         return false;
     }
     input.wait = wait_in_region(request, now);
-    return cw_crossing_waits_here(&input);
+    return cw_crossing_should_wait(&input);
 }
 
 cw_server_t *cw_request_choose(const cw_request_t *request, const cw_zone_filter_t *zones, cw_time_us_t now, bool *full)
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -69,21 +69,23 @@
 
 /* ---- ticks ---- */
 
-/* Nodes that send requests to the same servers. A process that has just started does not know most of them yet; if it
- * counted only those that it knows, it would choose the same servers as all others that have just started. */
-static uint32_t nodes_in_reach(const cw_router_t *router, cw_time_us_t now)
+/* Number of nodes that send requests to the same servers. A process that has just started does not know most of them
+ * yet; if it counted only those that it knows, it would choose the same servers as all others that have just started.
+ */
+static uint32_t nodes_sharing_servers(const cw_router_t *router, cw_time_us_t now)
 {
     if (now - router->started_at < CW_SECONDS(PEER_DISCOVERY_S)) {
         return CW_NODES_UNKNOWN;
     }
-    return cw_peer_link_alive(router->link, router->silence, now);
+    return cw_peer_link_count_alive(router->link, router->silence, now);
 }
 
-/* Nodes that share the fixed part of the retry budget: the most seen alive within the budget's window; 0: not known. A
- * process that has run for less than a window knows neither their number nor what its predecessor has spent. */
+/* Number of nodes that share the fixed part of the retry budget: the most seen alive within the budget's window; 0: not
+ * known. A process that has run for less than a window knows neither their number nor what its predecessor has spent.
+ */
 static uint32_t nodes_for_budget(cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t alive = cw_peer_link_alive(router->link, router->settings.retry_window, now) + 1;
+    uint32_t alive = cw_peer_link_count_alive(router->link, router->settings.retry_window, now) + 1;
 
     if (alive >= router->peak_nodes || now - router->peak_nodes_at > router->settings.retry_window) {
         router->peak_nodes = alive;
@@ -123,13 +125,13 @@
     cw_router_zones_tick(router, now);
     cw_router_slots_tick(router, now);
     cw_router_relay_tick(router, now);
-    cw_router_pass_on_tick(router, now);
+    cw_router_forward_tick(router, now);
     cw_router_list_exchange_tick(router, now);
     cw_router_detours_tick(router, now);
     cw_router_quota_tick(router, now);
     cw_router_crashes_tick(router, now);
     cw_router_signals_tick(router, now);
-    cw_engine_set_nodes(router->engine, nodes_for_budget(router, now), nodes_in_reach(router, now));
+    cw_engine_set_nodes(router->engine, nodes_for_budget(router, now), nodes_sharing_servers(router, now));
     cw_router_store_calls_tick(now);
     cw_router_check_file(router, now);
     cw_router_check_stop(router, now);
@@ -152,7 +154,7 @@
         .keyed_extra_slots = 2,
         .leave_grace = router->settings.drain / 2,
         .connect_timeout = CW_MS(CONNECT_TIMEOUT_MS),
-        .silence_factor = 4,
+        .repeat_factor = 4,
         .margin = CW_MS(15),
         .credential_scheme = router->settings.credential_scheme,
         .answer_max = ANSWER_BYTES_MAX,
@@ -197,12 +199,12 @@
     cw_upstream_options_t upstream = {.idle_max = CW_MS(IDLE_CONNECTION_MS),
                                       .unacknowledged = CW_MS(UNACKNOWLEDGED_TIMEOUT_MS)};
     cw_peer_handler_t     peers = {router, cw_router_on_datagram};
-    cw_store_readers_t    readers = {.context = router,
+    cw_store_callbacks_t  readers = {.context = router,
                                      .configuration = cw_router_on_configuration,
                                      .configuration_within = router->settings.configuration_within,
                                      .configuration_newest = cw_router_on_configuration_evidence,
                                      .answered = cw_router_on_answered,
-                                     .zones_may_be_out = router->settings.zone_out_within > 0,
+                                     .zones_can_be_taken_out = router->settings.zone_out_within > 0,
                                      .servers = cw_router_on_servers};
     cw_absence_settings_t absence;
     char                  store_address[32];
@@ -227,8 +229,8 @@
     if (error != 0) {
         return error;
     }
-    cw_peer_link_set_place(router->link, router->settings.zone, router->settings.zone_regions,
-                           router->settings.zone_region_count);
+    cw_peer_link_set_zone(router->link, router->settings.zone, router->settings.zone_regions,
+                          router->settings.zone_region_count);
     router->started_at = cw_router_now(router);
     cw_fleet_size_init(&router->fleet_size, router->settings.retry_window, router->started_at);
     absence = cw_absence_settings_of(router->settings.heartbeat, router->settings.drain);
@@ -239,7 +241,7 @@
     cw_router_detours_init(router);
     cw_router_slots_init(router);
     cw_router_push_init(router);
-    cw_router_pass_on_init(router);
+    cw_router_forward_init(router);
     router->view_updates = cw_view_updates_create();
     cw_router_relay_init(router);
     cw_router_list_exchange_init(router);
--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -40,18 +40,19 @@
     return false;
 }
 
-/* Tells the register of doubted servers whether the server answered. A refused or fenced order has been answered. */
+/* Records in the register of doubted servers whether the server answered. A refused or fenced order has been
+ * answered. */
 static void record_outcome(const pending_order_t *order, cw_order_result_t result)
 {
     cw_router_t       *router = order->router;
     const cw_server_t *server = cw_server_pool_find_hash(router->pool, order->server);
-    bool failed = result == CW_ORDER_NOT_SENT || result == CW_ORDER_UNANSWERED || result == CW_ORDER_ENDED;
+    bool failed = result == CW_ORDER_NOT_SENT || result == CW_ORDER_UNANSWERED || result == CW_ORDER_OTHER_INCARNATION;
 
     if (failed) {
-        cw_order_trust_note_failure(router->order_trust, order->server, server == NULL ? 0 : server->served,
-                                    cw_router_now(router));
+        cw_order_trust_record_failure(router->order_trust, order->server, server == NULL ? 0 : server->served,
+                                      cw_router_now(router));
     } else {
-        cw_order_trust_note_answer(router->order_trust, order->server);
+        cw_order_trust_record_answer(router->order_trust, order->server);
     }
 }
 
@@ -106,7 +107,7 @@
 
     cw_time_us_t now = cw_router_now(keyed->router);
 
-    cw_table_publication_note_change(&keyed->router->table_publication, now);
+    cw_table_publication_record_change(&keyed->router->table_publication, now);
     cw_router_publish_tables(keyed->router, now);
 }
 
@@ -124,7 +125,7 @@
 
 void cw_router_publish_tables(cw_router_t *router, cw_time_us_t now)
 {
-    uint64_t number = router->leader_tables_version + 1;
+    uint64_t version = router->leader_tables_version + 1;
     bool     is_changed = false;
     size_t   index;
 
@@ -140,7 +141,7 @@
         const cw_range_list_t *ranges = cw_assigner_ranges(assigner);
 
         is_changed = (ranges->count > 0 &&
-                      cw_key_tables_update(&router->tables, cw_assigner_service(assigner), ranges, number)) ||
+                      cw_key_tables_update(&router->tables, cw_assigner_service(assigner), ranges, version)) ||
                      is_changed;
     }
     if (!is_changed) {
@@ -150,8 +151,8 @@
         cw_replaced_versions_add(&router->replaced_tables, router->leader_tables_version,
                                  router->table_publication.changed_at);
     }
-    router->leader_tables_version = number;
-    router->view_tables_version = number;
+    router->leader_tables_version = version;
+    router->view_tables_version = version;
     cw_router_apply_tables(router);
     cw_router_tables_changed(router);
 }
@@ -195,12 +196,12 @@
     cw_service_assignment_t *keyed = &router->keyed[router->keyed_count];
     cw_assigner_settings_t   settings = {.hold = router->settings.hold,
                                          .hold_long = router->settings.hold_long,
-                                         .hold_most = router->settings.hold_long,
+                                         .max_hold = router->settings.hold_long,
                                          .renew_every = router->settings.hold / RENEWALS_PER_HOLD,
                                          .order_timeout = CW_MS(ORDER_TIMEOUT_MS),
                                          .release_timeout = CW_MS(RELEASE_TIMEOUT_MS),
-                                         .late_orders = CW_SECONDS(LATE_ORDER_S),
-                                         .table_valid = router->settings.hold * CW_TABLES_VALID_PERCENT / 100};
+                                         .late_order_time = CW_SECONDS(LATE_ORDER_S),
+                                         .table_validity = router->settings.hold * CW_TABLES_VALID_PERCENT / 100};
     cw_assigner_ports_t      ports = {.context = keyed,
                                       .store = router->store,
                                       .order = send_order,
@@ -245,12 +246,12 @@
             if (samples->keys[key] > CW_KEY_LAST) {
                 continue; /* callers may send any number; placement could not find a range for this one */
             }
-            cw_load_window_note(&keyed->window,
-                                &(cw_key_sighting_t){.key = samples->keys[key],
-                                                     .regions = regions,
-                                                     .from = cw_server_pool_zone_bit(router->pool, samples->zone),
-                                                     .weight = (double)samples->seen / (double)samples->count},
-                                now);
+            cw_load_window_add_sample(&keyed->window,
+                                      &(cw_key_report_t){.key = samples->keys[key],
+                                                         .regions = regions,
+                                                         .from = cw_server_pool_zone_bit(router->pool, samples->zone),
+                                                         .weight = (double)samples->seen / (double)samples->count},
+                                      now);
         }
     }
 }
--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -8,20 +8,25 @@
 #include "router/router_internal.h"
 
 enum {
-    RENEWALS_PER_LEADER_HOLD = 4,
+    RENEWALS_PER_LEADER_LEASE = 4,
     HEARTBEAT_TIMEOUT_MS = 900,
     READ_EVERY_MS = 400,
     CAPABILITY_PER_CORE = 1000,
-    FIRST_LOOK_DIVISOR = 4,      /* equally capable nodes spread first looks over first_look_within / 4 */
-    STORE_UNRESPONSIVE_MS = 700, /* a renewal of the lock without an answer for so long: grants get the long hold */
+    /* Equally capable nodes spread their first reads of the lock over first_read_within / FIRST_READ_DIVISOR. */
+    FIRST_READ_DIVISOR = 4,
+    /* While a renewal of the lock has had no answer for so long, grants get the long lease (hold_long). */
+    STORE_UNRESPONSIVE_MS = 700,
     CUT_OFF_MS = 900,
-    CUT_OFF_RANGES = 2,  /* a leader steps down if at least so many owners are out of its reach alone, */
-    CUT_OFF_PERCENT = 5, /* and at least this part of all ranges: single orders go unanswered at any time, while the
-                            loss of a zone concerns a sixth of the ranges or more */
-    STEP_DOWN_PAUSE_S = 6,
-    RENEWALS_PER_CORE_SECOND = 4000, /* that a leader with a whole core sends */
+    /* A leader steps down if it alone does not reach at least CUT_OFF_RANGES owners, and the owners of at least
+     * CUT_OFF_PERCENT of all ranges: single orders go unanswered at any time, while the loss of a zone concerns a sixth
+     * of the ranges or more. */
+    CUT_OFF_RANGES = 2,
+    CUT_OFF_PERCENT = 5,
+    STEP_DOWN_DURATION_S = 6,
+    RENEWALS_PER_CORE_SECOND = 4000, /* renewals per second of a leader with a whole core */
     CAPABILITY_PER_MBPS = 5,         /* thousandths of a core that correspond to a Mbit/s of link */
-    ASSUMED_FOLLOWERS = 64 /* until a process knows the others: 64 nodes spread their looks at the lock over 400 ms */
+    /* Assumed until a process knows the others: 64 nodes spread their reads of the lock over 400 ms. */
+    ASSUMED_FOLLOWERS = 64
 };
 
 static const char leader_kind[] = "leaders";
@@ -29,11 +34,11 @@
 
 /* ---- leadership ---- */
 
-/* Time from the start to the first look at the lock. Nodes that start together do not know one another yet, so the more
- * capable a node is, the sooner it looks. */
-static cw_time_us_t first_look_after(const cw_router_t *router)
+/* Time from the start to the first read of the lock. Nodes that start together do not know one another yet, so the more
+ * capable a node is, the sooner it reads the lock. */
+static cw_time_us_t first_read_after(const cw_router_t *router)
 {
-    return router->settings.first_look_within * CAPABILITY_PER_CORE /
+    return router->settings.first_read_within * CAPABILITY_PER_CORE /
            (CAPABILITY_PER_CORE + cw_router_capability(router));
 }
 
@@ -41,11 +46,11 @@
 {
     cw_leadership_settings_t settings = {.incarnation = router->incarnation,
                                          .hold = router->settings.leader_hold,
-                                         .renew_every = router->settings.leader_hold / RENEWALS_PER_LEADER_HOLD,
+                                         .renew_every = router->settings.leader_hold / RENEWALS_PER_LEADER_LEASE,
                                          .heartbeat_timeout = CW_MS(HEARTBEAT_TIMEOUT_MS),
                                          .read_every = CW_MS(READ_EVERY_MS),
-                                         .first_look_after = first_look_after(router),
-                                         .first_look_within = router->settings.first_look_within / FIRST_LOOK_DIVISOR};
+                                         .first_read_after = first_read_after(router),
+                                         .first_read_within = router->settings.first_read_within / FIRST_READ_DIVISOR};
 
     memcpy(settings.node, router->settings.node, sizeof(settings.node));
     memcpy(settings.address, router->settings.address, sizeof(router->settings.address));
@@ -93,7 +98,7 @@
     cw_router_store_result(router, reply->result != CW_STORE_REFUSED && reply->result != CW_STORE_UNKNOWN, now);
     cw_leadership_replied(&router->leadership, reply, now);
     if (reply->value != NULL) {
-        cw_router_note_nodes(router, router->leadership.lock.nodes);
+        cw_router_record_nodes(router, router->leadership.lock.nodes);
     }
     if (reply->value != NULL && router->leadership.is_unreadable) {
         log_unreadable_lock();
@@ -134,10 +139,10 @@
 /* Followers read a copy, which may be old but costs less. This is safe, since a node takes the lock by a write on the
  * condition of the revision that it has seen, which the store refuses unless that is the newest. While a deployment
  * starts for the first time there may be no lock yet, and a copy without it would make all nodes try to create it: with
- * first_look_within set, they read the store itself. */
+ * first_read_within set, they read the store itself. */
 static void read_lock(cw_router_t *router)
 {
-    if (router->leadership.leading || router->settings.first_look_within > 0) {
+    if (router->leadership.leading || router->settings.first_read_within > 0) {
         router->store->read(router->store->context, leader_kind, leader_name, on_lock, router);
     } else {
         router->store->read_copy(router->store->context, leader_kind, leader_name, on_lock, router);
@@ -149,7 +154,8 @@
     cw_leadership_action_t action;
     json_t                *value;
 
-    cw_leadership_set_nodes(&router->leadership, cw_fleet_size_to_state(&router->fleet_size, router->peak_nodes, now));
+    cw_leadership_set_nodes(&router->leadership,
+                            cw_fleet_size_to_announce(&router->fleet_size, router->peak_nodes, now));
     action = cw_leadership_tick(&router->leadership, now);
     if (action == CW_LEADERSHIP_WAIT) {
         return;
@@ -170,12 +176,12 @@
 
 /* ---- whether the store answers ---- */
 
-static void log_store_lost(const cw_store_availability_t *reach, cw_time_us_t now)
+static void log_store_lost(const cw_store_availability_t *availability, cw_time_us_t now)
 {
     cw_event_t event;
 
     if (cw_event_begin(&event, CW_EVENT_STORE_LOST)) {
-        cw_event_ms(&event, CW_FIELD_SILENT_MS, cw_store_availability_failing_for(reach, now));
+        cw_event_ms(&event, CW_FIELD_SILENT_MS, cw_store_availability_failing_for(availability, now));
         cw_event_end(&event);
     }
 }
@@ -191,7 +197,7 @@
 
 void cw_router_store_result(cw_router_t *router, bool answered, cw_time_us_t now)
 {
-    cw_store_change_t change = cw_store_availability_note(&router->store_availability, answered, now);
+    cw_store_availability_change_t change = cw_store_availability_record(&router->store_availability, answered, now);
 
     if (change == CW_STORE_LOST) {
         log_store_lost(&router->store_availability, now);
@@ -253,7 +259,7 @@
     }
     if (cut_off >= CUT_OFF_RANGES && cut_off * 100 >= ranges * CUT_OFF_PERCENT && !router->leadership.resigning) {
         log_leadership(router, CW_EVENT_LEADER_LOST, "orders do not reach servers that answer others");
-        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_PAUSE_S));
+        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_DURATION_S));
     }
 }
 
@@ -267,7 +273,7 @@
     return (uint32_t)(by_cpu < by_link ? by_cpu : by_link);
 }
 
-static bool is_rival_in_reach(const cw_router_t *router)
+static bool is_rival_reachable(const cw_router_t *router)
 {
     uint32_t         own = cw_router_capability(router);
     const cw_peer_t *peer;
@@ -287,17 +293,17 @@
 {
     uint32_t followers;
 
-    cw_leader_tenure_note_rival(&router->tenure, is_rival_in_reach(router), now);
-    followers = cw_peer_link_alive(router->link, router->silence, now);
+    cw_leader_tenure_record_rival(&router->tenure, is_rival_reachable(router), now);
+    followers = cw_peer_link_count_alive(router->link, router->silence, now);
     if (cw_router_is_new(router, now) && followers < ASSUMED_FOLLOWERS) {
         followers = ASSUMED_FOLLOWERS;
     }
     cw_leadership_set_followers(&router->leadership, followers);
-    cw_leadership_defer(&router->leadership, cw_leader_tenure_deference(&router->tenure));
+    cw_leadership_set_take_delay(&router->leadership, cw_leader_tenure_take_delay(&router->tenure));
     if (cw_router_has_authority(router, now) && cw_leader_tenure_should_hand_over(&router->tenure, now) &&
         !is_store_unresponsive(router, now)) {
         log_leadership(router, CW_EVENT_LEADER_LOST, "a more capable node is in reach");
-        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_PAUSE_S));
+        cw_leadership_step_down(&router->leadership, now, CW_SECONDS(STEP_DOWN_DURATION_S));
     }
 }
 
@@ -341,7 +347,7 @@
     cw_order_trust_expire(router->order_trust, now);
     for (index = 0; index < router->keyed_count; index++) {
         cw_router_plan(router, &router->keyed[index], now);
-        cw_assigner_set_pace(router->keyed[index].assigner, renewals_per_second(router));
+        cw_assigner_set_renewal_rate(router->keyed[index].assigner, renewals_per_second(router));
         cw_assigner_tick(router->keyed[index].assigner, router->server_view.list, has_authority,
                          is_store_unresponsive(router, now), now);
         cw_router_measure(&router->keyed[index], now);
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -16,9 +16,9 @@
 #include "router/router_internal.h"
 
 enum {
-    ZONE_INTERVAL_MS = 20,
-    ALL_INTERVAL_MS = 150,
-    IDLE_INTERVAL_MS = 300,
+    ZONE_INTERVAL_MS = 20,  /* shortest interval between reports to the nodes of this zone */
+    ALL_INTERVAL_MS = 150,  /* shortest interval between reports to all nodes after a change */
+    IDLE_INTERVAL_MS = 300, /* shortest interval between reports, with the leader's heartbeat, without a change */
     /* Interval between reports with names and service times in a small fleet. It grows by the same amount for every
      * FULL_INTERVAL_NODES nodes. */
     FULL_INTERVAL_MS = 1000,
@@ -28,13 +28,13 @@
     KEYS_INTERVAL_MS = 100,
     KEYS_INTERVAL_NODES = 64,
     /* Budget of reports to all nodes, and of those within the zone, up to FEW_NODES nodes. */
-    DATAGRAMS_A_SECOND = 150,
+    REPORT_DATAGRAMS_PER_SECOND = 150,
     /* Budget of reports within the zone above FEW_NODES nodes, where datagrams are most of the work of
      * all nodes. */
-    MANY_ZONE_DATAGRAMS_A_SECOND = 100,
+    MANY_ZONE_DATAGRAMS_PER_SECOND = 100,
     RELAY_LATENCY_MS = 300, /* interval between a relay's summaries, and the transit through two relays */
     REPORT_SLACK_MS = 700, /* largest delay of a report beyond its planned time: a turn of a busy node, and two ticks */
-    SILENCE_INTERVALS = 3, /* number of successive reports that may be lost before a node counts as lost */
+    TIMEOUT_INTERVALS = 3, /* number of successive reports that may be lost before a node counts as lost */
     LEADER_INTERVAL_MS = 1000, /* interval between reports to a leader that relays inform of this node; pages of
                                 * the leader are acknowledged at once, apart from these reports */
     FEW_NODES = 96,            /* up to this number of nodes, loads of other zones arrive early enough to be useful */
@@ -66,7 +66,7 @@
     uint32_t in_zone;   /**< nodes of this zone */
     uint32_t uncovered; /**< nodes of other zones that relays do not inform */
     uint32_t covered;   /**< nodes of other zones that relays inform: they are sent only news for all nodes */
-    uint32_t relays;    /**< those of the covered nodes that are relays: they pass a leader's heartbeat on */
+    uint32_t relays;    /**< those of the covered nodes that are relays: they forward a leader's heartbeat */
 } report_targets_t;
 
 static report_targets_t count_targets(const cw_router_t *router, cw_time_us_t now)
@@ -91,7 +91,7 @@
 
 /* ---- sending ---- */
 
-static void take_own_sample(void *context, const char *service, const cw_key_samples_t *samples)
+static void add_own_sample(void *context, const char *service, const cw_key_samples_t *samples)
 {
     cw_router_t        *router = context;
     cw_router_samples_t taken = {samples->keys, samples->regions, samples->count, samples->seen, router->settings.zone};
@@ -157,7 +157,7 @@
 
     router->key_samples_sent_at = now;
     if (router->leadership.leading) {
-        cw_engine_take_samples(router->engine, take_own_sample, router);
+        cw_engine_take_samples(router->engine, add_own_sample, router);
         return;
     }
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
@@ -188,12 +188,13 @@
 
 /* Interval in ms between reports to `peers` peers: least_ms, or as much longer as keeps the node's datagrams within
  * their budget. */
-static int64_t interval_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers, int64_t datagrams_a_second)
+static int64_t interval_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers,
+                           int64_t node_datagrams_per_second)
 {
     bool    is_new = cw_router_is_new(router, cw_router_now(router));
     int64_t budget = router->leadership.leading ? CW_LEADER_DATAGRAMS_PER_SECOND
-                     : is_new                   ? DATAGRAMS_A_SECOND /* other nodes have to learn of this one soon */
-                                                : datagrams_a_second;
+                     : is_new ? REPORT_DATAGRAMS_PER_SECOND /* other nodes have to learn of this one soon */
+                              : node_datagrams_per_second;
     int64_t affordable_ms = (int64_t)peers * 1000 / budget;
 
     return affordable_ms > least_ms ? affordable_ms : least_ms;
@@ -201,7 +202,7 @@
 
 static int64_t budget_to_all(uint32_t peers)
 {
-    return peers > FEW_NODES ? CW_LARGE_FLEET_DATAGRAMS_PER_SECOND : DATAGRAMS_A_SECOND;
+    return peers > FEW_NODES ? CW_LARGE_FLEET_DATAGRAMS_PER_SECOND : REPORT_DATAGRAMS_PER_SECOND;
 }
 
 static int64_t interval_to_all_ms(const cw_router_t *router, int64_t least_ms, uint32_t peers)
@@ -212,32 +213,32 @@
 static int64_t interval_in_zone_ms(const cw_router_t *router, uint32_t in_zone, uint32_t all)
 {
     return interval_ms(router, ZONE_INTERVAL_MS, in_zone,
-                       all > FEW_NODES ? MANY_ZONE_DATAGRAMS_A_SECOND : DATAGRAMS_A_SECOND);
+                       all > FEW_NODES ? MANY_ZONE_DATAGRAMS_PER_SECOND : REPORT_DATAGRAMS_PER_SECOND);
 }
 
 static cw_time_us_t keys_interval(const cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t nodes = cw_peer_link_alive(router->link, router->silence, now);
+    uint32_t nodes = cw_peer_link_count_alive(router->link, router->silence, now);
 
     return CW_MS(KEYS_INTERVAL_MS) * (KEYS_INTERVAL_NODES + nodes) / KEYS_INTERVAL_NODES;
 }
 
-static void set_silence(cw_router_t *router, cw_time_us_t idle, cw_time_us_t relay_latency)
+static void set_peer_timeout(cw_router_t *router, cw_time_us_t idle, cw_time_us_t relay_latency)
 {
-    cw_time_us_t silence = idle * SILENCE_INTERVALS;
+    cw_time_us_t timeout = idle * TIMEOUT_INTERVALS;
 
-    router->silence = (silence > CW_MS(CW_PEER_SILENCE_MS) ? silence : CW_MS(CW_PEER_SILENCE_MS)) + relay_latency;
+    router->silence = (timeout > CW_MS(CW_PEER_TIMEOUT_MS) ? timeout : CW_MS(CW_PEER_TIMEOUT_MS)) + relay_latency;
 }
 
 static void report_among_few(cw_router_t *router, cw_time_us_t now)
 {
     cw_time_us_t since_all = now - router->reported_all_at;
     cw_time_us_t since_zone = now - router->reported_zone_at;
-    uint32_t     all = cw_peer_link_alive(router->link, router->silence, now);
+    uint32_t     all = cw_peer_link_count_alive(router->link, router->silence, now);
     uint32_t     in_zone = count_targets(router, now).in_zone;
     cw_time_us_t idle = CW_MS(interval_to_all_ms(router, IDLE_INTERVAL_MS, all));
 
-    set_silence(router, idle, 0);
+    set_peer_timeout(router, idle, 0);
     if ((router->all_report_due && since_all >= CW_MS(interval_to_all_ms(router, ALL_INTERVAL_MS, all))) ||
         since_all >= idle) {
         send_to_all(router, CW_REPORT_LOADS | parts_due_at_intervals(router, all, now), now);
@@ -252,15 +253,15 @@
     }
 }
 
-/* Sets the silence after which a peer counts as lost, by the interval of the node that reports least often. This node's
+/* Sets the timeout after which a peer counts as lost, by the interval of the node that reports least often. This node's
  * own interval does not matter. */
-static void update_silence(cw_router_t *router, const report_targets_t *targets)
+static void update_peer_timeout(cw_router_t *router, const report_targets_t *targets)
 {
     uint32_t all = targets->in_zone + targets->covered + targets->uncovered;
     uint32_t reported_to_max = targets->uncovered > 0 ? all : cw_router_largest_zone(router);
     int64_t  idle_ms = (int64_t)reported_to_max * 1000 / budget_to_all(all);
 
-    set_silence(router, CW_MS(idle_ms > IDLE_INTERVAL_MS ? idle_ms : IDLE_INTERVAL_MS), CW_MS(RELAY_LATENCY_MS));
+    set_peer_timeout(router, CW_MS(idle_ms > IDLE_INTERVAL_MS ? idle_ms : IDLE_INTERVAL_MS), CW_MS(RELAY_LATENCY_MS));
 }
 
 static void report_outside_zone(cw_router_t *router, const report_targets_t *targets, cw_time_us_t now)
@@ -289,7 +290,7 @@
     cw_time_us_t     since_zone = now - router->reported_zone_at;
     cw_time_us_t     idle = CW_MS(interval_ms(router, IDLE_INTERVAL_MS, targets.in_zone, budget_to_all(all)));
 
-    update_silence(router, &targets);
+    update_peer_timeout(router, &targets);
     router->all_report_due = router->all_report_due || (router->zone_report_due && targets.uncovered > 0);
     if ((router->zone_report_due && since_zone >= CW_MS(interval_in_zone_ms(router, targets.in_zone, all))) ||
         since_zone >= idle) {
@@ -322,19 +323,20 @@
 
 cw_time_us_t cw_router_report_lifetime(const cw_router_t *router)
 {
-    cw_time_us_t life = router->silence / SILENCE_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
+    cw_time_us_t lifetime =
+        router->silence / TIMEOUT_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
 
-    return life > CW_MS(CW_POOL_REPORT_LIFE_MS) ? life : CW_MS(CW_POOL_REPORT_LIFE_MS);
+    return lifetime > CW_MS(CW_POOL_REPORT_EXPIRY_MS) ? lifetime : CW_MS(CW_POOL_REPORT_EXPIRY_MS);
 }
 
-void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t silent)
+void cw_router_log_peer(const cw_peer_t *peer, cw_event_kind_t kind, cw_time_us_t since_received)
 {
     cw_event_t event;
 
     if (cw_event_begin(&event, kind)) {
         cw_event_text(&event, CW_FIELD_PEER, peer->node);
         cw_event_text(&event, CW_FIELD_DETAIL, peer->text);
-        cw_event_ms(&event, CW_FIELD_SILENT_MS, silent);
+        cw_event_ms(&event, CW_FIELD_SILENT_MS, since_received);
         cw_event_end(&event);
     }
 }
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -8,8 +8,8 @@
  *  - A node also counts as alive if others reach it on behalf of this one (router_detours.c).
  *  - A node that is asked, although it would ask another one itself, names that one and does not count
  *    (router_quota.c).
- *  - A process that has just started does not count. Until a leader has stated the number of nodes, it assumes that the
- *    limits are shared by as many nodes as there may be at most.
+ *  - A process that has just started does not count. Until a leader has announced the number of nodes, it assumes that
+ *    the limits are shared by as many nodes as there may be at most.
  */
 #include <stdlib.h>
 #include <xxhash.h>
@@ -20,7 +20,7 @@
 enum {
     INITIAL_CANDIDATES = 64,   /* initial capacity of the arrays, which doubles */
     DECLINING_NODES_LIMIT = 2, /* if so many decline, no node counts yet; a single one may just have restarted */
-    ISOLATED_AFTER_MS = 500,   /* the slowest pause between reports of few nodes is 300 ms (router_peers.c) */
+    ISOLATED_AFTER_MS = 500,   /* the longest interval between reports of few nodes is 300 ms (router_peers.c) */
     CHOICE_EXPIRY_S = 10
 };
 
@@ -45,27 +45,27 @@
 
 /* ---- the node that counts a tenant ---- */
 
-/* Whether nothing has been received from any other node lately. The others may then be counting the tenants that this
+/* Whether nothing has been received from any other node recently. The others may then be counting the tenants that this
  * node would count. Peers count as lost only later than this. */
 static bool is_isolated(const cw_router_quota_t *quota)
 {
     return quota->nodes > 1 && now_of(quota) - quota->last_received_at >= CW_MS(ISOLATED_AFTER_MS);
 }
 
-static bool is_silent(const cw_router_quota_t *quota, uint32_t address)
+static bool is_unresponsive(const cw_router_quota_t *quota, uint32_t address)
 {
-    return cw_quota_share_is_silent(quota->share, address, now_of(quota));
+    return cw_quota_share_is_skipped(quota->share, address, now_of(quota));
 }
 
-static uint32_t choose(cw_router_quota_t *quota, uint32_t tenant, bool excludes_silent)
+static uint32_t choose(cw_router_quota_t *quota, uint32_t tenant, bool excludes_unresponsive)
 {
     size_t count = 0;
     size_t index;
 
     for (index = 0; index < quota->candidate_count; index++) {
         uint32_t address = quota->candidates[index].address;
-        bool     is_excluded = excludes_silent ? is_silent(quota, address)
-                                               : cw_quota_share_has_declined(quota->share, address, now_of(quota));
+        bool     is_excluded = excludes_unresponsive ? is_unresponsive(quota, address)
+                                                     : cw_quota_share_has_declined(quota->share, address, now_of(quota));
 
         if (!is_excluded) {
             quota->eligible[count++] = quota->candidates[index];
@@ -74,14 +74,14 @@
     return cw_broker_choose(quota->eligible, count, CW_BROKER_ANY_ZONE, tenant);
 }
 
-/* Chooses another node in place of one that does not reply. This node never takes its place, since the silent one may
- * still be counting for all others. */
+/* Chooses another node in place of one that does not reply. This node never takes its place, since the unresponsive
+ * node may still be counting for all others. */
 static uint32_t choose_counter(cw_router_quota_t *quota, uint32_t tenant)
 {
     uint32_t first = choose(quota, tenant, false);
     uint32_t next;
 
-    if (!is_silent(quota, first)) {
+    if (!is_unresponsive(quota, first)) {
         return first;
     }
     next = choose(quota, tenant, true);
@@ -185,7 +185,8 @@
 
     for (index = 0; index < quota->candidate_count; index++) {
         const cw_broker_candidate_t *candidate = &quota->candidates[index];
-        uint32_t fields[] = {candidate->address, candidate->capability, is_silent(quota, candidate->address) ? 1 : 0,
+        uint32_t                     fields[] = {candidate->address, candidate->capability,
+                             is_unresponsive(quota, candidate->address) ? 1 : 0,
                              cw_quota_share_has_declined(quota->share, candidate->address, now_of(quota)) ? 1 : 0};
 
         state = XXH3_64bits_withSeed(fields, sizeof(fields), state);
@@ -205,7 +206,8 @@
 
 /* ---- the number of nodes that share the limits ---- */
 
-/* Number of nodes that share the limits: the most that this node, or any node in reach, has heard from lately. */
+/* Number of nodes that share the limits: the largest number that this node, or any node that reports to it, has
+ * recently received from. */
 static uint32_t count_sharing_nodes(const cw_router_quota_t *quota)
 {
     const cw_router_t *router = quota->router;
@@ -221,7 +223,7 @@
     return cw_router_quota_is_new(quota) && router->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
 
-static uint32_t count_in_touch(const cw_router_t *router, cw_time_us_t now)
+static uint32_t count_reachable(const cw_router_t *router, cw_time_us_t now)
 {
     const cw_peer_t *peer;
     uint32_t         count = 1; /* this node */
@@ -232,13 +234,13 @@
     return count;
 }
 
-/* Limits follow a changed number at once: until a leader states one, a process that has just started divides them by an
- * assumed number, and requests may be waiting already. */
-void cw_router_note_nodes(cw_router_t *router, uint32_t nodes)
+/* Limits follow a changed number at once: until a leader announces one, a process that has just started divides them by
+ * an assumed number, and requests may be waiting already. */
+void cw_router_record_nodes(cw_router_t *router, uint32_t nodes)
 {
     uint32_t before = router->fleet_size.stated;
 
-    cw_fleet_size_note(&router->fleet_size, nodes);
+    cw_fleet_size_record(&router->fleet_size, nodes);
     if (router->fleet_size.stated != before) {
         cw_router_quota_update_nodes(router->quota, cw_router_now(router));
     }
@@ -256,7 +258,7 @@
 void cw_router_quota_update_nodes(cw_router_quota_t *quota, cw_time_us_t now)
 {
     quota->gathered_at = now;
-    quota->in_reach = count_in_touch(quota->router, now);
+    quota->in_reach = count_reachable(quota->router, now);
     quota->nodes = count_sharing_nodes(quota);
     update_candidates(quota, now);
     record_changes(quota, now);
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -1,13 +1,14 @@
 /**
  * @file router_relay.c
- * @brief Connects relays to the node: sends summaries of this zone to other zones, and takes in the summaries of these.
+ * @brief Connects relays to the node: sends summaries of this zone to other zones, and applies the summaries of the
+ * other zones.
  *
  * In a large fleet, reports of each node to the nodes of other zones would be most of the traffic between zones.
  * Instead, a relay sends a summary of its zone to a relay of each other zone every CW_SUMMARY_INTERVAL_MS. The
- * receiving relay passes it on inside its zone unchanged. A summary carries a whole state: which nodes are alive and
- * how long ago each was received, and, every LOADS_INTERVAL_MS, sums over the zone of the requests at owners of keys
- * and of the waiting ones. Details that change rarely (names, incarnations) are included for DETAILS_CHANGED_MS after a
- * change, and for all nodes every DETAILS_INTERVAL_MS (router_summary.c).
+ * receiving relay forwards the summary unchanged inside its zone. A summary carries a whole state: which nodes are
+ * alive and how long ago each was last received from, and, every LOADS_INTERVAL_MS, sums over the zone of the requests
+ * at owners of keys and of the waiting ones. Details that change rarely (names, incarnations) are included for
+ * DETAILS_CHANGED_MS after a change, and for all nodes every DETAILS_INTERVAL_MS (router_summary.c).
  */
 #include <stdlib.h>
 #include <string.h>
@@ -20,14 +21,14 @@
 #include "router/view_check.h"
 
 enum {
-    /* A node that has not ticked for longer has stalled. In a shorter time, what arrived meanwhile is read no later
-     * than the summary that follows a lost one would be. */
+    /* A node that has not ticked for longer has stalled. Datagrams that arrive during a shorter interruption are read
+     * no later than the summary that follows a lost one would be. */
     STALL_MS = CW_SUMMARY_INTERVAL_MS,
-    /* The list may differ from the leader's for this time before the whole list is asked for, since what a node has
-     * seen of a server's leaving may differ from what the leader has seen. */
+    /* The list may differ from the leader's for this time before the whole list is requested, since a node may have
+     * observed that a server leaves when the leader has not, or the reverse. */
     SERVERS_UNEQUAL_S = 10,
-    SERVERS_REPEAT_S = 60,    /* interval between requests: what was seen of a leave is forgotten within it (FORGET_S of
-                               * server_view.c) */
+    /* Interval between requests: an observed leave is forgotten within it (DEPARTURE_RETENTION_S of server_view.c). */
+    SERVERS_REPEAT_S = 60,
     TABLES_UNEQUAL_MS = 1000, /* three heartbeats */
     TABLES_REPEAT_MS = 5000,
     /* Time after a stall in which datagrams of the backlog are read: the socket holds 212,992 bytes, and 32 datagrams
@@ -66,7 +67,7 @@
     return peer->last_received_at != 0 && peer->distance == CW_DISTANCE_ZONE;
 }
 
-/* ---- what reports may omit ---- */
+/* ---- parts that reports may omit ---- */
 
 bool cw_router_is_covered(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
@@ -183,27 +184,28 @@
     }
 }
 
-static void log_unequal_view(const char *what, uint64_t term, uint64_t number)
+static void log_unequal_view(const char *what, uint64_t term, uint64_t version)
 {
     cw_event_t event;
 
     if (cw_event_begin(&event, CW_EVENT_VIEW_UNEQUAL)) {
         cw_event_text(&event, CW_FIELD_DETAIL, what);
         cw_event_number(&event, CW_FIELD_TERM, (int64_t)term);
-        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)number);
+        cw_event_number(&event, CW_FIELD_VIEW, (int64_t)version);
         cw_event_end(&event);
     }
 }
 
-/* Without a number, this node is sent the whole list. */
+/* Gives up this node's version of the list if its content has differed for long: a node without a version is sent the
+ * whole list. */
 static void check_servers(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    static const cw_view_check_delays_t patience = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_REPEAT_S)};
+    static const cw_view_check_delays_t delays = {CW_SECONDS(SERVERS_UNEQUAL_S), CW_SECONDS(SERVERS_REPEAT_S)};
     bool                                is_equal = heartbeat->servers_hash == router->server_view.hash;
 
     if (heartbeat->term == router->view_term && router->view_list_version != 0 &&
         heartbeat->servers == router->view_list_version &&
-        cw_view_check_note(&router->relay->servers_check, is_equal, &patience, now)) {
+        cw_view_check_record(&router->relay->servers_check, is_equal, &delays, now)) {
         log_unequal_view("servers", heartbeat->term, heartbeat->servers);
         router->view_list_version = 0;
     }
@@ -211,12 +213,12 @@
 
 static void check_tables(cw_router_t *router, const Cwp__LeaderHeartbeat *heartbeat, cw_time_us_t now)
 {
-    static const cw_view_check_delays_t patience = {CW_MS(TABLES_UNEQUAL_MS), CW_MS(TABLES_REPEAT_MS)};
+    static const cw_view_check_delays_t delays = {CW_MS(TABLES_UNEQUAL_MS), CW_MS(TABLES_REPEAT_MS)};
     bool                                is_equal = heartbeat->tables_hash == router->tables_hash;
 
     if (heartbeat->term == router->view_term && router->view_tables_version != 0 &&
         heartbeat->tables == router->view_tables_version &&
-        cw_view_check_note(&router->relay->tables_check, is_equal, &patience, now)) {
+        cw_view_check_record(&router->relay->tables_check, is_equal, &delays, now)) {
         log_unequal_view("tables", heartbeat->term, heartbeat->tables);
         router->view_tables_version = 0;
     }
@@ -233,7 +235,7 @@
     return relay->ticked_at != 0 && now - relay->ticked_at > CW_MS(STALL_MS);
 }
 
-static void note_tick(cw_router_relay_t *relay, cw_time_us_t now)
+static void record_tick(cw_router_relay_t *relay, cw_time_us_t now)
 {
     if (has_stalled(relay, now)) {
         relay->backlog_until = now + CW_MS(BACKLOG_MS);
@@ -246,7 +248,7 @@
     cw_router_relay_t *relay = router->relay;
     size_t             rank;
 
-    note_tick(relay, now);
+    record_tick(relay, now);
     if (now - relay->sent_at < CW_MS(CW_SUMMARY_INTERVAL_MS)) {
         return;
     }
@@ -261,9 +263,9 @@
 
 /* ---- receiving ---- */
 
-/* Passes a summary of another zone's relay on to this zone. It is marked as passed on, so that its receivers do not
- * pass it on again. */
-static void pass_on_summary(cw_router_t *router, const Cwp__Datagram *datagram)
+/* Forwards a summary of another zone's relay to this zone. The summary is marked as forwarded, so that its receivers do
+ * not forward it again. */
+static void forward_summary(cw_router_t *router, const Cwp__Datagram *datagram)
 {
     const cw_peer_t *peer;
     size_t           length;
@@ -290,9 +292,9 @@
     return false;
 }
 
-/* Takes the time at which a relay received from the node, if it is later than the time known here, and recent enough
- * for the node to count as alive. */
-static void take_node(cw_router_t *router, const Cwp__ZoneSummary *summary, size_t index, cw_time_us_t now)
+/* Applies the time at which a relay received from the node, if that is later than the time known here, and recent
+ * enough for the node to count as alive. */
+static void apply_node(cw_router_t *router, const Cwp__ZoneSummary *summary, size_t index, cw_time_us_t now)
 {
     cw_time_us_t at = now - CW_MS(summary->ages_ms[index]);
     cw_peer_t   *peer = cw_peer_link_learn(router->link, summary->nodes[index], now);
@@ -300,8 +302,8 @@
     if (peer == NULL || at <= peer->last_received_at || now - at > router->silence) {
         return;
     }
-    if (at > peer->direct_at) {
-        cw_peer_link_note_zone(router->link, peer, summary->zone);
+    if (at > peer->last_direct_report_at) {
+        cw_peer_link_set_peer_zone(router->link, peer, summary->zone);
         peer->capability = summary->capabilities[index];
     }
     if (peer->last_received_at == 0 || peer->is_lost) {
@@ -311,13 +313,14 @@
     peer->last_received_at = at;
 }
 
-/* Takes the details of a node, unless a recent report of the node itself has newer ones. */
-static void take_detail(cw_router_t *router, const Cwp__ZoneNode *detail, cw_time_us_t now)
+/* Applies the details of a node, unless a recent report of the node itself has newer ones. */
+static void apply_detail(cw_router_t *router, const Cwp__ZoneNode *detail, cw_time_us_t now)
 {
     cw_peer_t *peer = cw_peer_link_find(router->link, detail->address);
 
-    if (peer == NULL || (peer->direct_at != 0 && now - peer->direct_at < CW_MS(CW_SUMMARY_RECENT_MS)) ||
-        cw_peer_is_former(peer, detail->incarnation, now)) {
+    if (peer == NULL ||
+        (peer->last_direct_report_at != 0 && now - peer->last_direct_report_at < CW_MS(CW_SUMMARY_RECENT_MS)) ||
+        cw_peer_is_former_incarnation(peer, detail->incarnation, now)) {
         return;
     }
     cw_peer_set_incarnation(peer, detail->incarnation, now);
@@ -338,10 +341,10 @@
     return false;
 }
 
-static void take_sums(cw_router_t *router, const Cwp__ZoneSummary *summary, cw_time_us_t now)
+static void apply_sums(cw_router_t *router, const Cwp__ZoneSummary *summary, cw_time_us_t now)
 {
     static cw_server_report_t sums[CW_SUMMARY_SERVERS_MAX];
-    uint64_t                  number = cw_zone_sender_bit | cw_name_hash(summary->zone);
+    uint64_t                  sender = cw_zone_sender_bit | cw_name_hash(summary->zone);
     size_t                    index;
 
     for (index = 0; index < summary->n_servers && index < CW_SUMMARY_SERVERS_MAX; index++) {
@@ -350,8 +353,8 @@
                                            .waiting = summary->waiting[index],
                                            .unreachable = is_unreachable(summary, summary->servers[index])};
     }
-    cw_server_pool_report(router->pool, number, sums, index, now);
-    cw_router_handle_queues(router, number, false, summary->queues, summary->n_queues, now);
+    cw_server_pool_apply_report(router->pool, sender, sums, index, now);
+    cw_router_handle_queues(router, sender, false, summary->queues, summary->n_queues, now);
 }
 
 /* The age of a datagram from the backlog is unknown, and the ages of nodes in a summary are relative to its sending. */
@@ -396,24 +399,24 @@
         log_late_summary(router->relay, summary, now);
         return;
     }
-    if (!cw_zone_links_note(&router->relay->links, &header, now)) {
+    if (!cw_zone_links_record(&router->relay->links, &header, now)) {
         return;
     }
     for (index = 0; index < summary->n_nodes; index++) {
-        take_node(router, summary, index, now);
+        apply_node(router, summary, index, now);
     }
     for (index = 0; index < summary->n_details; index++) {
-        take_detail(router, summary->details[index], now);
+        apply_detail(router, summary->details[index], now);
     }
     if (summary->has_loads) {
-        take_sums(router, summary, now);
+        apply_sums(router, summary, now);
     }
     relay = cw_peer_link_find(router->link, summary->relay);
     if (relay != NULL) {
-        cw_router_note_configuration(router, relay, summary->configuration, now);
+        cw_router_record_configuration(router, relay, summary->configuration, now);
     }
     if (!summary->passed_on) {
-        pass_on_summary(router, datagram);
+        forward_summary(router, datagram);
     }
     cw_engine_wake(router->engine);
 }
--- a/src/router/router_signals.c
+++ b/src/router/router_signals.c
@@ -16,7 +16,7 @@
     if (!(per_s >= 0)) {
         return ended_rate;
     }
-    return per_s > CW_SERVER_LIMIT_MOST ? CW_SERVER_LIMIT_MOST : per_s;
+    return per_s > CW_SERVER_LIMIT_MAX ? CW_SERVER_LIMIT_MAX : per_s;
 }
 
 static uint32_t age_ms(cw_time_us_t since, cw_time_us_t now)
@@ -24,18 +24,18 @@
     return now <= since ? 0 : (uint32_t)((now - since) / 1000);
 }
 
-static void on_limit_stated(void *context, const cw_server_t *server, cw_limit_change_t change)
+static void on_limit_named(void *context, const cw_server_t *server, cw_limit_change_t change)
 {
     cw_router_t *router = context;
 
-    cw_signal_notices_note(router->signal_notices, server->hash, change, cw_router_now(router));
+    cw_signal_notices_record_limit(router->signal_notices, server->hash, change, cw_router_now(router));
 }
 
-static void on_leave_stated(void *context, const cw_server_t *server)
+static void on_leaving_announced(void *context, const cw_server_t *server)
 {
     cw_router_t *router = context;
 
-    cw_signal_notices_note_leave(router->signal_notices, server->hash, cw_router_now(router));
+    cw_signal_notices_record_leave(router->signal_notices, server->hash, cw_router_now(router));
 }
 
 /* ---- sending ---- */
@@ -84,7 +84,7 @@
         cw_signal_notices_end_leave(router->signal_notices, hash);
         return false;
     }
-    return server->has_said_leaving;
+    return server->announced_leaving;
 }
 
 static void send_notice(cw_router_t *router, const uint32_t *servers, size_t count, cw_time_us_t now)
@@ -129,7 +129,7 @@
 
 /* ---- receiving ---- */
 
-void cw_router_take_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now)
+void cw_router_apply_limit(cw_router_t *router, const Cwp__ServerLimit *message, cw_time_us_t now)
 {
     cw_server_t *server = (cw_server_t *)cw_server_pool_find_hash(router->pool, message->server);
 
@@ -146,19 +146,20 @@
     size_t                   index;
 
     for (index = 0; index < notice->n_limits; index++) {
-        cw_signal_notices_note_received(router->signal_notices, notice->limits[index]->server, now);
-        cw_router_take_limit(router, notice->limits[index], now);
+        cw_signal_notices_record_received(router->signal_notices, notice->limits[index]->server, now);
+        cw_router_apply_limit(router, notice->limits[index], now);
     }
     for (index = 0; index < notice->n_leaving; index++) {
-        cw_signal_notices_note_received(router->signal_notices, notice->leaving[index], now);
+        cw_signal_notices_record_received(router->signal_notices, notice->leaving[index], now);
         cw_engine_apply_reported_leave(router->engine, notice->leaving[index]);
     }
-    cw_router_pass_on_broadcast(router, sender, datagram, &datagram->signal_notice->stage);
+    cw_router_forward_broadcast(router, sender, datagram, &datagram->signal_notice->stage);
 }
 
 void cw_router_signals_init(cw_router_t *router)
 {
-    cw_signal_port_t port = {.context = router, .on_limit_stated = on_limit_stated, .on_leave_stated = on_leave_stated};
+    cw_signal_port_t port = {
+        .context = router, .on_limit_named = on_limit_named, .on_leaving_announced = on_leaving_announced};
 
     router->signal_notices = cw_signal_notices_create();
     cw_engine_set_signal_port(router->engine, &port);
--- a/src/router/router_slots.c
+++ b/src/router/router_slots.c
@@ -13,7 +13,7 @@
 #include "router/router_internal.h"
 
 enum {
-    CANDIDATES_UPDATE_MS = 100 /* between updates of the nodes that may count slots; well below CW_PEER_SILENCE_MS */
+    CANDIDATES_UPDATE_MS = 100 /* between updates of the nodes that may count slots; well below CW_PEER_TIMEOUT_MS */
 };
 
 static const double no_limit = -1; /* in messages: the server has no rate limit */
@@ -30,10 +30,11 @@
 struct cw_router_slots {
     cw_router_t      *router;
     cw_slot_broker_t *broker;
-    /* Nodes that may count slots: first those that this node hears directly, then those that it reaches by detours. */
+    /* Nodes that may count slots: first those that this node receives from directly, then those that it reaches by
+     * detours. */
     cw_broker_candidate_t *candidates;
     size_t                 candidate_count;
-    size_t                 direct_count; /* of those that this node hears directly */
+    size_t                 direct_count; /* number of candidates that this node receives from directly */
     size_t                 candidate_capacity;
     cw_time_us_t           candidates_updated_at;
     bool                   are_nodes_many;
@@ -70,11 +71,11 @@
 static void handle_return(cw_router_t *router, const cw_slot_return_t *returned, cw_time_us_t now)
 {
     cw_slot_broker_t *broker = router->slots->broker;
-    uint32_t          hash = cw_slot_broker_server_of(broker, returned->node, returned->ticket);
+    uint32_t          hash = cw_slot_broker_granted_server(broker, returned->node, returned->ticket);
     cw_server_t      *server = (cw_server_t *)cw_server_pool_find_hash(router->pool, hash);
 
     if (server != NULL && returned->signals != NULL && returned->node != own_address(router->slots)) {
-        cw_engine_note_signals(router->engine, server, returned->signals, NULL);
+        cw_engine_apply_signals(router->engine, server, returned->signals, NULL);
     }
     cw_slot_broker_return(broker, returned, now);
 }
@@ -171,7 +172,7 @@
     message.tenant = asked->tenant;
     message.objective_ms = to_ms(asked->objective);
     message.lease_ms = to_ms(asked->lease);
-    message.wait_ms = to_ms(asked->wait_most);
+    message.wait_ms = to_ms(asked->max_slot_wait);
     if (cw_router_pack_limit(slots->router, asked->server, &limit)) {
         message.limit = &limit;
     }
@@ -256,10 +257,10 @@
                            .tenant = message->tenant,
                            .objective = CW_MS(message->objective_ms),
                            .lease = CW_MS(message->lease_ms),
-                           .wait_most = CW_MS(message->wait_ms)};
+                           .max_slot_wait = CW_MS(message->wait_ms)};
 
     if (message->limit != NULL) {
-        cw_router_take_limit(router, message->limit, cw_router_now(router));
+        cw_router_apply_limit(router, message->limit, cw_router_now(router));
     }
     cw_slot_broker_ask(router->slots->broker, &asked, usual_time_of(router, asked.service), cw_router_now(router));
 }
--- a/src/router/router_summary.c
+++ b/src/router/router_summary.c
@@ -57,7 +57,7 @@
     builder.detail_pointers[builder.summary.n_details++] = detail;
 }
 
-static void *resize_numbers(uint32_t *numbers, size_t count)
+static void *resize_array(uint32_t *numbers, size_t count)
 {
     uint32_t *grown = cw_memory_resize(numbers, count * sizeof(*numbers));
 
@@ -70,9 +70,9 @@
         return;
     }
     builder.node_room = builder.node_room == 0 ? 64 : 2 * builder.node_room;
-    builder.nodes = resize_numbers(builder.nodes, builder.node_room);
-    builder.ages_ms = resize_numbers(builder.ages_ms, builder.node_room);
-    builder.capabilities = resize_numbers(builder.capabilities, builder.node_room);
+    builder.nodes = resize_array(builder.nodes, builder.node_room);
+    builder.ages_ms = resize_array(builder.ages_ms, builder.node_room);
+    builder.capabilities = resize_array(builder.capabilities, builder.node_room);
     builder.summary.nodes = builder.nodes;
     builder.summary.ages_ms = builder.ages_ms;
     builder.summary.capabilities = builder.capabilities;
@@ -168,7 +168,7 @@
     }
 }
 
-static bool takes_node(void *context, uint64_t node)
+static bool includes_node(void *context, uint64_t node)
 {
     cw_router_t     *router = context;
     const cw_peer_t *peer = node >= cw_zone_sender_bit ? NULL : cw_peer_link_find(router->link, (uint32_t)node);
@@ -178,7 +178,7 @@
 
 /* Only servers of keyed services are summed. Slots of other services are counted in the servers' own zones
  * (slot_broker.h). */
-static bool takes_server(void *context, const cw_server_t *server)
+static bool includes_server(void *context, const cw_server_t *server)
 {
     const cw_router_t *router = context;
     size_t             index;
@@ -195,15 +195,15 @@
 
 static void add_loads(cw_router_t *router, cw_time_us_t now)
 {
-    cw_sum_filter_t filter = {.context = router, .takes_node = takes_node, .takes_server = takes_server};
+    cw_sum_filter_t filter = {.context = router, .includes_node = includes_node, .includes_server = includes_server};
     size_t          left_out;
     size_t          count;
     size_t          index;
 
     cw_engine_count_waiting(router->engine);
     count = cw_server_pool_sum(router->pool, &filter, builder.sums, CW_SUMMARY_SERVERS_MAX, now, &left_out);
-    cw_dropped_entries_note("owners of keys in the summary of a zone: other zones do not learn its requests there",
-                            CW_SUMMARY_SERVERS_MAX, left_out);
+    cw_dropped_entries_report("owners of keys in the summary of a zone: other zones do not learn its requests there",
+                              CW_SUMMARY_SERVERS_MAX, left_out);
     for (index = 0; index < count; index++) {
         builder.servers[index] = builder.sums[index].hash;
         builder.under_way[index] = builder.sums[index].under_way;
--- a/src/router/table_pages.h
+++ b/src/router/table_pages.h
@@ -21,13 +21,13 @@
 
 /** Number of pages for so many entries; at least one. */
 uint32_t cw_table_page_count(size_t entries);
-/** Copies the entries that changed after the tables of number `base` (0: all entries), at most `room`; returns how
+/** Copies the entries that changed after the tables of version `base` (0: all entries), at most `room`; returns how
  * many. */
 size_t cw_table_changes(const cw_key_table_t *table, uint64_t base, cw_table_entry_t *changes, size_t room);
 /** Sets the page's ranges to those of page number `part` of the entries. */
 void cw_table_page_fill(Cwp__TablePage *page, cw_table_page_room_t *room, const cw_table_entry_t *entries, size_t count,
                         uint32_t part);
 /** Adds the page's ranges to its service's table. */
-void cw_table_page_take(cw_key_tables_t *tables, const Cwp__TablePage *page);
+void cw_table_page_apply(cw_key_tables_t *tables, const Cwp__TablePage *page);
 
 #endif
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -3,7 +3,7 @@
  * @brief Interface of a store of objects with revisions, conditional writes, listings and watches.
  *
  * The store is linearizable and never loses a write that it acknowledged. A write without an answer
- * (CW_STORE_UNKNOWN) may have been executed, and may still be executed later as long as its condition holds.
+ * (CW_STORE_UNKNOWN) may have been executed, or may still be executed later as long as its condition holds.
  * Therefore reading the object back proves nothing until another write has changed the object's revision.
  */
 #ifndef CEDARWINCH_STORE_STORE_H
@@ -47,12 +47,12 @@
 
 /** Callbacks that an adapter calls for its watches and reads. Objects are passed as references that the receiver owns.
  */
-typedef struct cw_store_readers {
+typedef struct cw_store_callbacks {
     void *context;
     /** A configuration was read. NULL: it cannot be used, and `problem` says why. */
     void (*configuration)(void *context, cw_configuration_t *configuration, const char *problem);
-    /** A change of the configuration has to be reported within this time. The adapter may use part of it, but not all,
-     * to wait for further changes. */
+    /** A change of the configuration has to be reported within this time. The adapter may use part of this time,
+     * but not all of it, to wait for further changes. */
     cw_time_us_t configuration_within;
     /** An answer of the store shows that no configuration with a version above this one had been acknowledged at time
      * `at`. */
@@ -62,10 +62,10 @@
     void (*answered)(void *context, bool is_answered);
     /** Operators may take zones out of service in this store. Each read of the servers then also returns these zones.
      */
-    bool zones_may_be_out;
+    bool zones_can_be_taken_out;
     /** A read of the list of servers has ended. */
     void (*servers)(void *context, const cw_servers_read_t *read);
-} cw_store_readers_t;
+} cw_store_callbacks_t;
 
 /** Operations that the router needs from a store. Each call's callback is called exactly once, from the event loop. */
 typedef struct cw_store_port {
@@ -82,7 +82,7 @@
      * old. */
     void (*read_servers)(void *context, bool from_copy);
     /** This node got the list as of this revision from another node. The next read needs only the changes after it. */
-    void (*know_servers)(void *context, const cw_server_list_t *list, uint64_t revision);
+    void (*set_known_servers)(void *context, const cw_server_list_t *list, uint64_t revision);
     /** Reads the configuration immediately. A present watch is replaced by a new one, since its connection may be dead.
      */
     void (*read_configuration)(void *context);
--- a/src/tenancy/quota_redirects.c
+++ b/src/tenancy/quota_redirects.c
@@ -6,8 +6,8 @@
 
 enum {
     FIRST_REPLY_MS = 300,     /* time for the named node to send its first reply */
-    KEEP_CONFIRMED_MS = 1000, /* time after the named node's last reply for which the redirect holds: by then all nodes
-                                 know of a node that stopped (CW_PEER_SILENCE_MS) */
+    KEEP_CONFIRMED_MS = 1000, /* time after the named node's last reply for which the redirect holds: within it all
+                                 nodes notice that a node has stopped (CW_PEER_TIMEOUT_MS) */
     REPEATED_WITHIN_MS = 300  /* a second redirect within this time means that two nodes name each other; they agree
                                  after it, when their reports have reached each other */
 };
@@ -30,12 +30,12 @@
     }
 }
 
-/* As if the counting node did not know the tenant: this node admits requests from its own part and reports again after
- * a pause. */
+/* Treats the tenant as one that its counting node does not know: this node admits requests from its own part and
+ * reports again after an interval (UNKNOWN_INTERVAL_MS in quota_reports.c). */
 static void serve_locally(cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now)
 {
     tenant->is_unknown = true;
-    tenant->heard_at = now;
+    tenant->last_received_at = now;
     tenant->is_report_due = false;
     tenant->unconfirmed = 0;
     tenant->ask.sequence = 0;
--- a/src/tenancy/quota_share.c
+++ b/src/tenancy/quota_share.c
@@ -18,8 +18,8 @@
     FORGET_AFTER_WINDOWS = 3
 };
 
-/* Multiple of what a report interval usually brings that is admitted without an ask. Twice the usual number comes now
- * and then without a particular cause, too. */
+/* Multiple of what a report interval usually brings that is admitted without an ask. Occasionally
+ * twice the usual number arrives without a particular cause. */
 static const double expected_factor = 1.5;
 /* Fraction of the depth of the bucket that one node admits without a reply */
 static const double unconfirmed_part = 0.5;
@@ -85,7 +85,7 @@
         tenant = cw_memory_zeroed(sizeof(*tenant));
         tenant->hash = hash;
         tenant->mode = CW_QUOTA_FREE;
-        tenant->heard_at = now;
+        tenant->last_received_at = now;
         tenant->last_request_at = now;
         HASH_ADD(hh, share->tenants, hash, sizeof(tenant->hash), tenant);
     }
@@ -102,7 +102,7 @@
     if (mode == CW_QUOTA_ALONE) {
         cw_quota_local_begin(share, tenant, now);
     }
-    share->port.mode_changed(share->port.context, tenant->hash, mode, tenant->counter, now - tenant->heard_at);
+    share->port.mode_changed(share->port.context, tenant->hash, mode, tenant->counter, now - tenant->last_received_at);
 }
 
 cw_quota_usage_t cw_quota_usage_of(const cw_quota_share_t *share, cw_quota_tenant_t *tenant, cw_time_us_t now)
@@ -168,7 +168,7 @@
 {
     double most = cw_quota_depth(&tenant->limit) * unconfirmed_part;
     double equal_part = most / share->nodes;
-    bool   is_fresh = tenant->counter_has_replied && now - tenant->heard_at < CW_MS(STATUS_FRESH_MS);
+    bool   is_fresh = tenant->counter_has_replied && now - tenant->last_received_at < CW_MS(STATUS_FRESH_MS);
 
     return is_fresh
                ? fmax(1, fmin(most, equal_part + expected_factor * cw_quota_expected_per_report(share, tenant, now)))
@@ -216,7 +216,8 @@
     bool is_lower = limit->rate_per_s < tenant->limit.rate_per_s || limit->burst < tenant->limit.burst;
 
     tenant->limit = *limit;
-    if (is_lower && tenant->mode == CW_QUOTA_FREE) { /* until the counting node says that the load is below it too */
+    if (is_lower &&
+        tenant->mode == CW_QUOTA_FREE) { /* until the counting node reports that the load is below the new limit too */
         cw_quota_set_mode(share, tenant, CW_QUOTA_METERED, now);
     }
 }
@@ -230,7 +231,7 @@
     *retry_after = 0;
     set_limit(share, tenant, limit, now);
     tenant->last_request_at = now;
-    if (tenant->counter == 0 || cw_quota_share_is_silent(share, tenant->counter, now)) {
+    if (tenant->counter == 0 || cw_quota_share_is_skipped(share, tenant->counter, now)) {
         cw_quota_choose_counter(share, tenant, now);
     }
     answer = decide(share, tenant, now, retry_after);
@@ -319,7 +320,7 @@
 {
     const cw_quota_tenant_t *tenant = cw_quota_find_tenant(share, hash);
 
-    return tenant == NULL ? 0 : now - tenant->heard_at;
+    return tenant == NULL ? 0 : now - tenant->last_received_at;
 }
 
 size_t cw_quota_share_tenants(const cw_quota_share_t *share)
--- a/standins/link/link_processes.h
+++ b/standins/link/link_processes.h
@@ -1,6 +1,6 @@
 /**
  * @file link_processes.h
- * @brief Which process a connection comes from: all programs on loopback connect from the same address.
+ * @brief Finds the process that a connection comes from. All programs on loopback connect from the same address.
  */
 #ifndef CW_LINK_PROCESSES_H
 #define CW_LINK_PROCESSES_H
@@ -9,8 +9,9 @@
 
 #include "link_rules.h"
 
-/** The end whose process has the other side of an accepted connection; NULL: none of them. */
-const link_end_t *link_process_of(const link_rules_t *rules, const uv_tcp_t *accepted,
-                                  const struct sockaddr_in *listen);
+/** Finds the end whose process has the other side of an accepted connection; NULL: there is none. `listen` is the
+ * address at which the connection was accepted. */
+const link_end_t *link_end_of_connection(const link_rules_t *rules, const uv_tcp_t *accepted,
+                                         const struct sockaddr_in *listen);
 
 #endif
--- a/tests/engine_fixture.c
+++ b/tests/engine_fixture.c
@@ -79,7 +79,7 @@
     engine_server_t *server = context;
 
     (void)exchange;
-    server->gone++;
+    server->cancelled++;
 }
 
 static void start_server(engine_fixture_t *fixture, size_t index, cw_server_list_t *list, uint32_t capacity)
@@ -145,7 +145,7 @@
 
 engine_fixture_setup_t engine_fixture_default_setup(void)
 {
-    return (engine_fixture_setup_t){.servers = ENGINE_FIXTURE_SERVERS, .capacity = 1, .silence_factor = 1000};
+    return (engine_fixture_setup_t){.servers = ENGINE_FIXTURE_SERVERS, .capacity = 1, .repeat_factor = 1000};
 }
 
 static cw_engine_settings_t engine_settings(const engine_fixture_setup_t *setup)
@@ -162,7 +162,7 @@
                                   .crossing = {.ms_per_mb = setup->crossing_ms_per_mb},
                                   .budget = {.ratio = 0.2, .extra = 50, .window = CW_SECONDS(10), .share = 1},
                                   .connect_timeout = CW_SECONDS(5),
-                                  .silence_factor = setup->silence_factor,
+                                  .repeat_factor = setup->repeat_factor,
                                   .answer_max = 100000,
                                   .credential_scheme = setup->credential_scheme,
                                   .queue_max = 100};
@@ -182,7 +182,7 @@
     fixture->upstream = cw_upstream_create(&fixture->loop, &options);
     fixture->engine = cw_engine_create(&fixture->loop, &settings, fixture->pool, fixture->upstream);
     ck_assert_int_eq(cw_http_listener_create(&fixture->front, &fixture->loop, "127.0.0.1", 0, &limits, &handler), 0);
-    cw_http_listener_set_rejects(fixture->front, front_rejects);
+    cw_http_listener_set_reject_callback(fixture->front, front_rejects);
     fixture->caller = cw_upstream_create(&fixture->loop, &options);
     snprintf(address, sizeof(address), "127.0.0.1:%u", cw_http_listener_port(fixture->front));
     fixture->front_target = cw_upstream_target_create(fixture->caller, address);
@@ -251,11 +251,11 @@
     configure(fixture);
 }
 
-void engine_fixture_init_with_silence(engine_fixture_t *fixture, double silence_factor)
+void engine_fixture_init_with_repeat_factor(engine_fixture_t *fixture, double repeat_factor)
 {
     engine_fixture_setup_t setup = engine_fixture_default_setup();
 
-    setup.silence_factor = silence_factor;
+    setup.repeat_factor = repeat_factor;
     engine_fixture_begin(fixture, &setup);
     configure(fixture);
 }
@@ -311,8 +311,8 @@
     return call;
 }
 
-/* An entry of the calls is used again after ENGINE_FIXTURE_CALLS others; by then its call was answered or abandoned by
- * the test. */
+/* An entry of the calls is used again after ENGINE_FIXTURE_CALLS others; its call must have been answered, or abandoned
+ * by the test, before that. */
 static cw_upstream_call_t *send_next(engine_fixture_t *fixture, const char *text, size_t length)
 {
     size_t number = fixture->next_call++ % ENGINE_FIXTURE_CALLS;
--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -10,6 +10,7 @@
 #include "loop_fixture.h"
 #include "proxy/engine_internal.h"
 
+/** Sizes and times of a fixture. */
 enum {
     ENGINE_FIXTURE_SERVERS = 2,
     ENGINE_FIXTURE_CALLS = 8,
@@ -26,9 +27,9 @@
     cw_http_listener_t *listener;
     char                id[24];
     char                address[32];
-    uint32_t            requests; /**< requests received */
-    uint32_t            gone;     /**< requests whose connection ended before an answer */
-    cw_http_exchange_t *exchange; /**< exchange of the last request */
+    uint32_t            requests;  /**< requests received */
+    uint32_t            cancelled; /**< requests whose connection ended before an answer */
+    cw_http_exchange_t *exchange;  /**< exchange of the last request */
     bool                has_request;
     char                deadline[32];                    /**< deadline field of the last request */
     char                target[64];                      /**< target field of the last request */
@@ -76,21 +77,21 @@
 typedef struct engine_fixture_setup {
     size_t   servers; /**< number of servers: s0 in zone z1 (region near), s1 in z2 (region far); the engine is in z1 */
     uint32_t capacity;             /**< slots of each server */
-    double   silence_factor;       /**< cw_engine_settings_t */
+    double   repeat_factor;        /**< cw_engine_settings_t */
     double   crossing_ms_per_mb;   /**< cost of a megabyte across the regions' border, in ms */
     const char *tenant_field;      /**< name of the header field with the tenant's name; NULL: servers do not get it */
     const char *credential_scheme; /**< NULL: the engine's default */
 } engine_fixture_setup_t;
 
-/** Two servers with one slot each, and practically no repeat while a server is silent. */
+/** Two servers with one slot each, and practically no repeat while a server does not answer. */
 engine_fixture_setup_t engine_fixture_default_setup(void);
 /** Starts the servers and the engine, without a configuration. */
 void engine_fixture_begin(engine_fixture_t *fixture, const engine_fixture_setup_t *setup);
 /** Starts the default setup with the routes safe (repeatable), once (not repeatable), keyed, far and far-keyed
  * (restricted to the region of s1) and elsewhere (restricted to a region without servers). */
 void engine_fixture_init(engine_fixture_t *fixture);
-/** Like engine_fixture_init, with another silence_factor. */
-void engine_fixture_init_with_silence(engine_fixture_t *fixture, double silence_factor);
+/** Like engine_fixture_init, with another repeat_factor, which sets when unanswered requests are repeated. */
+void engine_fixture_init_with_repeat_factor(engine_fixture_t *fixture, double repeat_factor);
 /** Like engine_fixture_init, with another crossing_ms_per_mb. */
 void engine_fixture_init_with_crossing(engine_fixture_t *fixture, double crossing_ms_per_mb);
 
--- a/tests/process/intents.sh
+++ b/tests/process/intents.sh
@@ -3,7 +3,7 @@
 # store, and that tenants cannot claim each other's hosts and keys or use up each other's limits.
 . "$(dirname "$0")/../../scripts/cluster.sh"
 cluster_start 2
-usual_servers
+standard_servers
 cluster_server lp --service liffeyspoke/maps --keyed --work-ms 10
 cluster_server rm --service rimac/pages --work-ms 10
 token=$(printf %s sesame | sha256sum | cut -d' ' -f1)
--- a/tests/process/keys_taken_away.sh
+++ b/tests/process/keys_taken_away.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
 # Tenants' keys are added and revoked while the store refuses two of the three nodes, in each way in which it can: by a reset,
-# by an error that says that it is busy, or by silence. These nodes learn the changes from the node that can still read the
+# by an error that says that it is busy, or by not answering. These nodes learn the changes from the node that can still read the
 # store. Keys apply to open connections as well as to new ones, and appear in no log. Nodes that fail closed accept keys only
 # as long as there is recent evidence that none was revoked.
 STORE_ENDPOINTS=4
 NODE_SETTINGS=$'credential_scheme: Token\ncredentials_stale_after_ms: 4000\ncredentials_fail_closed: true'
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 
 keyed() { # VERSION KEYS: the default configuration with tenants; KEYS are the keys of the tenant "red"
     configuration "$1" | jq -c --argjson keys "$2" \
--- a/tests/process/log_reader.sh
+++ b/tests/process/log_reader.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # If the reader of a node's log does not read, the node drops lines and goes on serving requests.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 2
+standard_cluster 2
 mkfifo "$WORK/pipe"
 sleep 600 <"$WORK/pipe" & # keeps the pipe open and never reads from it
 PIDS+=("$!")
--- a/tests/process/rehearsal.sh
+++ b/tests/process/rehearsal.sh
@@ -2,7 +2,7 @@
 # Checks what docs/OPERATIONS.md describes: explain finds refused and failed requests by their ids, status shows the
 # owners of keys, and the logs show an outage of the store and a reload.
 . "$(dirname "$0")/../../scripts/cluster.sh"
-usual_cluster 3
+standard_cluster 3
 ask() { curl -s -o /dev/null -w '%{http_code}' "http://$NET.1:8080$1" -H 'Host: maps.example' -H "X-Request-Id: $2" -H 'X-Shard-Key: 5' -H "X-Deadline-Ms: $3" "${@:4}"; }
 check "a request without a route gets 404" [ "$(ask /nowhere lost-1 500)" = 404 ]
 for i in 1 2 3 4 5 6; do kill -STOP "${SERVER_PIDS[m$i]}"; done
@@ -20,11 +20,11 @@
 check "a request that gets no slot in time is refused ($code)" [ "$code" = 503 ]
 for i in 1 2 3; do kill -CONT "${SERVER_PIDS[h$i]}"; done
 sleep 0.5
-explained() { "$BUILD/cedarwinch" explain "$1" "$WORK"/node*.log | tee "$WORK/story" | grep -q "$2"; }
+explained() { "$BUILD/cedarwinch" explain "$1" "$WORK"/node*.log | tee "$WORK/explained" | grep -q "$2"; }
 check "explain shows the refusal" explained refused-1 'refused.*no slot in time'
-check "explain shows the state of the node" grep -q 'this node: .*configuration accepted' "$WORK/story"
+check "explain shows the state of the node" grep -q 'this node: .*configuration accepted' "$WORK/explained"
 check "explain shows the request that exceeded its time limit" explained late-1 'failed.*time limit'
-check "explain shows the last change of the key's range" grep -q "the key's range: .*assignment" "$WORK/story"
+check "explain shows the last change of the key's range" grep -q "the key's range: .*assignment" "$WORK/explained"
 check "explain reports that no line names an unknown request" [ "$("$BUILD/cedarwinch" explain no-such "$WORK"/node1.log | grep -c 'no line names')" = 1 ]
 "$BUILD/cedarwinch" status "$NET.1:8081" "$NET.2:8081" "$NET.3:8081" >"$WORK/status"
 check "status shows each node" [ "$(grep -c '^n[123]' "$WORK/status")" = 3 ]
--- a/tests/process/tenant_limit_cut.sh
+++ b/tests/process/tenant_limit_cut.sh
@@ -8,7 +8,7 @@
 region_counts() { [ -n "$(for n in $(counting); do region_of_node "$n"; done | grep -x "$1")" ]; }
 
 regions_cluster
-until_true all_in_touch
+until_true all_reachable
 limited_callers limited 30 &
 callers=$!
 for _ in 1 2 3; do
@@ -16,10 +16,10 @@
     until_true region_counts east
     until_true region_counts west
     link heal
-    until_true all_in_touch
+    until_true all_reachable
 done
 wait "$callers"
 check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
-check "a good part of the limit is used" at_least "$(sum_of limited s200)" $((RATE * 30 / 2))
+check "at least half of the limit is used" at_least "$(sum_of limited s200)" $((RATE * 30 / 2))
 check "records agree" cluster_check
 finish_test
--- a/tests/process/tenant_limit_pair_cut.sh
+++ b/tests/process/tenant_limit_pair_cut.sh
@@ -6,8 +6,8 @@
 . "$(dirname "$0")/lib/limited_tenant.sh"
 COUNT=${COUNT:-4} CUT_S=${CUT_S:-7}
 
-usual_cluster "$COUNT"
-until_true all_in_touch
+standard_cluster "$COUNT"
+until_true all_reachable
 limited_callers limited $((2 * (COUNT - 1) * (CUT_S + 2) + 4)) &
 callers=$!
 until_true one_counts
@@ -19,12 +19,12 @@
         link "$cut" "n$counter" "n$other"
         sleep "$CUT_S"
         link heal
-        until_true all_in_touch
+        until_true all_reachable
         sleep 0.5
     done
 done
 wait "$callers"
 check "no window holds more than the limit allows" at_most "$(max_runs_in_window)" "$ALLOWED"
-check "the limit is used" at_least "$(sum_of limited s200)" $((RATE * 2 * (COUNT - 1) * CUT_S * 8 / 10))
+check "at least eight tenths of the limit over the time of the cuts are used" at_least "$(sum_of limited s200)" $((RATE * 2 * (COUNT - 1) * CUT_S * 8 / 10))
 check "records agree" cluster_check
 finish_test
--- a/tests/quota_sim.c
+++ b/tests/quota_sim.c
@@ -22,7 +22,7 @@
     size_t               from;
     size_t               to;
     size_t               via;            /* index of the relaying node; DIRECT: none */
-    bool                 is_relayed;     /* the relaying node has sent it on */
+    bool                 is_relayed;     /* the relaying node has forwarded it */
     uint64_t             to_incarnation; /* incarnation of the process that it is sent to */
     cw_time_us_t         due;
     uint64_t             incarnation;
@@ -123,8 +123,8 @@
 
 /* Applies a report as a node does: it counts the tenants of which it would choose itself as the counting node, and
  * redirects the others. */
-static void take_report(quota_sim_node_t *node, size_t to, uint64_t incarnation, uint32_t sequence,
-                        const cw_quota_usage_t *usages, size_t count)
+static void apply_report(quota_sim_node_t *node, size_t to, uint64_t incarnation, uint32_t sequence,
+                         const cw_quota_usage_t *usages, size_t count)
 {
     quota_sim_message_t message = {.kind = STATUS, .from = index_of(node->address), .to = to, .sequence = sequence};
     size_t              index;
@@ -147,7 +147,7 @@
     send_message(node->sim, &message);
 }
 
-static void take_status(quota_sim_node_t *node, uint32_t from, const quota_sim_message_t *message)
+static void apply_status(quota_sim_node_t *node, uint32_t from, const quota_sim_message_t *message)
 {
     cw_quota_status_t status = {.sequence = message->sequence,
                                 .metered = message->metered,
@@ -178,10 +178,10 @@
     }
     switch (message->kind) {
     case REPORT:
-        take_report(node, message->from, message->incarnation, message->sequence, message->usages, message->count);
+        apply_report(node, message->from, message->incarnation, message->sequence, message->usages, message->count);
         break;
     case STATUS:
-        take_status(node, from, message);
+        apply_status(node, from, message);
         break;
     case ASK:
         if (choose_counter(node, message->ask.usage.tenant) != node->address) {
@@ -214,7 +214,7 @@
     }
 }
 
-/* Sends a message on at its relaying node, if that node receives from the destination. False: the message has reached
+/* Forwards a message at its relaying node, if that node receives from the destination. False: the message has reached
  * its destination. */
 static bool relay(quota_sim_t *sim, const quota_sim_message_t *message)
 {
@@ -294,34 +294,35 @@
     return receives_from(node, other) || has_detour(node, other);
 }
 
-static bool is_in_touch(const quota_sim_node_t *node, size_t other)
+static bool is_reachable(const quota_sim_node_t *node, size_t other)
 {
-    bool has_old_limits =
+    bool is_unresponsive =
         !node->reaches[other] && node->sim->now - node->reach_changed[other] >= CW_MS(QUOTA_SIM_SUSPECT_MS);
 
-    return (receives_from(node, other) && !has_old_limits && !is_missed_by(node, other)) || has_detour(node, other);
+    return (receives_from(node, other) && !is_unresponsive && !is_missed_by(node, other)) || has_detour(node, other);
 }
 
-static uint32_t count_in_touch(const quota_sim_node_t *node)
+static uint32_t count_reachable_nodes(const quota_sim_node_t *node)
 {
     uint32_t count = 0;
     size_t   other;
 
     for (other = 0; other < node->sim->node_count; other++) {
-        count += is_in_touch(node, other) ? 1 : 0;
+        count += is_reachable(node, other) ? 1 : 0;
     }
     return count;
 }
 
 static bool declines(const quota_sim_node_t *node)
 {
-    return node->sim->new_nodes_decline && !cw_fleet_size_is_reached(&node->fleet_size, node->in_touch, node->sim->now);
+    return node->sim->new_nodes_decline &&
+           !cw_fleet_size_is_reached(&node->fleet_size, node->reachable_nodes, node->sim->now);
 }
 
 /* Number of nodes that share the limits, as far as the node knows. */
 static uint32_t node_count_known_to(const quota_sim_node_t *node)
 {
-    uint32_t nodes = cw_fleet_size_nodes(&node->fleet_size, node->max_in_touch, node->sim->now);
+    uint32_t nodes = cw_fleet_size_nodes(&node->fleet_size, node->max_reachable_nodes, node->sim->now);
 
     return declines(node) && node->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
@@ -336,8 +337,8 @@
     if (via != 0) {
         send_via(sim, &message, index_of(via));
     }
-    for (way = 0; way < CW_DETOUR_WAYS; way++) {
-        size_t between = (turn * CW_DETOUR_WAYS + way) % sim->node_count;
+    for (way = 0; way < CW_DETOUR_INDIRECT_PROBES; way++) {
+        size_t between = (turn * CW_DETOUR_INDIRECT_PROBES + way) % sim->node_count;
 
         if (between != suspect && between != message.from && receives_from(node, between)) {
             send_via(sim, &message, between);
@@ -353,13 +354,13 @@
 
     for (other = 0; other < sim->node_count; other++) {
         if (other != index_of(node->address) && is_suspect(node, other) &&
-            cw_detours_probe(node->detours, sim->nodes[other].address, sim->now, &turn)) {
+            cw_detours_begin_probe(node->detours, sim->nodes[other].address, sim->now, &turn)) {
             probe(node, other, turn);
         }
     }
 }
 
-static uint32_t choose(const quota_sim_node_t *node, uint32_t tenant, bool passes_over_silent)
+static uint32_t choose(const quota_sim_node_t *node, uint32_t tenant, bool skips_unresponsive)
 {
     const quota_sim_t    *sim = node->sim;
     cw_broker_candidate_t candidates[QUOTA_SIM_MAX_NODES];
@@ -369,7 +370,7 @@
     for (index = 0; index < sim->node_count; index++) {
         uint32_t address = sim->nodes[index].address;
         bool     is_own = address == node->address;
-        bool     is_left_out = passes_over_silent ? cw_quota_share_is_silent(node->share, address, sim->now)
+        bool     is_left_out = skips_unresponsive ? cw_quota_share_is_skipped(node->share, address, sim->now)
                                                   : cw_quota_share_has_declined(node->share, address, sim->now);
 
         if ((is_own ? !declines(node) : is_known(node, index)) && !is_left_out) {
@@ -386,7 +387,7 @@
     uint32_t first = choose(node, tenant, false);
     uint32_t next;
 
-    if (!cw_quota_share_is_silent(node->share, first, node->sim->now)) {
+    if (!cw_quota_share_is_skipped(node->share, first, node->sim->now)) {
         return first;
     }
     next = choose(node, tenant, true);
@@ -535,22 +536,23 @@
     }
 }
 
-/* Lets a node learn the leader's statement of the number of nodes some time after its start, or never. */
-static void learn_fleet_size(quota_sim_node_t *node)
+/* Sets the number of nodes as a node receives it from the leader, some time after the node's start or never. */
+static void receive_fleet_size(quota_sim_node_t *node)
 {
     const quota_sim_t *sim = node->sim;
 
     if (sim->size_known_after >= 0 && sim->now - node->fleet_size.started_at >= sim->size_known_after) {
-        cw_fleet_size_note(&node->fleet_size, (uint32_t)sim->node_count);
+        cw_fleet_size_record(&node->fleet_size, (uint32_t)sim->node_count);
     }
 }
 
 static void update_node_counts(quota_sim_node_t *node)
 {
-    learn_fleet_size(node);
-    node->in_touch = count_in_touch(node);
-    node->max_in_touch = node->in_touch > node->max_in_touch ? node->in_touch : node->max_in_touch;
-    cw_quota_counter_set_nodes(node->counter, node_count_known_to(node), node->in_touch);
+    receive_fleet_size(node);
+    node->reachable_nodes = count_reachable_nodes(node);
+    node->max_reachable_nodes =
+        node->reachable_nodes > node->max_reachable_nodes ? node->reachable_nodes : node->max_reachable_nodes;
+    cw_quota_counter_set_nodes(node->counter, node_count_known_to(node), node->reachable_nodes);
     cw_quota_share_set_nodes(node->share, node_count_known_to(node));
 }
 
@@ -589,8 +591,8 @@
     node->share = cw_quota_share_create(&sim->settings, &port, node->address, node->incarnation);
     node->counter = cw_quota_counter_create(&sim->settings);
     node->detours = cw_detours_create();
-    node->in_touch = 1;
-    node->max_in_touch = 1;
+    node->reachable_nodes = 1;
+    node->max_reachable_nodes = 1;
     cw_fleet_size_init(&node->fleet_size, CW_SECONDS(OWN_COUNT_S), sim->now);
     forget_peers(node);
     set_limits(node);
--- a/tests/test_caller_identity.c
+++ b/tests/test_caller_identity.c
@@ -170,7 +170,7 @@
 
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
     ck_assert(!caller.strips_credentials);
-    caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not passed on to its servers */
+    caller = identify(configuration, "/c/x", "Token sesame"); /* another tenant's key is not forwarded to its servers */
     ck_assert_int_eq(caller.verdict, CW_CALLER_ANONYMOUS);
     ck_assert(caller.strips_credentials);
     ck_assert_ptr_null(caller.tenant);
@@ -307,13 +307,13 @@
 
 START_TEST(field_names_match_in_any_spelling)
 {
-    ck_assert(cw_http_name_is_alike("X-Tenant", "x-tenant"));
-    ck_assert(cw_http_name_is_alike("X_TENANT", "X-Tenant"));
-    ck_assert(cw_http_name_is_alike("x-Tenant \t", "X-Tenant"));
-    ck_assert(cw_http_name_is_alike("x tenant", "X-Tenant"));
-    ck_assert(!cw_http_name_is_alike("X-Tenants", "X-Tenant"));
-    ck_assert(!cw_http_name_is_alike("XTenant", "X-Tenant"));
-    ck_assert(!cw_http_name_is_alike("", "X-Tenant"));
+    ck_assert(cw_http_name_is_equivalent("X-Tenant", "x-tenant"));
+    ck_assert(cw_http_name_is_equivalent("X_TENANT", "X-Tenant"));
+    ck_assert(cw_http_name_is_equivalent("x-Tenant \t", "X-Tenant"));
+    ck_assert(cw_http_name_is_equivalent("x tenant", "X-Tenant"));
+    ck_assert(!cw_http_name_is_equivalent("X-Tenants", "X-Tenant"));
+    ck_assert(!cw_http_name_is_equivalent("XTenant", "X-Tenant"));
+    ck_assert(!cw_http_name_is_equivalent("", "X-Tenant"));
 }
 END_TEST
 
--- a/tests/test_fleet_scale.c
+++ b/tests/test_fleet_scale.c
@@ -18,10 +18,10 @@
 enum {
     OWNERS = 6000,
     SERVERS = 10000,
-    ORDERS_UNDER_WAY_MAX = 512,
+    ORDERS_IN_FLIGHT_MAX = 512,
     TICKS_MAX = 400,
     RENEWAL_S = 20,
-    RENEWALS_A_SECOND_MAX = 2000 * 11 / 10, /* the budget of half a core, and a tenth for renewals due at both ends */
+    RENEWALS_PER_SECOND_MAX = 2000 * 11 / 10, /* the budget of half a core, and a tenth for renewals due at both ends */
     FEW = 1500,
     MANY = 4 * FEW,
     REPEATS = 7
@@ -59,7 +59,7 @@
     int tick = 0;
 
     while (held_ranges(node) < owners) {
-        ck_assert_uint_le(node->order_count, ORDERS_UNDER_WAY_MAX);
+        ck_assert_uint_le(node->order_count, ORDERS_IN_FLIGHT_MAX);
         node_fixture_answer_orders(node, CW_ORDER_DONE);
         node_fixture_answer_store(node);
         node_fixture_tick(node, CW_TICK_MS);
@@ -76,15 +76,16 @@
 
     ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, OWNERS);
     ticks = tick_until_held(node, OWNERS);
-    ck_assert_uint_le(node->router.leader_tables_version - tables, (uint64_t)ticks * ORDERS_UNDER_WAY_MAX / 100);
+    ck_assert_uint_le(node->router.leader_tables_version - tables, (uint64_t)ticks * ORDERS_IN_FLIGHT_MAX / 100);
     node_fixture_tick(node, 1000); /* the last changes are published, too */
     ck_assert(!node->router.table_publication.is_due);
     node_fixture_free(node);
 }
 END_TEST
 
-/* Returns the number of renewals a second over RENEWAL_S seconds. check_holds shows afterwards that no hold ran out. */
-static double renewals_a_second(node_fixture_t *node)
+/* Returns the number of renewals a second over RENEWAL_S seconds. check_leases shows afterwards that no lease
+ * expired. */
+static double measured_renewals_per_second(node_fixture_t *node)
 {
     uint64_t before = 0;
     uint64_t sent = 0;
@@ -103,7 +104,7 @@
     return (double)(sent - before) / RENEWAL_S;
 }
 
-static void check_holds(const node_fixture_t *node)
+static void check_leases(const node_fixture_t *node)
 {
     const cw_range_list_t *ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
     size_t                 index;
@@ -122,8 +123,8 @@
     node_fixture_t *node = new_leader(owners);
 
     (void)tick_until_held(node, owners);
-    ck_assert_double_le(renewals_a_second(node), RENEWALS_A_SECOND_MAX);
-    check_holds(node);
+    ck_assert_double_le(measured_renewals_per_second(node), RENEWALS_PER_SECOND_MAX);
+    check_leases(node);
     node_fixture_free(node);
 }
 END_TEST
@@ -194,7 +195,7 @@
     return list;
 }
 
-/* CPU time in seconds for taking a list, as if read from the store, of which one entry in fifty has changed: the
+/* CPU time in seconds for applying a list, as if read from the store, of which one entry in fifty has changed: the
  * shortest of several. */
 static double time_of_change(size_t servers)
 {
@@ -205,21 +206,21 @@
     for (repeat = 0; repeat < REPEATS; repeat++) {
         cw_server_view_t    view;
         cw_server_list_t   *before;
-        cw_server_reading_t reading = {.list = list_of(servers), .revision = 1, .latest = 1, .true_at = 1};
+        cw_server_reading_t reading = {.list = list_of(servers), .revision = 1, .latest = 1, .valid_at = 1};
         size_t              index;
         double              begun;
 
         cw_server_view_init(&view, &settings);
-        (void)cw_server_view_take(&view, &reading, CW_SECONDS(1), &before);
+        (void)cw_server_view_apply(&view, &reading, CW_SECONDS(1), &before);
         begun = cpu_s();
         reading = (cw_server_reading_t){.list = cw_server_list_copy_without(view.list, NULL, 0),
                                         .revision = 2,
                                         .latest = 2,
-                                        .true_at = CW_SECONDS(2)};
+                                        .valid_at = CW_SECONDS(2)};
         for (index = 0; index < servers / 50; index++) {
             reading.list->entries[50 * index].draining = true;
         }
-        ck_assert_int_eq(cw_server_view_take(&view, &reading, CW_SECONDS(2), &before), CW_VIEW_CHANGED);
+        ck_assert_int_eq(cw_server_view_apply(&view, &reading, CW_SECONDS(2), &before), CW_VIEW_CHANGED);
         ck_assert_ptr_nonnull(cw_server_list_successor(view.list, "i-old", view.list->entries[0].address));
         best = cpu_s() - begun < best ? cpu_s() - begun : best;
         cw_server_list_release(before);
--- a/tests/test_http_upload.c
+++ b/tests/test_http_upload.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "listener_world.h"
+#include "listener_fixture.h"
 #include "loop_fixture.h"
 #include "net/http_listener_internal.h"
 #include "net/http_upstream.h"
@@ -293,20 +293,20 @@
 {
     cw_http_limits_t   wide = limits;
     listener_fixture_t fixture;
-    fixture_caller_t  *too_large_here;
-    fixture_caller_t  *too_large;
+    fixture_caller_t  *beyond_memory;
+    fixture_caller_t  *beyond_size;
 
     wide.body_bytes = 2 * MEMORY_LIMIT_BYTES;
     listener_fixture_init(&fixture, &wide, &long_wait);
-    too_large_here = listener_fixture_connect(&fixture);
-    too_large = listener_fixture_connect(&fixture);
-    listener_fixture_send_text(too_large_here, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n");
-    listener_fixture_await_end(too_large_here);
-    ck_assert_ptr_nonnull(strstr(listener_fixture_received(too_large_here), "HTTP/1.1 503"));
-    ck_assert_ptr_nonnull(strstr(listener_fixture_received(too_large_here), "Retry-After: "));
-    listener_fixture_send_text(too_large, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\n\r\n");
-    listener_fixture_await_end(too_large);
-    ck_assert_ptr_nonnull(strstr(listener_fixture_received(too_large), "HTTP/1.1 413"));
+    beyond_memory = listener_fixture_connect(&fixture);
+    beyond_size = listener_fixture_connect(&fixture);
+    listener_fixture_send_text(beyond_memory, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n");
+    listener_fixture_await_end(beyond_memory);
+    ck_assert_ptr_nonnull(strstr(listener_fixture_received(beyond_memory), "HTTP/1.1 503"));
+    ck_assert_ptr_nonnull(strstr(listener_fixture_received(beyond_memory), "Retry-After: "));
+    listener_fixture_send_text(beyond_size, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\n\r\n");
+    listener_fixture_await_end(beyond_size);
+    ck_assert_ptr_nonnull(strstr(listener_fixture_received(beyond_size), "HTTP/1.1 413"));
 }
 END_TEST
 
@@ -403,7 +403,7 @@
 {
     listener_fixture_await_requests(fixture, index + 1);
     ck_assert_str_eq(fixture->requests[index].target, LISTENER_FIXTURE_REJECTED);
-    ck_assert(fixture->requests[index].without_body);
+    ck_assert(fixture->requests[index].body_unread);
     ck_assert_uint_eq(fixture->requests[index].body_length, 0);
     ck_assert_uint_eq(cw_http_listener_body_bytes(fixture->listener), 0);
     listener_fixture_answer(fixture, index, "no");
@@ -495,7 +495,7 @@
     caller = listener_fixture_connect(&fixture);
     listener_fixture_send_text(caller, REJECTED "Content-Length: 0\r\n\r\n");
     listener_fixture_await_requests(&fixture, 1);
-    ck_assert(!fixture.requests[0].without_body);
+    ck_assert(!fixture.requests[0].body_unread);
     listener_fixture_answer(&fixture, 0, "no");
     listener_fixture_send_text(caller, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
     listener_fixture_await_requests(&fixture, 2);
--- a/tests/test_order_trust.c
+++ b/tests/test_order_trust.c
@@ -1,6 +1,6 @@
 /**
  * @file test_order_trust.c
- * @brief Servers that are listed and dead: they do not get keys by turns.
+ * @brief Tests that dead servers which are still listed do not get the same keys alternately.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,24 +8,24 @@
 #include "loop_fixture.h"
 #include "node_fixture.h"
 
-enum { SERVERS = 6, TICKS_A_SECOND = 1000 / CW_TICK_MS, KEYS_SAMPLED = 16 };
+enum { SERVERS = 6, TICKS_PER_SECOND = 1000 / CW_TICK_MS, KEYS_SAMPLED = 16 };
 
 enum { SERVER = 77, OTHER = 78 };
 
 static void fail_orders(cw_order_trust_t *trust, int times, cw_time_us_t now)
 {
     while (times-- > 0) {
-        cw_order_trust_note_failure(trust, SERVER, 0, now);
+        cw_order_trust_record_failure(trust, SERVER, 0, now);
     }
 }
 
-START_TEST(one_failure_is_no_reason_to_doubt_and_two_in_a_row_are)
+START_TEST(a_server_is_doubted_after_two_failures_in_a_row)
 {
     cw_order_trust_t *trust = cw_order_trust_create();
 
     fail_orders(trust, 1, CW_SECONDS(1));
     ck_assert(!cw_order_trust_is_doubted(trust, SERVER, 0, CW_SECONDS(1)));
-    cw_order_trust_note_answer(trust, SERVER);
+    cw_order_trust_record_answer(trust, SERVER);
     fail_orders(trust, 1, CW_SECONDS(1));
     ck_assert(!cw_order_trust_is_doubted(trust, SERVER, 0, CW_SECONDS(1)));
     fail_orders(trust, 1, CW_SECONDS(1));
@@ -40,7 +40,7 @@
     cw_order_trust_t *trust = cw_order_trust_create();
 
     fail_orders(trust, 2, CW_SECONDS(1));
-    cw_order_trust_note_answer(trust, SERVER);
+    cw_order_trust_record_answer(trust, SERVER);
     ck_assert(!cw_order_trust_is_doubted(trust, SERVER, 0, CW_SECONDS(1)));
     fail_orders(trust, 2, CW_SECONDS(1));
     ck_assert(cw_order_trust_is_doubted(trust, SERVER, 0, CW_SECONDS(1)));
@@ -50,16 +50,16 @@
 }
 END_TEST
 
-START_TEST(a_doubted_server_is_tried_ever_later)
+START_TEST(periods_of_doubt_of_a_server_double)
 {
     cw_order_trust_t *trust = cw_order_trust_create();
     cw_time_us_t      now = CW_SECONDS(1);
-    int               pause_s;
+    int               period_s;
 
-    for (pause_s = CW_ORDER_DOUBT_FIRST_S; pause_s <= 4 * CW_ORDER_DOUBT_MOST_S; pause_s *= 2) {
-        int bounded_s = pause_s < CW_ORDER_DOUBT_MOST_S ? pause_s : CW_ORDER_DOUBT_MOST_S;
+    for (period_s = CW_ORDER_DOUBT_INITIAL_S; period_s <= 4 * CW_ORDER_DOUBT_MAX_S; period_s *= 2) {
+        int bounded_s = period_s < CW_ORDER_DOUBT_MAX_S ? period_s : CW_ORDER_DOUBT_MAX_S;
 
-        fail_orders(trust, 8, now); /* orders of one try */
+        fail_orders(trust, 8, now); /* orders of one plan */
         ck_assert(cw_order_trust_is_doubted(trust, SERVER, 0, now + CW_SECONDS(bounded_s) - 1));
         now += CW_SECONDS(bounded_s);
         ck_assert(!cw_order_trust_is_doubted(trust, SERVER, 0, now));
@@ -68,29 +68,29 @@
 }
 END_TEST
 
-START_TEST(servers_that_are_given_no_orders_any_more_are_forgotten)
+START_TEST(servers_without_orders_are_discarded)
 {
     cw_order_trust_t *trust = cw_order_trust_create();
 
     fail_orders(trust, 2, CW_SECONDS(1));
-    cw_order_trust_expire(trust, CW_SECONDS(2 * CW_ORDER_DOUBT_MOST_S));
+    cw_order_trust_expire(trust, CW_SECONDS(2 * CW_ORDER_DOUBT_MAX_S));
     ck_assert_uint_eq(cw_order_trust_servers(trust), 1);
-    cw_order_trust_expire(trust, CW_SECONDS(2 * CW_ORDER_DOUBT_MOST_S + 2));
+    cw_order_trust_expire(trust, CW_SECONDS(2 * CW_ORDER_DOUBT_MAX_S + 2));
     ck_assert_uint_eq(cw_order_trust_servers(trust), 0);
     cw_order_trust_free(trust);
 }
 END_TEST
 
-/* The first two servers are dead from now on. Lets so many seconds pass under load, the servers in the list all the
- * while; returns the grants that went to the dead ones. */
-static size_t pass_seconds(node_fixture_t *node, int seconds)
+/* Runs the node for this number of seconds with load while the first two servers are dead but still listed. Returns the
+ * number of grants sent to the dead ones. */
+static size_t run_seconds(node_fixture_t *node, int seconds)
 {
     uint32_t keys[KEYS_SAMPLED];
     size_t   grants = 0;
     size_t   key;
     int      tick;
 
-    for (tick = 0; tick < seconds * TICKS_A_SECOND; tick++) {
+    for (tick = 0; tick < seconds * TICKS_PER_SECOND; tick++) {
         for (key = 0; key < KEYS_SAMPLED; key++) {
             keys[key] = (uint32_t)((size_t)tick * 7919 + key * 4096 + 17) % (CW_KEY_LAST + 1);
         }
@@ -118,7 +118,7 @@
     return keys;
 }
 
-START_TEST(keys_of_two_dead_servers_that_stay_listed_do_not_go_from_one_to_the_other)
+START_TEST(keys_do_not_alternate_between_two_dead_servers_that_stay_listed)
 {
     node_fixture_t *node = node_fixture_create();
 
@@ -126,9 +126,9 @@
     ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
     ck_assert_uint_eq(keys_not_held(node), 0);
-    (void)pass_seconds(node, 12); /* a lost owner's keys are held for a hold's time */
+    (void)run_seconds(node, 12); /* keys of a lost owner cannot move before its hold expires */
     ck_assert_uint_eq(keys_not_held(node), 0);
-    ck_assert_uint_le(pass_seconds(node, 60), 24); /* tried again, ever later */
+    ck_assert_uint_le(run_seconds(node, 60), 24); /* orders are sent to them again after increasing periods of doubt */
     node_fixture_free(node);
 }
 END_TEST
@@ -139,11 +139,11 @@
     TCase *cases = tcase_create("servers that orders do not reach");
 
     tcase_set_timeout(cases, 60);
-    tcase_add_test(cases, one_failure_is_no_reason_to_doubt_and_two_in_a_row_are);
+    tcase_add_test(cases, a_server_is_doubted_after_two_failures_in_a_row);
     tcase_add_test(cases, a_server_that_answers_an_order_or_a_request_is_trusted_again);
-    tcase_add_test(cases, a_doubted_server_is_tried_ever_later);
-    tcase_add_test(cases, servers_that_are_given_no_orders_any_more_are_forgotten);
-    tcase_add_test(cases, keys_of_two_dead_servers_that_stay_listed_do_not_go_from_one_to_the_other);
+    tcase_add_test(cases, periods_of_doubt_of_a_server_double);
+    tcase_add_test(cases, servers_without_orders_are_discarded);
+    tcase_add_test(cases, keys_do_not_alternate_between_two_dead_servers_that_stay_listed);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_ownership_measures.c
+++ b/tests/test_ownership_measures.c
@@ -1,6 +1,6 @@
 /**
  * @file test_ownership_measures.c
- * @brief Imbalance, churn and unavailable time, from ranges and loads that are known.
+ * @brief Tests of imbalance, churn and unavailable time with known ranges and loads.
  */
 #include <stdio.h>
 #include <string.h>
@@ -48,58 +48,58 @@
     range->phase = CW_RANGE_HELD;
 }
 
-START_TEST(first_owners_are_no_churn)
+START_TEST(the_first_assignment_is_not_churn)
 {
     add_range(0, 32767, "");
     add_range(32768, 65535, "");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(1));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(1));
     snprintf(ranges.items[0].owner.id, sizeof(ranges.items[0].owner.id), "a");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(2));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(2));
     ck_assert_double_eq(measures.moved_keys, 0);
 }
 END_TEST
 
-START_TEST(moved_keys_are_counted_and_the_cold_ones_apart)
+START_TEST(moved_keys_and_cold_ones_are_counted_separately)
 {
     add_range(0, 32767, "a");
     add_range(32768, 65535, "b");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(1));
-    (void)cw_range_list_cut(&ranges, 0, 16384);
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(1));
+    (void)cw_range_list_split(&ranges, 0, 16384);
     start_move(&ranges.items[1], "b");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(2));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(2));
     ck_assert_double_eq(measures.moved_keys, 16384);
     ck_assert_double_eq(measures.moved_cold_keys, 0);
     end_move(&ranges.items[1], "token");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(3));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(3));
     ck_assert_double_eq(measures.moved_cold_keys, 0);
     start_move(&ranges.items[0], "c");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(4));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(4));
     end_move(&ranges.items[0], "");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(5));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(5));
     ck_assert_double_eq(measures.moved_keys, 32768);
     ck_assert_double_eq(measures.moved_cold_keys, 16384);
 }
 END_TEST
 
-START_TEST(unavailable_time_is_keys_times_seconds_and_the_longest_gap_goes_on_through_cuts)
+START_TEST(unavailable_time_is_in_key_seconds_and_the_longest_gap_continues_through_splits)
 {
     add_range(0, 65535, "a");
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(1));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(1));
     ranges.items[0].failing_since = CW_SECONDS(1);
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(2));
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(3));
-    (void)cw_range_list_cut(&ranges, 0, 65536 - 100);
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(2));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(3));
+    (void)cw_range_list_split(&ranges, 0, 65536 - 100);
     ranges.items[0].failing_since = 0;
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(4));
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(4));
     ranges.items[1].failing_since = 0;
-    cw_ownership_measures_look(&measures, &ranges, CW_SECONDS(5));
-    /* all keys from the look at 2 s on for 1 s, then 100 of them for 1 s: what was between two looks is not known */
+    cw_ownership_measures_observe(&measures, &ranges, CW_SECONDS(5));
+    /* all keys for 1 s from the observation at 2 s, then 100 keys for 1 s: changes between observations are not seen */
     ck_assert_double_eq_tol(measures.unavailable_key_s, 65536 + 100, 0.01);
     ck_assert_double_eq_tol(measures.unavailable_longest_s, 2, 1e-9);
 }
 END_TEST
 
-/* Two owners, a and b; three of four requests of the last two seconds are for a's keys. */
+/* Two owners, a and b: three quarters of the requests of the last two seconds are for a's keys. */
 static void add_three_quarters_on_a(cw_load_window_t *window, cw_time_us_t now)
 {
     int index;
@@ -111,31 +111,31 @@
     }
 }
 
-START_TEST(imbalance_is_the_busiest_over_the_mean_weighted_by_time)
+START_TEST(imbalance_is_the_time_weighted_ratio_of_busiest_to_mean)
 {
     cw_load_window_t window = {0};
     cw_time_us_t     now = CW_SECONDS(10);
 
     add_three_quarters_on_a(&window, now);
-    cw_ownership_measures_look_at_load(&measures, &ranges, &window, now);
+    cw_ownership_measures_observe_load(&measures, &ranges, &window, now);
     ck_assert_double_eq_tol(measures.imbalance, 1.5, 0.02);
-    cw_ownership_measures_look_at_load(&measures, &ranges, &window, now + CW_SECONDS(1));
+    cw_ownership_measures_observe_load(&measures, &ranges, &window, now + CW_SECONDS(1));
     ck_assert_double_eq_tol(cw_ownership_measures_imbalance(&measures), 1.5, 0.02);
     ck_assert_double_eq_tol(measures.imbalance_s, 1, 1e-9);
     cw_load_window_clear(&window);
 }
 END_TEST
 
-START_TEST(load_that_moved_is_its_share)
+START_TEST(moved_load_is_counted_as_a_share)
 {
     cw_load_window_t window = {0};
     cw_time_us_t     now = CW_SECONDS(10);
 
     add_three_quarters_on_a(&window, now);
-    cw_ownership_measures_look(&measures, &ranges, now);
-    cw_ownership_measures_look_at_load(&measures, &ranges, &window, now);
+    cw_ownership_measures_observe(&measures, &ranges, now);
+    cw_ownership_measures_observe_load(&measures, &ranges, &window, now);
     start_move(&ranges.items[1], "a");
-    cw_ownership_measures_look(&measures, &ranges, now + CW_MS(20));
+    cw_ownership_measures_observe(&measures, &ranges, now + CW_MS(20));
     ck_assert_double_eq_tol(measures.moved_load, 0.25, 0.01);
     cw_load_window_clear(&window);
 }
@@ -147,11 +147,11 @@
     TCase *cases = tcase_create("ownership_measures");
 
     tcase_add_checked_fixture(cases, setup, teardown);
-    tcase_add_test(cases, first_owners_are_no_churn);
-    tcase_add_test(cases, moved_keys_are_counted_and_the_cold_ones_apart);
-    tcase_add_test(cases, unavailable_time_is_keys_times_seconds_and_the_longest_gap_goes_on_through_cuts);
-    tcase_add_test(cases, imbalance_is_the_busiest_over_the_mean_weighted_by_time);
-    tcase_add_test(cases, load_that_moved_is_its_share);
+    tcase_add_test(cases, the_first_assignment_is_not_churn);
+    tcase_add_test(cases, moved_keys_and_cold_ones_are_counted_separately);
+    tcase_add_test(cases, unavailable_time_is_in_key_seconds_and_the_longest_gap_continues_through_splits);
+    tcase_add_test(cases, imbalance_is_the_time_weighted_ratio_of_busiest_to_mean);
+    tcase_add_test(cases, moved_load_is_counted_as_a_share);
     suite_add_tcase(suite, cases);
     return cw_test_main(suite);
 }
--- a/tests/test_server_signals.c
+++ b/tests/test_server_signals.c
@@ -41,7 +41,7 @@
     ck_assert_ptr_null(decoded_of(503, "Retry-After", "0").malformed_name);
     ck_assert(!decoded_of(200, "Retry-After", "3").has_rest);
     ck_assert(!decoded_of(429, "Retry-After", "3").has_rest);
-    ck_assert_int_eq(decoded_of(503, "Retry-After", "99999999").rest, CW_SECONDS(CW_SERVER_REST_MOST_S));
+    ck_assert_int_eq(decoded_of(503, "Retry-After", "99999999").rest, CW_SECONDS(CW_SERVER_REST_MAX_S));
     ck_assert_str_eq(decoded_of(503, "Retry-After", "99999999").malformed_name, "Retry-After");
     for (index = 0; index < sizeof(wrong) / sizeof(wrong[0]); index++) {
         ck_assert_msg(!decoded_of(503, "Retry-After", wrong[index]).has_rest, "%s", wrong[index]);
@@ -78,7 +78,7 @@
     ck_assert_double_eq(decoded("server-limit", "6.6").limit_per_s, 6.6);
     ck_assert(decoded("Server-Limit", "0").has_limit);
     ck_assert_double_eq(decoded("Server-Limit", "0").limit_per_s, 0);
-    ck_assert_double_eq(decoded("Server-Limit", "99999999999999").limit_per_s, CW_SERVER_LIMIT_MOST);
+    ck_assert_double_eq(decoded("Server-Limit", "99999999999999").limit_per_s, CW_SERVER_LIMIT_MAX);
     for (index = 0; index < sizeof(wrong) / sizeof(wrong[0]); index++) {
         ck_assert_msg(!decoded("Server-Limit", wrong[index]).has_limit, "%s", wrong[index]);
         ck_assert_str_eq(decoded("Server-Limit", wrong[index]).malformed_name, "Server-Limit");
@@ -93,9 +93,9 @@
     cw_server_limit_t limit = {0};
 
     ck_assert(!cw_server_limit_binds(&limit, start));
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 6, start, start), CW_LIMIT_BEGUN);
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 6, start + 1, start + 1), CW_LIMIT_UNCHANGED);
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 4, start + 2, start + 2), CW_LIMIT_CHANGED);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 6, start, start), CW_LIMIT_BEGUN);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 6, start + 1, start + 1), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 4, start + 2, start + 2), CW_LIMIT_CHANGED);
     ck_assert_double_eq(limit.per_s, 4);
     ck_assert(cw_server_limit_binds(&limit, start + CW_SECONDS(5)));
 }
@@ -105,12 +105,12 @@
 {
     cw_server_limit_t limit = {0};
 
-    (void)cw_server_limit_note_named(&limit, 4, start, start);
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 9, start - CW_MS(50), start + 1), CW_LIMIT_UNCHANGED);
-    ck_assert_int_eq(cw_server_limit_note_ended(&limit, start - CW_MS(50), start + 1), CW_LIMIT_UNCHANGED);
+    (void)cw_server_limit_record_named(&limit, 4, start, start);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 9, start - CW_MS(50), start + 1), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_ended(&limit, start - CW_MS(50), start + 1), CW_LIMIT_UNCHANGED);
     ck_assert_double_eq(limit.per_s, 4);
-    ck_assert_int_eq(cw_server_limit_note_ended(&limit, start + CW_MS(50), start + CW_MS(60)), CW_LIMIT_ENDED);
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 4, start + CW_MS(40), start + CW_MS(70)), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_ended(&limit, start + CW_MS(50), start + CW_MS(60)), CW_LIMIT_ENDED);
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 4, start + CW_MS(40), start + CW_MS(70)), CW_LIMIT_UNCHANGED);
     ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(80)));
 }
 END_TEST
@@ -123,9 +123,9 @@
     for (round = 0; round < 50; round++) {
         cw_time_us_t now = start + round * CW_MS(300);
 
-        (void)cw_server_limit_note_named(&limit, 6, now, now);
-        ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, now + CW_MS(100)), CW_LIMIT_UNCHANGED);
-        ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, now + CW_MS(200)), CW_LIMIT_UNCHANGED);
+        (void)cw_server_limit_record_named(&limit, 6, now, now);
+        ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, now + CW_MS(100)), CW_LIMIT_UNCHANGED);
+        ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, now + CW_MS(200)), CW_LIMIT_UNCHANGED);
     }
     ck_assert(cw_server_limit_binds(&limit, start + 50 * CW_MS(300)));
 }
@@ -135,12 +135,12 @@
 {
     cw_server_limit_t limit = {0};
 
-    (void)cw_server_limit_note_named(&limit, 6, start, start);
-    ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, start + CW_MS(900)), CW_LIMIT_UNCHANGED);
-    ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, start + CW_MS(950)), CW_LIMIT_UNCHANGED);
-    ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, start + CW_MS(1050)), CW_LIMIT_ENDED);
+    (void)cw_server_limit_record_named(&limit, 6, start, start);
+    ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, start + CW_MS(900)), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, start + CW_MS(950)), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, start + CW_MS(1050)), CW_LIMIT_ENDED);
     ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(1050)));
-    ck_assert_int_eq(cw_server_limit_note_unnamed(&limit, start + CW_MS(1060)), CW_LIMIT_UNCHANGED);
+    ck_assert_int_eq(cw_server_limit_record_unnamed(&limit, start + CW_MS(1060)), CW_LIMIT_UNCHANGED);
 }
 END_TEST
 
@@ -148,10 +148,10 @@
 {
     cw_server_limit_t limit = {0};
 
-    (void)cw_server_limit_note_named(&limit, 0, start, start);
-    ck_assert(cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_FORGOTTEN_MS) - 1));
-    ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_FORGOTTEN_MS)));
-    ck_assert_int_eq(cw_server_limit_note_named(&limit, 0, start + CW_SECONDS(20), start + CW_SECONDS(20)),
+    (void)cw_server_limit_record_named(&limit, 0, start, start);
+    ck_assert(cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_EXPIRY_MS) - 1));
+    ck_assert(!cw_server_limit_binds(&limit, start + CW_MS(CW_LIMIT_EXPIRY_MS)));
+    ck_assert_int_eq(cw_server_limit_record_named(&limit, 0, start + CW_SECONDS(20), start + CW_SECONDS(20)),
                      CW_LIMIT_BEGUN);
 }
 END_TEST
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -27,7 +27,7 @@
     for (index = 0; index < requests; index++) {
         cw_time_us_t now = from + length * index / requests;
 
-        cw_shared_budget_note_request(budget, &budget_settings, now);
+        cw_shared_budget_record_request(budget, &budget_settings, now);
         while (cw_shared_budget_take(budget, &budget_settings, nodes, now)) {
             spent++;
         }
@@ -123,11 +123,11 @@
     cw_server_pool_t *pool = new_pool(&dropped);
 
     ck_assert_str_eq(choose(pool, 0, &full), "near");
-    cw_server_pool_begin(cw_server_pool_find(pool, "near"), 0);
-    cw_server_pool_begin(cw_server_pool_find(pool, "near"), 0);
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "near"), 0);
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "near"), 0);
     ck_assert_str_eq(choose(pool, 0, &full), "far");
-    cw_server_pool_begin(cw_server_pool_find(pool, "far"), 0);
-    cw_server_pool_begin(cw_server_pool_find(pool, "far"), 0);
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "far"), 0);
+    cw_server_pool_begin_request(cw_server_pool_find(pool, "far"), 0);
     ck_assert_str_eq(choose(pool, 0, &full), "none");
     ck_assert(full);
     cw_server_pool_free(pool);
@@ -141,14 +141,14 @@
     cw_server_pool_t  *pool = new_pool(&dropped);
     cw_server_report_t report = {.hash = cw_server_pool_find(pool, "near")->hash, .under_way = 2};
 
-    cw_server_pool_report(pool, 5, &report, 1, 0);
+    cw_server_pool_apply_report(pool, 5, &report, 1, 0);
     ck_assert_str_eq(choose(pool, 0, &full), "far");
     report.under_way = 1;
-    cw_server_pool_report(pool, 5, &report, 1, CW_MS(10));
+    cw_server_pool_apply_report(pool, 5, &report, 1, CW_MS(10));
     ck_assert_str_eq(choose(pool, CW_MS(10), &full), "near");
     report.under_way = 2;
-    cw_server_pool_report(pool, 5, &report, 1, CW_MS(20));
-    cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_LIFE_MS), CW_MS(20) + CW_MS(CW_POOL_REPORT_LIFE_MS) + 1);
+    cw_server_pool_apply_report(pool, 5, &report, 1, CW_MS(20));
+    cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_EXPIRY_MS), CW_MS(20) + CW_MS(CW_POOL_REPORT_EXPIRY_MS) + 1);
     ck_assert_uint_eq(cw_server_pool_find(pool, "near")->others, 0);
     cw_server_pool_free(pool);
 }
@@ -186,7 +186,7 @@
     return sum;
 }
 
-START_TEST(the_whole_list_includes_all_servers_even_without_change_numbers)
+START_TEST(the_whole_list_includes_all_servers_even_without_versions_of_changes)
 {
     cw_server_list_t *at_follower = list_of(150, 0);
     cw_server_list_t *at_leader = list_of(150, 7);
@@ -202,10 +202,10 @@
 }
 END_TEST
 
-START_TEST(pages_and_records_are_ordered_by_term_and_number)
+START_TEST(pages_and_records_are_ordered_by_term_and_version)
 {
-    cw_page_position_t whole = {.term = 2, .number = 7, .pages = 1};
-    cw_page_position_t change = {.term = 2, .number = 7, .base = 5, .pages = 1};
+    cw_page_position_t whole = {.term = 2, .version = 7, .pages = 1};
+    cw_page_position_t change = {.term = 2, .version = 7, .base = 5, .pages = 1};
 
     ck_assert(cw_page_is_usable(&whole, 1, 90));
     ck_assert(cw_page_is_usable(&whole, 2, 6));
@@ -228,13 +228,13 @@
     const cw_server_t *near = cw_server_pool_find(pool, "near");
     cw_server_report_t report = {.hash = near->hash, .under_way = 2, .waiting = 7};
 
-    cw_server_pool_report(pool, 5, &report, 1, 0);
-    cw_server_pool_report(pool, 6, &report, 1, 0);
+    cw_server_pool_apply_report(pool, 5, &report, 1, 0);
+    cw_server_pool_apply_report(pool, 6, &report, 1, 0);
     ck_assert_uint_eq(near->others_waiting, 14);
     report.waiting = 1;
-    cw_server_pool_report(pool, 5, &report, 1, CW_MS(20));
+    cw_server_pool_apply_report(pool, 5, &report, 1, CW_MS(20));
     ck_assert_uint_eq(near->others_waiting, 8);
-    cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_LIFE_MS), CW_MS(10) + CW_MS(CW_POOL_REPORT_LIFE_MS));
+    cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_EXPIRY_MS), CW_MS(10) + CW_MS(CW_POOL_REPORT_EXPIRY_MS));
     ck_assert_uint_eq(near->others_waiting, 1);
     cw_server_pool_free(pool);
 }
@@ -259,14 +259,14 @@
     cw_server_t       *far = cw_server_pool_find(pool, "far");
     cw_server_report_t report[2] = {{.hash = near->hash, .under_way = 2, .waiting = 1},
                                     {.hash = far->hash, .under_way = 5}};
-    cw_sum_filter_t    filter = {.context = "far", .takes_node = takes_low_nodes, .takes_server = takes_all_but};
+    cw_sum_filter_t    filter = {.context = "far", .includes_node = takes_low_nodes, .includes_server = takes_all_but};
     cw_server_report_t sums[4];
     size_t             left_out;
 
-    cw_server_pool_report(pool, 5, report, 2, 0);
-    cw_server_pool_report(pool, 6, report, 1, 0);
-    cw_server_pool_report(pool, 50, report, 2, 0); /* a node of another zone */
-    cw_server_pool_begin(near, 0);
+    cw_server_pool_apply_report(pool, 5, report, 2, 0);
+    cw_server_pool_apply_report(pool, 6, report, 1, 0);
+    cw_server_pool_apply_report(pool, 50, report, 2, 0); /* a node of another zone */
+    cw_server_pool_begin_request(near, 0);
     ck_assert_uint_eq(cw_server_pool_sum(pool, &filter, sums, 4, 0, &left_out), 1);
     ck_assert_uint_eq(sums[0].hash, near->hash);
     ck_assert_uint_eq(sums[0].under_way, 5);
@@ -287,7 +287,7 @@
     bool              full;
     cw_server_pool_t *pool = new_pool(&dropped);
 
-    cw_server_pool_fault(cw_server_pool_find(pool, "near"), 0);
+    cw_server_pool_record_fault(cw_server_pool_find(pool, "near"), 0);
     ck_assert_str_eq(choose(pool, CW_MS(1), &full), "far");
     ck_assert_str_eq(choose(pool, CW_SECONDS(1), &full), "near");
     cw_server_pool_free(pool);
@@ -355,12 +355,12 @@
     cw_server_pool_t *pool = new_pool(&dropped);
     cw_server_pace_t  pace = {.hash = cw_server_pool_find(pool, "near")->hash, .served = 10, .time = 30000};
 
-    cw_server_pool_learn(pool, 5, &pace, 1, 0);
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, 0);
     ck_assert_double_gt(cw_server_pool_find(pool, "near")->pace, 1.5);
     ck_assert_str_eq(choose(pool, 0, &full), "far");
     pace.served = 20; /* the next ten were answered in half the usual time */
     pace.time = 35000;
-    cw_server_pool_learn(pool, 5, &pace, 1, 0);
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, 0);
     ck_assert_double_lt(cw_server_pool_find(pool, "near")->pace, 1.6);
     cw_server_pool_free(pool);
 }
@@ -374,11 +374,11 @@
     cw_server_pool_t *pool = new_pool(&dropped);
     cw_server_pace_t  pace = {.hash = cw_server_pool_find(pool, "near")->hash, .served = 10, .time = 10000};
 
-    cw_server_pool_learn(pool, 5, &pace, 1, CW_SECONDS(10));
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, CW_SECONDS(10));
     ck_assert_int_eq(cw_server_pool_find(pool, "near")->answered_others_at, 0);
     pace.served = 11;
     pace.time = 11000;
-    cw_server_pool_learn(pool, 5, &pace, 1, CW_SECONDS(30));
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, CW_SECONDS(30));
     ck_assert_int_eq(cw_server_pool_find(pool, "near")->answered_others_at, CW_SECONDS(10));
     cw_server_pool_free(pool);
 }
@@ -391,11 +391,11 @@
     cw_server_list_t *empty = cw_server_list_create();
     cw_server_pace_t  pace = {.hash = cw_server_pool_find(pool, "near")->hash, .served = 10, .time = 10000};
 
-    cw_server_pool_learn(pool, 5, &pace, 1, 0);
-    cw_server_pool_learn(pool, 6, &pace, 1, 0);
-    ck_assert_uint_eq(cw_server_pool_paces(pool), 2);
+    cw_server_pool_apply_paces(pool, 5, &pace, 1, 0);
+    cw_server_pool_apply_paces(pool, 6, &pace, 1, 0);
+    ck_assert_uint_eq(cw_server_pool_pace_count(pool), 2);
     cw_server_pool_update(pool, empty, 0);
-    ck_assert_uint_eq(cw_server_pool_paces(pool), 0);
+    ck_assert_uint_eq(cw_server_pool_pace_count(pool), 0);
     cw_server_list_release(empty);
     cw_server_pool_free(pool);
 }
@@ -409,11 +409,11 @@
     cw_server_t      *near = cw_server_pool_find(pool, "near");
 
     ck_assert_ptr_eq(cw_server_pool_find_hash(pool, near->hash), near);
-    cw_server_pool_begin(near, 0);
+    cw_server_pool_begin_request(near, 0);
     cw_server_pool_update(pool, empty, 0);
     ck_assert_ptr_null(cw_server_pool_find_hash(pool, near->hash));
     ck_assert_uint_eq(dropped, 2);
-    cw_server_pool_end(pool, near);
+    cw_server_pool_end_request(pool, near);
     ck_assert_uint_eq(dropped, 3);
     cw_server_list_release(empty);
     cw_server_pool_free(pool);
@@ -453,7 +453,7 @@
     ck_assert(cw_key_tables_update(&leader_tables, "docks", &list, 1));
     for (part = cw_table_page_count(list.count); part > 0; part--) {
         cw_table_page_fill(&page, &room, leader_tables.items[0].entries, leader_tables.items[0].count, part - 1);
-        cw_table_page_take(&received, &page);
+        cw_table_page_apply(&received, &page);
     }
     cw_key_tables_seal(&received);
     ck_assert_uint_eq(cw_key_tables_hash(&received), cw_key_tables_hash(&leader_tables));
@@ -471,24 +471,24 @@
 }
 END_TEST
 
-/* Ranges are split, moved and joined at random. A node that has an older number and applies what changed since then has
- * the newest tables. */
+/* Ranges are split, moved and joined at random. A node that has an older version and applies what changed since then
+ * has the newest tables. */
 START_TEST(applying_changes_to_an_older_table_yields_the_newest)
 {
-    enum { NUMBERS = 120, FOLLOWERS = 4 };
+    enum { VERSIONS = 120, FOLLOWERS = 4 };
     static cw_table_page_room_t room;
     static cw_table_entry_t     changes[CW_KEY_LAST + 1];
     cw_range_list_t             list;
     cw_key_tables_t             leader_tables = {0};
     cw_key_tables_t             follower_tables[FOLLOWERS];
-    uint64_t                    number_of[FOLLOWERS] = {0};
+    uint64_t                    version_of[FOLLOWERS] = {0};
     uint64_t                    random = 12345;
-    uint64_t                    number;
+    uint64_t                    version;
     size_t                      follower;
 
     memset(follower_tables, 0, sizeof(follower_tables));
     fill_ranges(&list, 20);
-    for (number = 1; number <= NUMBERS; number++) {
+    for (version = 1; version <= VERSIONS; version++) {
         size_t index;
 
         random = random * 6364136223846793005ULL + 1442695040888963407ULL;
@@ -498,30 +498,30 @@
             memmove(&list.items[index + 1], &list.items[index + 2], (list.count - index - 2) * sizeof(list.items[0]));
             list.count--;
         } else if (list.items[index].last > list.items[index].low) {
-            (void)cw_range_list_cut(&list, index,
-                                    list.items[index].low + (list.items[index].last - list.items[index].low) / 2 + 1);
+            (void)cw_range_list_split(&list, index,
+                                      list.items[index].low + (list.items[index].last - list.items[index].low) / 2 + 1);
         }
-        list.items[index].owner.fence = 1000 + number;
+        list.items[index].owner.fence = 1000 + version;
         snprintf(list.items[index].owner.id, sizeof(list.items[index].owner.id), "i-%d", (int)((random >> 20) % 9));
-        ck_assert(cw_key_tables_update(&leader_tables, "docks", &list, number));
-        ck_assert(!cw_key_tables_update(&leader_tables, "docks", &list, number + 1));
+        ck_assert(cw_key_tables_update(&leader_tables, "docks", &list, version));
+        ck_assert(!cw_key_tables_update(&leader_tables, "docks", &list, version + 1));
         for (follower = 0; follower < FOLLOWERS; follower++) {
             Cwp__TablePage  page = CWP__TABLE_PAGE__INIT;
             cw_key_tables_t partial = {0};
             size_t          count;
 
-            if ((random >> (10 + follower)) % (follower + 1) != 0 && number != NUMBERS) {
+            if ((random >> (10 + follower)) % (follower + 1) != 0 && version != VERSIONS) {
                 continue; /* this follower stays behind for now */
             }
-            count = cw_table_changes(&leader_tables.items[0], number_of[follower], changes, CW_KEY_LAST + 1);
-            ck_assert(number < 2 || number_of[follower] + 1 < number || count < 4);
+            count = cw_table_changes(&leader_tables.items[0], version_of[follower], changes, CW_KEY_LAST + 1);
+            ck_assert(version < 2 || version_of[follower] + 1 < version || count < 4);
             page.service = (char *)"docks";
             cw_table_page_fill(&page, &room, changes, count, 0);
-            cw_table_page_take(&partial, &page);
+            cw_table_page_apply(&partial, &page);
             cw_key_tables_seal(&partial);
             cw_key_tables_apply_changes(&follower_tables[follower], &partial);
             cw_key_tables_clear(&partial);
-            number_of[follower] = number;
+            version_of[follower] = version;
             ck_assert_uint_eq(cw_key_tables_hash(&follower_tables[follower]), cw_key_tables_hash(&leader_tables));
         }
     }
@@ -546,7 +546,7 @@
     cw_server_list_seal(list);
 }
 
-START_TEST(changes_of_the_list_are_found_by_number)
+START_TEST(changes_of_the_list_are_found_by_version)
 {
     static cw_list_history_t history;
     cw_server_list_t        *first = cw_server_list_create();
@@ -589,16 +589,16 @@
     static cw_list_history_t history;
     cw_server_list_t        *with = cw_server_list_create();
     cw_server_list_t        *without = cw_server_list_create();
-    uint64_t                 number;
+    uint64_t                 version;
 
     add_named(with, "a", false);
     cw_list_history_begin(&history, with, 1);
-    for (number = 2; number < 2 + 2 * (CW_REMOVED_MAX + 1); number += 2) {
-        cw_list_history_add(&history, with, without, number);
-        cw_list_history_add(&history, without, with, number + 1);
+    for (version = 2; version < 2 + 2 * (CW_REMOVED_MAX + 1); version += 2) {
+        cw_list_history_add(&history, with, without, version);
+        cw_list_history_add(&history, without, with, version + 1);
     }
     ck_assert(!cw_list_history_covers(&history, 1));
-    ck_assert(cw_list_history_covers(&history, number - 1));
+    ck_assert(cw_list_history_covers(&history, version - 1));
     cw_server_list_release(with);
     cw_server_list_release(without);
 }
@@ -622,8 +622,8 @@
     tcase_add_test(cases, spent_retries_count_for_a_whole_window);
     tcase_add_test(cases, the_near_server_first_then_the_far_one_then_none);
     tcase_add_test(cases, requests_of_other_nodes_take_slots_until_their_reports_expire);
-    tcase_add_test(cases, the_whole_list_includes_all_servers_even_without_change_numbers);
-    tcase_add_test(cases, pages_and_records_are_ordered_by_term_and_number);
+    tcase_add_test(cases, the_whole_list_includes_all_servers_even_without_versions_of_changes);
+    tcase_add_test(cases, pages_and_records_are_ordered_by_term_and_version);
     tcase_add_test(cases, requests_waiting_at_other_nodes_are_known_until_the_reports_expire);
     tcase_add_test(cases, a_zone_sum_covers_only_the_nodes_and_servers_of_its_filter);
     tcase_add_test(cases, an_unreachable_server_is_skipped_for_a_while);
@@ -635,7 +635,7 @@
     tcase_add_test(cases, a_removed_server_is_freed_after_its_last_request);
     tcase_add_test(cases, a_table_of_many_ranges_arrives_whole_in_any_order_of_pages);
     tcase_add_test(cases, applying_changes_to_an_older_table_yields_the_newest);
-    tcase_add_test(cases, changes_of_the_list_are_found_by_number);
+    tcase_add_test(cases, changes_of_the_list_are_found_by_version);
     tcase_add_test(cases, a_list_older_than_the_history_cannot_be_updated_by_changes);
     tcase_add_test(cases, an_empty_table_takes_one_page);
     suite_add_tcase(suite, cases);
