--- a/src/model/server_view.c
+++ b/src/model/server_view.c
@@ -194,7 +194,8 @@
 {
     bool is_earlier = entry->sequence != 0 && entry->sequence <= departure->sequence;
 
-    return entry->missing_since == 0 && reading->revision > departure->revision && (reading->is_told || !is_earlier);
+    return entry->missing_since == 0 && reading->revision > departure->revision &&
+           (reading->is_from_leader || !is_earlier);
 }
 
 /* Corrects an entry by the recorded departure of its server, if there is one. False: the entry must be removed from the
@@ -292,7 +293,7 @@
         return CW_VIEW_OLDER;
     }
     list = correct_entries(view, reading, now);
-    if (!reading->is_told) {
+    if (!reading->is_from_leader) {
         /* The caller finds the number of added servers in the list and logs it. */
         (void)cw_server_absence_fill(&view->absence, list, view->list, view->valid_at, reading->store_failed, now);
     }
@@ -322,7 +323,7 @@
 
 cw_view_result_t cw_server_view_expire(cw_server_view_t *view, cw_time_us_t now, cw_server_list_t **before)
 {
-    cw_server_reading_t unchanged = {.revision = view->revision, .is_told = true};
+    cw_server_reading_t unchanged = {.revision = view->revision, .is_from_leader = true};
 
     *before = NULL;
     if (!has_expired_entry(view, now)) {
--- a/src/model/server_view.h
+++ b/src/model/server_view.h
@@ -38,9 +38,9 @@
     cw_server_list_t *list;
     uint64_t          revision; /**< it contains all changes up to this revision; 0: not known */
     uint64_t          latest; /**< it contains no later change; a list read in several calls may be beyond `revision` */
-    cw_time_us_t      valid_at;     /**< when it was certainly valid; 0: not known */
-    bool              store_failed; /**< calls of this node to the store have failed since its list was last valid */
-    bool              is_told;      /**< the leader sent it; false: this node has read it from the store */
+    cw_time_us_t      valid_at;       /**< when it was certainly valid; 0: not known */
+    bool              store_failed;   /**< calls of this node to the store have failed since its list was last valid */
+    bool              is_from_leader; /**< the leader sent it; false: this node has read it from the store */
 } cw_server_reading_t;
 
 /** The list in force on a node. */
--- a/src/placement/ownership_measures.c
+++ b/src/placement/ownership_measures.c
@@ -97,7 +97,7 @@
                               cw_time_us_t now)
 {
     cw_time_us_t from =
-        observation->unavailable_since > measures->looked_at ? observation->unavailable_since : measures->looked_at;
+        observation->unavailable_since > measures->observed_at ? observation->unavailable_since : measures->observed_at;
     double gap_s = seconds(now - observation->unavailable_since);
 
     if (observation->unavailable_since == 0) {
@@ -120,14 +120,14 @@
     }
     for (index = 0; index < ranges->count; index++) {
         observations[index] = observe_range(measures, &ranges->items[index], &first, now);
-        if (measures->looked_at != 0) {
+        if (measures->observed_at != 0) {
             count_unavailable(measures, &observations[index], now);
         }
     }
     free(measures->observations);
     measures->observations = observations;
     measures->observation_count = ranges->count;
-    measures->looked_at = now;
+    measures->observed_at = now;
 }
 
 /* ---- imbalance ---- */
--- a/src/placement/ownership_measures.h
+++ b/src/placement/ownership_measures.h
@@ -41,9 +41,9 @@
     double                  unavailable_longest_s; /**< longest uninterrupted unavailable time of a key */
     cw_range_observation_t *observations;          /**< the ranges at the last observation, sorted by key */
     size_t                  observation_count;
-    cw_time_us_t            looked_at; /**< time of the last observation of the ranges; 0: none yet */
-    cw_time_us_t            load_at;   /**< time of the last observation of the load; 0: none yet */
-    cw_key_load_t          *loads;     /**< latest reading of the load window */
+    cw_time_us_t            observed_at; /**< time of the last observation of the ranges; 0: none yet */
+    cw_time_us_t            load_at;     /**< time of the last observation of the load; 0: none yet */
+    cw_key_load_t          *loads;       /**< latest reading of the load window */
     size_t                  load_count;
 } cw_ownership_measures_t;
 
--- a/src/router/fleet_size.c
+++ b/src/router/fleet_size.c
@@ -16,15 +16,15 @@
 void cw_fleet_size_record(cw_fleet_size_t *fleet, uint32_t nodes)
 {
     if (nodes > 0) {
-        fleet->stated = nodes;
+        fleet->announced = nodes;
     }
 }
 
 uint32_t cw_fleet_size_nodes(const cw_fleet_size_t *fleet, uint32_t counted, cw_time_us_t now)
 {
-    uint32_t stated = now < fleet->count_reliable_at ? fleet->stated : 0;
+    uint32_t announced = now < fleet->count_reliable_at ? fleet->announced : 0;
 
-    return stated > counted ? stated : counted;
+    return announced > counted ? announced : counted;
 }
 
 /* Updates the number that this node announces: it rises at once and falls by at most half at a time. */
@@ -42,7 +42,7 @@
 
 uint32_t cw_fleet_size_to_announce(cw_fleet_size_t *fleet, uint32_t counted, cw_time_us_t now)
 {
-    if (fleet->stated == 0 && now < fleet->count_reliable_at) {
+    if (fleet->announced == 0 && now < fleet->count_reliable_at) {
         return 0;
     }
     update_own_announced(fleet, cw_fleet_size_nodes(fleet, counted, now), now);
@@ -54,5 +54,5 @@
     if (now - fleet->started_at >= CW_MS(CW_FLEET_DISCOVERY_MS)) {
         return true;
     }
-    return fleet->stated > 0 && (uint64_t)reachable * 100 >= (uint64_t)fleet->stated * CW_FLEET_REACHED_PERCENT;
+    return fleet->announced > 0 && (uint64_t)reachable * 100 >= (uint64_t)fleet->announced * CW_FLEET_REACHED_PERCENT;
 }
--- a/src/router/fleet_size.h
+++ b/src/router/fleet_size.h
@@ -47,7 +47,7 @@
     cw_time_us_t count_reliable_at; /**< from this time on the process's own count is reliable */
     cw_time_us_t may_fall_at;       /**< earliest time at which the number that this node announces may fall */
     uint32_t     own_announced;     /**< number that this node announced last, as the leader */
-    uint32_t     stated;            /**< number announced last by any leader, this node included; 0: none */
+    uint32_t     announced;         /**< number announced last by any leader, this node included; 0: none */
 } cw_fleet_size_t;
 
 /** Initializes the state at the start of a process. counting: time until its own count is as good as an announced
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -77,7 +77,7 @@
     if (now - router->started_at < CW_SECONDS(PEER_DISCOVERY_S)) {
         return CW_NODES_UNKNOWN;
     }
-    return cw_peer_link_count_alive(router->link, router->silence, now);
+    return cw_peer_link_count_alive(router->link, router->peer_timeout, now);
 }
 
 /* Number of nodes that share the fixed part of the retry budget: the most seen alive within the budget's window; 0: not
--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -32,8 +32,8 @@
 {
     size_t index;
 
-    for (index = 0; index < router->keyed_count; index++) {
-        if (router->keyed[index].assigner == order->assigner && router->leadership.lock.term == order->term) {
+    for (index = 0; index < router->assignment_count; index++) {
+        if (router->assignments[index].assigner == order->assigner && router->leadership.lock.term == order->term) {
             return true;
         }
     }
@@ -69,17 +69,17 @@
 
 static void send_order(void *context, const cw_order_t *order)
 {
-    cw_service_assignment_t *keyed = context;
+    cw_service_assignment_t *assignment = context;
     pending_order_t         *pending = malloc(sizeof(*pending));
 
     if (pending == NULL) {
         abort();
     }
-    pending->router = keyed->router;
-    pending->assigner = keyed->assigner;
+    pending->router = assignment->router;
+    pending->assigner = assignment->assigner;
     pending->server = cw_name_hash(order->server);
-    pending->term = keyed->router->leadership.lock.term;
-    keyed->router->adapter->order(keyed->router->platform, order, order_done, pending);
+    pending->term = assignment->router->leadership.lock.term;
+    assignment->router->adapter->order(assignment->router->platform, order, order_done, pending);
 }
 
 /* Whether the records of all services have been read. Before that, tables would lack ranges, so the first tables wait
@@ -91,8 +91,8 @@
     if (router->leader_tables_version > 0 || now - router->tenure.led_since > CW_MS(FIRST_TABLES_WAIT_MS)) {
         return true;
     }
-    for (index = 0; index < router->keyed_count; index++) {
-        cw_assigner_state_t state = cw_assigner_state(router->keyed[index].assigner);
+    for (index = 0; index < router->assignment_count; index++) {
+        cw_assigner_state_t state = cw_assigner_state(router->assignments[index].assigner);
 
         if (state == CW_ASSIGNER_NEW || state == CW_ASSIGNER_CALLING) {
             return false;
@@ -103,12 +103,12 @@
 
 static void on_assignment_changed(void *context)
 {
-    cw_service_assignment_t *keyed = context;
+    cw_service_assignment_t *assignment = context;
 
-    cw_time_us_t now = cw_router_now(keyed->router);
+    cw_time_us_t now = cw_router_now(assignment->router);
 
-    cw_table_publication_record_change(&keyed->router->table_publication, now);
-    cw_router_publish_tables(keyed->router, now);
+    cw_table_publication_record_change(&assignment->router->table_publication, now);
+    cw_router_publish_tables(assignment->router, now);
 }
 
 /* Number of nodes that the leader sends changes to: those of its zone, and the relays of other zones. */
@@ -136,8 +136,8 @@
         return;
     }
     cw_table_publication_done(&router->table_publication, now);
-    for (index = 0; index < router->keyed_count; index++) {
-        const cw_assigner_t   *assigner = router->keyed[index].assigner;
+    for (index = 0; index < router->assignment_count; index++) {
+        const cw_assigner_t   *assigner = router->assignments[index].assigner;
         const cw_range_list_t *ranges = cw_assigner_ranges(assigner);
 
         is_changed = (ranges->count > 0 &&
@@ -179,21 +179,21 @@
 
 /* ---- services ---- */
 
-static cw_service_assignment_t *find_keyed(cw_router_t *router, const char *name)
+static cw_service_assignment_t *find_assignment(cw_router_t *router, const char *name)
 {
     size_t index;
 
-    for (index = 0; index < router->keyed_count; index++) {
-        if (strcmp(cw_assigner_service(router->keyed[index].assigner), name) == 0) {
-            return &router->keyed[index];
+    for (index = 0; index < router->assignment_count; index++) {
+        if (strcmp(cw_assigner_service(router->assignments[index].assigner), name) == 0) {
+            return &router->assignments[index];
         }
     }
     return NULL;
 }
 
-static void add_keyed(cw_router_t *router, const char *name)
+static void add_assignment(cw_router_t *router, const char *name)
 {
-    cw_service_assignment_t *keyed = &router->keyed[router->keyed_count];
+    cw_service_assignment_t *assignment = &router->assignments[router->assignment_count];
     cw_assigner_settings_t   settings = {.hold = router->settings.hold,
                                          .hold_long = router->settings.hold_long,
                                          .max_hold = router->settings.hold_long,
@@ -202,16 +202,17 @@
                                          .release_timeout = CW_MS(RELEASE_TIMEOUT_MS),
                                          .late_order_time = CW_SECONDS(LATE_ORDER_S),
                                          .table_validity = router->settings.hold * CW_TABLES_VALID_PERCENT / 100};
-    cw_assigner_ports_t      ports = {.context = keyed,
+    cw_assigner_ports_t      ports = {.context = assignment,
                                       .store = router->store,
                                       .order = send_order,
                                       .changed = on_assignment_changed,
                                       .note = log_assignment};
 
-    keyed->router = router;
+    assignment->router = router;
     router->table_publication.published_at = 0; /* the first tables are published at once */
-    keyed->assigner = cw_assigner_create(name, router->leadership.lock.term, router->incarnation, &settings, &ports);
-    router->keyed_count++;
+    assignment->assigner =
+        cw_assigner_create(name, router->leadership.lock.term, router->incarnation, &settings, &ports);
+    router->assignment_count++;
 }
 
 void cw_router_create_assigners(cw_router_t *router)
@@ -221,9 +222,10 @@
     for (index = 0; index < router->configuration->service_count; index++) {
         const cw_service_t *service = &router->configuration->services[index];
 
-        if (service->keyed && find_keyed(router, service->name) == NULL &&
-            router->keyed_count < CW_KEYED_SERVICES_MAX) { /* router_configuration.c logs an excess once per version */
-            add_keyed(router, service->name);
+        /* router_configuration.c logs an excess once per version. */
+        if (service->keyed && find_assignment(router, service->name) == NULL &&
+            router->assignment_count < CW_KEYED_SERVICES_MAX) {
+            add_assignment(router, service->name);
         }
     }
 }
@@ -234,10 +236,10 @@
     size_t index;
     size_t key;
 
-    for (index = 0; index < router->keyed_count; index++) {
-        cw_service_assignment_t *keyed = &router->keyed[index];
+    for (index = 0; index < router->assignment_count; index++) {
+        cw_service_assignment_t *assignment = &router->assignments[index];
 
-        if (cw_name_hash(cw_assigner_service(keyed->assigner)) != service_hash) {
+        if (cw_name_hash(cw_assigner_service(assignment->assigner)) != service_hash) {
             continue;
         }
         for (key = 0; key < samples->count; key++) {
@@ -246,7 +248,7 @@
             if (samples->keys[key] > CW_KEY_LAST) {
                 continue; /* callers may send any number; placement could not find a range for this one */
             }
-            cw_load_window_add_sample(&keyed->window,
+            cw_load_window_add_sample(&assignment->window,
                                       &(cw_key_report_t){.key = samples->keys[key],
                                                          .regions = regions,
                                                          .from = cw_server_pool_zone_bit(router->pool, samples->zone),
@@ -260,11 +262,11 @@
 {
     size_t index;
 
-    for (index = 0; index < router->keyed_count; index++) {
-        cw_assigner_free(router->keyed[index].assigner);
-        cw_load_window_clear(&router->keyed[index].window);
-        cw_ownership_measures_clear(&router->keyed[index].measures);
+    for (index = 0; index < router->assignment_count; index++) {
+        cw_assigner_free(router->assignments[index].assigner);
+        cw_load_window_clear(&router->assignments[index].window);
+        cw_ownership_measures_clear(&router->assignments[index].measures);
     }
-    memset(router->keyed, 0, sizeof(router->keyed));
-    router->keyed_count = 0;
+    memset(router->assignments, 0, sizeof(router->assignments));
+    router->assignment_count = 0;
 }
--- a/src/router/router_detours.c
+++ b/src/router/router_detours.c
@@ -33,7 +33,8 @@
 
 static bool is_received_lately(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
 {
-    cw_time_us_t suspect_after = router->silence / 2 > CW_MS(SUSPECT_MS) ? router->silence / 2 : CW_MS(SUSPECT_MS);
+    cw_time_us_t suspect_after =
+        router->peer_timeout / 2 > CW_MS(SUSPECT_MS) ? router->peer_timeout / 2 : CW_MS(SUSPECT_MS);
 
     return peer->last_received_at != 0 && now - peer->last_received_at <= suspect_after;
 }
@@ -52,7 +53,7 @@
 {
     bool has_reported = now - router->started_at >= CW_MS(CW_PEER_TIMEOUT_MS);
 
-    return has_reported && peer->receives_nothing_from_us && now - peer->last_direct_report_at <= router->silence;
+    return has_reported && peer->receives_nothing_from_us && now - peer->last_direct_report_at <= router->peer_timeout;
 }
 
 static bool is_suspect(const cw_router_t *router, const cw_peer_t *peer, cw_time_us_t now)
--- a/src/router/router_internal.h
+++ b/src/router/router_internal.h
@@ -124,7 +124,7 @@
 
     /* reports */
     uint32_t     sequence;            /**< of this node's last report */
-    cw_time_us_t silence;             /**< a node from which nothing is received for so long counts as lost */
+    cw_time_us_t peer_timeout;        /**< a node from which nothing is received for so long counts as lost */
     cw_time_us_t reported_zone_at;    /**< last report to the nodes of this zone */
     cw_time_us_t reported_all_at;     /**< last report to nodes of all zones */
     cw_time_us_t reported_full_at;    /**< last report that contained names and paces */
@@ -187,8 +187,8 @@
     cw_relay_delays_t       relay_delays;
     cw_forward_queue_t     *forward_queue; /**< updates that this node, as a relay, forwards to its zone */
     cw_order_trust_t       *order_trust;   /**< servers that this leader's orders have not reached lately */
-    cw_service_assignment_t keyed[CW_KEYED_SERVICES_MAX]; /**< services divided by key that this node leads */
-    size_t                  keyed_count;
+    cw_service_assignment_t assignments[CW_KEYED_SERVICES_MAX]; /**< services divided by key that this node leads */
+    size_t                  assignment_count;
 } cw_router_t;
 
 /** Time of the node's event loop, on its steady clock. */
@@ -524,9 +524,9 @@
 
 /* ---- router_plan.c ---- */
 /** Plans the ownership of keys of one service, if a plan is due. Called on the leader with each tick. */
-void cw_router_plan(cw_router_t *router, cw_service_assignment_t *keyed, cw_time_us_t now);
+void cw_router_plan(cw_router_t *router, cw_service_assignment_t *assignment, cw_time_us_t now);
 /** Adds to the measures of a service: imbalance, churn, unavailable time. Called on the leader with each tick. */
-void cw_router_measure(cw_service_assignment_t *keyed, cw_time_us_t now);
+void cw_router_measure(cw_service_assignment_t *assignment, cw_time_us_t now);
 
 /* ---- router_assigners.c ---- */
 /** Creates an assigner for each configured service divided by key that has none yet. */
--- a/src/router/router_lead.c
+++ b/src/router/router_lead.c
@@ -253,9 +253,9 @@
     size_t cut_off = 0;
     size_t ranges = 0;
 
-    for (index = 0; index < router->keyed_count; index++) {
-        cut_off += count_cut_off(router, router->keyed[index].assigner, now);
-        ranges += cw_assigner_ranges(router->keyed[index].assigner)->count;
+    for (index = 0; index < router->assignment_count; index++) {
+        cut_off += count_cut_off(router, router->assignments[index].assigner, now);
+        ranges += cw_assigner_ranges(router->assignments[index].assigner)->count;
     }
     if (cut_off >= CUT_OFF_RANGES && cut_off * 100 >= ranges * CUT_OFF_PERCENT && !router->leadership.resigning) {
         log_leadership(router, CW_EVENT_LEADER_LOST, "orders do not reach servers that answer others");
@@ -294,7 +294,7 @@
     uint32_t followers;
 
     cw_leader_tenure_record_rival(&router->tenure, is_rival_reachable(router), now);
-    followers = cw_peer_link_count_alive(router->link, router->silence, now);
+    followers = cw_peer_link_count_alive(router->link, router->peer_timeout, now);
     if (cw_router_is_new(router, now) && followers < ASSUMED_FOLLOWERS) {
         followers = ASSUMED_FOLLOWERS;
     }
@@ -313,15 +313,15 @@
  * this node's share of a core. */
 static double renewals_per_second(const cw_router_t *router)
 {
-    return router->settings.cpu_share * RENEWALS_PER_CORE_SECOND / (double)router->keyed_count;
+    return router->settings.cpu_share * RENEWALS_PER_CORE_SECOND / (double)router->assignment_count;
 }
 
 static bool is_deposed(const cw_router_t *router)
 {
     size_t index;
 
-    for (index = 0; index < router->keyed_count; index++) {
-        if (cw_assigner_state(router->keyed[index].assigner) == CW_ASSIGNER_DEPOSED) {
+    for (index = 0; index < router->assignment_count; index++) {
+        if (cw_assigner_state(router->assignments[index].assigner) == CW_ASSIGNER_DEPOSED) {
             return true;
         }
     }
@@ -345,12 +345,12 @@
     }
     cw_router_create_assigners(router);
     cw_order_trust_expire(router->order_trust, now);
-    for (index = 0; index < router->keyed_count; index++) {
-        cw_router_plan(router, &router->keyed[index], now);
-        cw_assigner_set_renewal_rate(router->keyed[index].assigner, renewals_per_second(router));
-        cw_assigner_tick(router->keyed[index].assigner, router->server_view.list, has_authority,
+    for (index = 0; index < router->assignment_count; index++) {
+        cw_router_plan(router, &router->assignments[index], now);
+        cw_assigner_set_renewal_rate(router->assignments[index].assigner, renewals_per_second(router));
+        cw_assigner_tick(router->assignments[index].assigner, router->server_view.list, has_authority,
                          is_store_unresponsive(router, now), now);
-        cw_router_measure(&router->keyed[index], now);
+        cw_router_measure(&router->assignments[index], now);
     }
     cw_router_publish_tables(router, now);
     resign_if_cut_off(router, now);
--- a/src/router/router_peers.c
+++ b/src/router/router_peers.c
@@ -218,7 +218,7 @@
 
 static cw_time_us_t keys_interval(const cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t nodes = cw_peer_link_count_alive(router->link, router->silence, now);
+    uint32_t nodes = cw_peer_link_count_alive(router->link, router->peer_timeout, now);
 
     return CW_MS(KEYS_INTERVAL_MS) * (KEYS_INTERVAL_NODES + nodes) / KEYS_INTERVAL_NODES;
 }
@@ -227,14 +227,14 @@
 {
     cw_time_us_t timeout = idle * TIMEOUT_INTERVALS;
 
-    router->silence = (timeout > CW_MS(CW_PEER_TIMEOUT_MS) ? timeout : CW_MS(CW_PEER_TIMEOUT_MS)) + relay_latency;
+    router->peer_timeout = (timeout > CW_MS(CW_PEER_TIMEOUT_MS) ? timeout : CW_MS(CW_PEER_TIMEOUT_MS)) + relay_latency;
 }
 
 static void report_among_few(cw_router_t *router, cw_time_us_t now)
 {
     cw_time_us_t since_all = now - router->reported_all_at;
     cw_time_us_t since_zone = now - router->reported_zone_at;
-    uint32_t     all = cw_peer_link_count_alive(router->link, router->silence, now);
+    uint32_t     all = cw_peer_link_count_alive(router->link, router->peer_timeout, now);
     uint32_t     in_zone = count_targets(router, now).in_zone;
     cw_time_us_t idle = CW_MS(interval_to_all_ms(router, IDLE_INTERVAL_MS, all));
 
@@ -324,7 +324,7 @@
 cw_time_us_t cw_router_report_lifetime(const cw_router_t *router)
 {
     cw_time_us_t lifetime =
-        router->silence / TIMEOUT_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
+        router->peer_timeout / TIMEOUT_INTERVALS + CW_MS(REPORT_SLACK_MS); /* the next report replaces it */
 
     return lifetime > CW_MS(CW_POOL_REPORT_EXPIRY_MS) ? lifetime : CW_MS(CW_POOL_REPORT_EXPIRY_MS);
 }
@@ -355,7 +355,7 @@
     cw_peer_t *peer;
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
-        if (peer->last_received_at != 0 && !peer->is_lost && now - peer->last_received_at > router->silence) {
+        if (peer->last_received_at != 0 && !peer->is_lost && now - peer->last_received_at > router->peer_timeout) {
             peer->is_lost = true;
             cw_router_log_peer(peer, CW_EVENT_PEER_LOST, now - peer->last_received_at);
         }
@@ -370,5 +370,5 @@
     }
     mark_lost_peers(router, now);
     cw_server_pool_expire(router->pool, cw_router_report_lifetime(router), now);
-    cw_peer_link_expire(router->link, router->silence + CW_SECONDS(FORGET_PEER_S), now);
+    cw_peer_link_expire(router->link, router->peer_timeout + CW_SECONDS(FORGET_PEER_S), now);
 }
--- a/src/router/router_plan.c
+++ b/src/router/router_plan.c
@@ -108,7 +108,7 @@
     }
 }
 
-static void plan_first(const cw_router_t *router, cw_service_assignment_t *keyed, const planned_servers_t *servers,
+static void plan_first(const cw_router_t *router, cw_service_assignment_t *assignment, const planned_servers_t *servers,
                        cw_time_us_t now)
 {
     const cw_server_entry_t **usable = calloc(servers->count + 1, sizeof(const cw_server_entry_t *));
@@ -123,25 +123,25 @@
             usable[usable_count++] = servers->items[index].entry;
         }
     }
-    if (cw_plan_timing_is_first_due(&keyed->timing, usable_count, router->settings.heartbeat, now)) {
-        cw_assigner_plan_first(keyed->assigner, usable, usable_count, now);
+    if (cw_plan_timing_is_first_due(&assignment->timing, usable_count, router->settings.heartbeat, now)) {
+        cw_assigner_plan_first(assignment->assigner, usable, usable_count, now);
     }
     free(usable);
 }
 
 /* Whether to doubt the list of servers. A leader that has just started has no list from before an outage to compare
  * with; that many owners are missing is its only sign of one. */
-static bool doubts_list(const cw_router_t *router, cw_service_assignment_t *keyed, cw_time_us_t now)
+static bool doubts_list(const cw_router_t *router, cw_service_assignment_t *assignment, cw_time_us_t now)
 {
-    double missing = cw_planner_missing_share(keyed->assigner, router->server_view.list);
+    double missing = cw_planner_missing_share(assignment->assigner, router->server_view.list);
 
-    return cw_plan_timing_doubts_list(&keyed->timing, missing, router->server_view.absence.grace, now);
+    return cw_plan_timing_doubts_list(&assignment->timing, missing, router->server_view.absence.grace, now);
 }
 
-void cw_router_measure(cw_service_assignment_t *keyed, cw_time_us_t now)
+void cw_router_measure(cw_service_assignment_t *assignment, cw_time_us_t now)
 {
-    cw_ownership_measures_t *measures = &keyed->measures;
-    const cw_range_list_t   *ranges = cw_assigner_ranges(keyed->assigner);
+    cw_ownership_measures_t *measures = &assignment->measures;
+    const cw_range_list_t   *ranges = cw_assigner_ranges(assignment->assigner);
     double                   keys = measures->moved_keys;
     double                   cold = measures->moved_cold_keys;
     double                   load = measures->moved_load;
@@ -149,13 +149,13 @@
     double                   weighted_s = measures->imbalance_weighted_s;
     double                   measured_s = measures->imbalance_s;
 
-    if (now - measures->looked_at < CW_MS(CW_TICK_MS) * (cw_time_us_t)(ranges->count / RANGES_PER_TICK)) {
+    if (now - measures->observed_at < CW_MS(CW_TICK_MS) * (cw_time_us_t)(ranges->count / RANGES_PER_TICK)) {
         return;
     }
     cw_ownership_measures_observe(measures, ranges, now);
-    if (now - keyed->measured_load_at >= CW_MS(MEASURE_LOAD_EVERY_MS)) {
-        keyed->measured_load_at = now;
-        cw_ownership_measures_observe_load(measures, ranges, &keyed->window, now);
+    if (now - assignment->measured_load_at >= CW_MS(MEASURE_LOAD_EVERY_MS)) {
+        assignment->measured_load_at = now;
+        cw_ownership_measures_observe_load(measures, ranges, &assignment->window, now);
     }
     cw_metric_add(CW_METRIC_MOVED_KEYS, (uint64_t)(measures->moved_keys - keys));
     cw_metric_add(CW_METRIC_MOVED_COLD_KEYS, (uint64_t)(measures->moved_cold_keys - cold));
@@ -168,35 +168,36 @@
     }
 }
 
-void cw_router_plan(cw_router_t *router, cw_service_assignment_t *keyed, cw_time_us_t now)
+void cw_router_plan(cw_router_t *router, cw_service_assignment_t *assignment, cw_time_us_t now)
 {
     static planned_servers_t servers; /* calls do not nest */
     size_t                   changes;
     cw_event_t               event;
 
-    if (router->server_view.list == NULL || now < keyed->next_plan || !cw_assigner_may_plan(keyed->assigner)) {
+    if (router->server_view.list == NULL || now < assignment->next_plan ||
+        !cw_assigner_may_plan(assignment->assigner)) {
         return;
     }
-    keyed->next_plan = now + CW_MS(PLAN_EVERY_MS);
-    list_servers(router, cw_assigner_service(keyed->assigner), &servers, now);
-    if (cw_assigner_state(keyed->assigner) == CW_ASSIGNER_EMPTY) {
-        plan_first(router, keyed, &servers, now);
+    assignment->next_plan = now + CW_MS(PLAN_EVERY_MS);
+    list_servers(router, cw_assigner_service(assignment->assigner), &servers, now);
+    if (cw_assigner_state(assignment->assigner) == CW_ASSIGNER_EMPTY) {
+        plan_first(router, assignment, &servers, now);
         return;
     }
     changes = cw_planner_run(&(cw_planner_input_t){
-        .assigner = keyed->assigner,
+        .assigner = assignment->assigner,
         .settings = &cw_planner_defaults,
         .servers = servers.items,
         .server_count = servers.count,
         .list = router->server_view.list,
-        .window = &keyed->window,
-        .crossing = cw_engine_crossing_share(router->engine, cw_assigner_service(keyed->assigner)),
-        .doubts_list = doubts_list(router, keyed, now),
+        .window = &assignment->window,
+        .crossing = cw_engine_crossing_share(router->engine, cw_assigner_service(assignment->assigner)),
+        .doubts_list = doubts_list(router, assignment, now),
         .now = now});
     if (changes > 0 && cw_event_begin(&event, CW_EVENT_PLAN_WRITTEN)) {
-        cw_event_text(&event, CW_FIELD_SERVICE, cw_assigner_service(keyed->assigner));
+        cw_event_text(&event, CW_FIELD_SERVICE, cw_assigner_service(assignment->assigner));
         cw_event_number(&event, CW_FIELD_CHANGED, (int64_t)changes);
-        cw_event_number(&event, CW_FIELD_COUNT, (int64_t)cw_assigner_ranges(keyed->assigner)->count);
+        cw_event_number(&event, CW_FIELD_COUNT, (int64_t)cw_assigner_ranges(assignment->assigner)->count);
         cw_event_end(&event);
     }
     cw_metric_add(CW_METRIC_MOVES, changes);
--- a/src/router/router_push.c
+++ b/src/router/router_push.c
@@ -149,8 +149,8 @@
     if (!is_whole) {
         return CW_MS(RELAY_WAIT_MS) + delay;
     }
-    return delay + CW_MS(WHOLE_WAIT_MS + WHOLE_WAIT_PER_NODE_MS *
-                                             (int64_t)cw_peer_link_count_alive(router->link, router->silence, now));
+    return delay + CW_MS(WHOLE_WAIT_MS + WHOLE_WAIT_PER_NODE_MS * (int64_t)cw_peer_link_count_alive(
+                                                                      router->link, router->peer_timeout, now));
 }
 
 /* Whether the peer gets the missing list, tables or changes from another node than this one. */
@@ -344,7 +344,7 @@
 
 void cw_router_push_nodes(cw_router_t *router, cw_time_us_t now)
 {
-    uint32_t   alive = cw_peer_link_count_alive(router->link, router->silence, now);
+    uint32_t   alive = cw_peer_link_count_alive(router->link, router->peer_timeout, now);
     cw_peer_t *peer;
 
     for (peer = cw_peer_link_peers(router->link); peer != NULL; peer = peer->next) {
--- a/src/router/router_quota_choice.c
+++ b/src/router/router_quota_choice.c
@@ -220,7 +220,7 @@
             nodes = peer->peers + 1;
         }
     }
-    return cw_router_quota_is_new(quota) && router->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
+    return cw_router_quota_is_new(quota) && router->fleet_size.announced == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
 
 static uint32_t count_reachable(const cw_router_t *router, cw_time_us_t now)
@@ -238,10 +238,10 @@
  * an assumed number, and requests may be waiting already. */
 void cw_router_record_nodes(cw_router_t *router, uint32_t nodes)
 {
-    uint32_t before = router->fleet_size.stated;
+    uint32_t before = router->fleet_size.announced;
 
     cw_fleet_size_record(&router->fleet_size, nodes);
-    if (router->fleet_size.stated != before) {
+    if (router->fleet_size.announced != before) {
         cw_router_quota_update_nodes(router->quota, cw_router_now(router));
     }
 }
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -299,7 +299,7 @@
     cw_time_us_t at = now - CW_MS(summary->ages_ms[index]);
     cw_peer_t   *peer = cw_peer_link_learn(router->link, summary->nodes[index], now);
 
-    if (peer == NULL || at <= peer->last_received_at || now - at > router->silence) {
+    if (peer == NULL || at <= peer->last_received_at || now - at > router->peer_timeout) {
         return;
     }
     if (at > peer->last_direct_report_at) {
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -186,7 +186,7 @@
     builder.report.store_lost = router->store_availability.is_lost;
     builder.report.vacated = cw_leader_tenure_announced_term(&router->tenure, now);
     builder.report.configuration = cw_router_version(router);
-    builder.report.peers = cw_peer_link_count_alive(router->link, router->silence, now);
+    builder.report.peers = cw_peer_link_count_alive(router->link, router->peer_timeout, now);
     builder.report.term = router->view_term;
     builder.report.servers = router->view_list_version;
     builder.report.tables = router->view_tables_version;
--- a/src/router/router_status.c
+++ b/src/router/router_status.c
@@ -45,14 +45,14 @@
     size_t  index;
     size_t  position;
 
-    for (index = 0; index < router->keyed_count; index++) {
-        const cw_range_list_t *ranges = cw_assigner_ranges(router->keyed[index].assigner);
+    for (index = 0; index < router->assignment_count; index++) {
+        const cw_range_list_t *ranges = cw_assigner_ranges(router->assignments[index].assigner);
         json_t                *list = json_array();
 
         for (position = 0; position < ranges->count; position++) {
             json_array_append_new(list, range_json(&ranges->items[position], now));
         }
-        json_object_set_new(services, cw_assigner_service(router->keyed[index].assigner), list);
+        json_object_set_new(services, cw_assigner_service(router->assignments[index].assigner), list);
     }
     return services;
 }
@@ -93,10 +93,10 @@
     json_t *services = json_object();
     size_t  index;
 
-    for (index = 0; index < router->keyed_count; index++) {
-        const cw_ownership_measures_t *measures = &router->keyed[index].measures;
+    for (index = 0; index < router->assignment_count; index++) {
+        const cw_ownership_measures_t *measures = &router->assignments[index].measures;
 
-        json_object_set_new(services, cw_assigner_service(router->keyed[index].assigner),
+        json_object_set_new(services, cw_assigner_service(router->assignments[index].assigner),
                             json_pack("{s:f, s:f, s:f, s:f, s:f, s:f, s:f}", "imbalance", measures->imbalance,
                                       "imbalance_mean", cw_ownership_measures_imbalance(measures), "keys_moved",
                                       measures->moved_keys / (CW_KEY_LAST + 1), "keys_moved_cold",
--- a/src/router/router_view.c
+++ b/src/router/router_view.c
@@ -166,7 +166,7 @@
 static bool is_in_large_fleet(const cw_router_t *router, cw_time_us_t now)
 {
     return cw_router_is_new(router, now) ||
-           cw_peer_link_count_alive(router->link, router->silence, now) >= CW_FLEET_MANY_NODES;
+           cw_peer_link_count_alive(router->link, router->peer_timeout, now) >= CW_FLEET_MANY_NODES;
 }
 
 /* Interval between two reads. While the store does not answer, calls of many nodes would burden it, and each call has a
--- a/src/router/router_view_pages.c
+++ b/src/router/router_view_pages.c
@@ -128,7 +128,7 @@
 void cw_router_handle_servers_page(cw_router_t *router, const cw_peer_t *peer, const Cwp__ServersPage *page)
 {
     cw_page_position_t  position = {page->term, page->number, page->since, page->page, page->pages};
-    cw_server_reading_t reading = {.revision = page->revision, .is_told = true};
+    cw_server_reading_t reading = {.revision = page->revision, .is_from_leader = true};
     cw_list_update_t   *update;
 
     if (page->pages == 0 && page->ask_instead != 0) {
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -141,7 +141,7 @@
 
 void node_fixture_receive_samples(node_fixture_t *node, const uint32_t *keys, size_t count, uint32_t seen)
 {
-    const char *service = cw_assigner_service(node->router.keyed[0].assigner);
+    const char *service = cw_assigner_service(node->router.assignments[0].assigner);
 
     cw_router_samples_t samples = {keys, NULL, count, seen, "z2"};
 
--- a/tests/quota_sim.c
+++ b/tests/quota_sim.c
@@ -324,7 +324,7 @@
 {
     uint32_t nodes = cw_fleet_size_nodes(&node->fleet_size, node->max_reachable_nodes, node->sim->now);
 
-    return declines(node) && node->fleet_size.stated == 0 ? CW_FLEET_NODES_MAX : nodes;
+    return declines(node) && node->fleet_size.announced == 0 ? CW_FLEET_NODES_MAX : nodes;
 }
 
 static void probe(quota_sim_node_t *node, size_t suspect, uint32_t turn)
--- a/tests/test_detours.c
+++ b/tests/test_detours.c
@@ -100,7 +100,7 @@
     int             passed;
 
     node->router.configuration = node_fixture_configuration(1, "s");
-    node->router.silence = CW_MS(CW_PEER_TIMEOUT_MS);
+    node->router.peer_timeout = CW_MS(CW_PEER_TIMEOUT_MS);
     node_fixture_receive_report(node, suspect_text, "z1", sequence);
     for (passed = 0; passed < RUN_MS; passed += 100) {
         node_fixture_receive_report(node, intermediate_text, "z1", ++sequence);
--- a/tests/test_fleet_scale.c
+++ b/tests/test_fleet_scale.c
@@ -43,7 +43,7 @@
 
 static size_t held_ranges(const node_fixture_t *node)
 {
-    const cw_range_list_t *ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
+    const cw_range_list_t *ranges = cw_assigner_ranges(node->router.assignments[0].assigner);
     size_t                 count = 0;
     size_t                 index;
 
@@ -74,7 +74,7 @@
     uint64_t        tables = node->router.leader_tables_version;
     int             ticks;
 
-    ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, OWNERS);
+    ck_assert_uint_eq(cw_assigner_ranges(node->router.assignments[0].assigner)->count, OWNERS);
     ticks = tick_until_held(node, OWNERS);
     ck_assert_uint_le(node->router.leader_tables_version - tables, (uint64_t)ticks * ORDERS_IN_FLIGHT_MAX / 100);
     node_fixture_tick(node, 1000); /* the last changes are published, too */
@@ -106,7 +106,7 @@
 
 static void check_leases(const node_fixture_t *node)
 {
-    const cw_range_list_t *ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
+    const cw_range_list_t *ranges = cw_assigner_ranges(node->router.assignments[0].assigner);
     size_t                 index;
 
     for (index = 0; index < ranges->count; index++) {
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -301,12 +301,12 @@
     node_fixture_lead(first); /* without a list of servers */
     node_fixture_read_servers(first, "s", 4, "10.0.1.1:80");
     node_fixture_lead(first);
-    ck_assert_uint_eq(cw_assigner_ranges(first->router.keyed[0].assigner)->count, 4);
+    ck_assert_uint_eq(cw_assigner_ranges(first->router.assignments[0].assigner)->count, 4);
     node_fixture_read_servers(second, "s", 4, "10.0.1.1:80");
     node_fixture_lead(second); /* without a configuration */
     ck_assert(cw_router_apply_configuration(&second->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(second);
-    ck_assert_uint_eq(cw_assigner_ranges(second->router.keyed[0].assigner)->count, 4);
+    ck_assert_uint_eq(cw_assigner_ranges(second->router.assignments[0].assigner)->count, 4);
     node_fixture_free(first);
     node_fixture_free(second);
 }
@@ -461,7 +461,7 @@
     node_fixture_read_servers(node, "s", MANY_SERVERS, "10.0.1.1:80");
     ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
-    ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, MANY_SERVERS);
+    ck_assert_uint_eq(cw_assigner_ranges(node->router.assignments[0].assigner)->count, MANY_SERVERS);
     node_fixture_free(node);
 }
 END_TEST
@@ -474,7 +474,7 @@
     node_fixture_read_servers(node, "s", 4, "10.0.1.1:80");
     ck_assert(cw_router_apply_configuration(&node->router, node_fixture_configuration(1, "s")));
     node_fixture_lead(node);
-    ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, 4);
+    ck_assert_uint_eq(cw_assigner_ranges(node->router.assignments[0].assigner)->count, 4);
     for (sequence = 1; sequence < 60; sequence++) { /* so often that one such key alone would keep a server busy */
         receive_samples(node, CW_KEY_LAST + 1, 1000, 3 * sequence);
         receive_samples(node, UINT32_MAX, 1000, 3 * sequence + 1);
@@ -483,7 +483,7 @@
         node_fixture_answer_store(node);
         node_fixture_answer_orders(node, CW_ORDER_DONE);
     }
-    ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, 4);
+    ck_assert_uint_eq(cw_assigner_ranges(node->router.assignments[0].assigner)->count, 4);
     node_fixture_free(node);
 }
 END_TEST
@@ -509,7 +509,7 @@
     for (index = 0; index < 4; index++) {
         earlier[index].done(earlier[index].context, earlier[index].order.id, CW_ORDER_DONE, NULL);
     }
-    ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
+    ranges = cw_assigner_ranges(node->router.assignments[0].assigner);
     ck_assert_uint_eq(ranges->count, 4);
     for (index = 0; index < 4; index++) {
         ck_assert_int_eq(ranges->items[index].phase, CW_RANGE_GRANTING);
--- a/tests/test_order_trust.c
+++ b/tests/test_order_trust.c
@@ -104,7 +104,7 @@
 
 static size_t keys_not_held(const node_fixture_t *node)
 {
-    const cw_range_list_t *ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
+    const cw_range_list_t *ranges = cw_assigner_ranges(node->router.assignments[0].assigner);
     size_t                 keys = 0;
     size_t                 index;
 
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -110,14 +110,14 @@
 
 static const char *region_of_owner(node_fixture_t *node, uint32_t key)
 {
-    const cw_range_t *range = cw_range_list_find(cw_assigner_ranges(node->router.keyed[0].assigner), key);
+    const cw_range_t *range = cw_range_list_find(cw_assigner_ranges(node->router.assignments[0].assigner), key);
 
     return cw_server_pool_find(node->router.pool, range->owner.id)->region;
 }
 
 static size_t count_held(const node_fixture_t *node)
 {
-    const cw_range_list_t *ranges = cw_assigner_ranges(node->router.keyed[0].assigner);
+    const cw_range_list_t *ranges = cw_assigner_ranges(node->router.assignments[0].assigner);
     size_t                 held = 0;
     size_t                 index;
 
@@ -141,7 +141,7 @@
 {
     node_fixture_t *node = lead_with("r1", "r2");
 
-    ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, SERVERS);
+    ck_assert_uint_eq(cw_assigner_ranges(node->router.assignments[0].assigner)->count, SERVERS);
     ck_assert_uint_eq(count_held(node), SERVERS);
     node_fixture_free(node);
 }
@@ -237,11 +237,12 @@
 START_TEST(unrestricted_requests_move_no_key_because_of_regions)
 {
     node_fixture_t *node = lead_with(NULL, NULL);
-    size_t          before =
-        node->router.keyed[0].assigner == NULL ? 0 : cw_assigner_ranges(node->router.keyed[0].assigner)->count;
+    size_t          before = node->router.assignments[0].assigner == NULL
+                                 ? 0
+                                 : cw_assigner_ranges(node->router.assignments[0].assigner)->count;
 
     run_seconds(node, 10, CW_REGIONS_ANY, CW_REGIONS_ANY);
-    ck_assert_uint_eq(cw_assigner_ranges(node->router.keyed[0].assigner)->count, before);
+    ck_assert_uint_eq(cw_assigner_ranges(node->router.assignments[0].assigner)->count, before);
     node_fixture_free(node);
 }
 END_TEST
--- a/tests/test_server_view.c
+++ b/tests/test_server_view.c
@@ -77,7 +77,8 @@
 
 static cw_view_result_t receive_at(const char *names, uint64_t revision, cw_time_us_t now, cw_time_us_t missing_since)
 {
-    cw_server_reading_t reading = {.list = list_of(names, 0, missing_since), .revision = revision, .is_told = true};
+    cw_server_reading_t reading = {
+        .list = list_of(names, 0, missing_since), .revision = revision, .is_from_leader = true};
 
     return offer(&reading, now);
 }
