--- a/sim/lease_nodes.c
+++ b/sim/lease_nodes.c
@@ -80,8 +80,11 @@
                                        .release_timeout = CW_MS(1500),
                                        .late_order_time = CW_SECONDS(13),
                                        .table_validity = CW_MS(TABLE_VALID_MS)};
-    cw_assigner_ports_t    ports = {
-           .context = node, .store = &node->port, .order = send_order, .changed = on_tables_changed, .note = log_decision};
+    cw_assigner_ports_t    ports = {.context = node,
+                                    .store = &node->port,
+                                    .send_order = send_order,
+                                    .on_change = on_tables_changed,
+                                    .log_decision = log_decision};
 
     free_assigner(node);
     node->assigner_term = node->leadership.lock.term;
--- a/src/assignment/assigner.h
+++ b/src/assignment/assigner.h
@@ -80,11 +80,12 @@
     void            *context;
     cw_store_port_t *store;
     /** Sends an order; cw_assigner_order_done must follow once. */
-    void (*order)(void *context, const cw_order_t *order);
+    void (*send_order)(void *context, const cw_order_t *order);
     /** The ranges by which requests are routed have changed. */
-    void (*changed)(void *context);
+    void (*on_change)(void *context);
     /** Logs one decision: the name of the event and a detail. */
-    void (*note)(void *context, const char *service, const char *event, const cw_range_t *range, const char *detail);
+    void (*log_decision)(void *context, const char *service, const char *event, const cw_range_t *range,
+                         const char *detail);
 } cw_assigner_ports_t;
 
 /** Assigner of one service. */
--- a/src/assignment/assigner_commit.c
+++ b/src/assignment/assigner_commit.c
@@ -113,5 +113,5 @@
     assigner->writing = false;
     assigner->adopting = false;
     assigner->state = CW_ASSIGNER_READY;
-    assigner->ports.changed(assigner->ports.context);
+    assigner->ports.on_change(assigner->ports.context);
 }
--- a/src/assignment/assigner_orders.c
+++ b/src/assignment/assigner_orders.c
@@ -53,7 +53,7 @@
     }
     range->orders++;
     copy = *order; /* the port may report the result before it returns, which changes the array */
-    assigner->ports.order(assigner->ports.context, &copy);
+    assigner->ports.send_order(assigner->ports.context, &copy);
 }
 
 /* ---- intervals and holds ---- */
@@ -106,7 +106,7 @@
 
 static void finish_release(cw_assigner_t *assigner, cw_range_t *range, const char *why, cw_time_us_t now)
 {
-    assigner->ports.note(assigner->ports.context, assigner->service, "former holder let go", range, why);
+    assigner->ports.log_decision(assigner->ports.context, assigner->service, "former holder let go", range, why);
     memset(&range->former, 0, sizeof(range->former));
     if (assigner->stale_since == 0) {
         assigner->stale_since = now;
@@ -252,9 +252,9 @@
     range->fence_used = true;
     range->next_order = order->sent_at + renewal_interval(assigner);
     if (first) {
-        assigner->ports.note(assigner->ports.context, assigner->service, "granted", range,
-                             range->handover[0] == '\0' ? "without handover" : "with handover");
-        assigner->ports.changed(assigner->ports.context);
+        assigner->ports.log_decision(assigner->ports.context, assigner->service, "granted", range,
+                                     range->handover[0] == '\0' ? "without handover" : "with handover");
+        assigner->ports.on_change(assigner->ports.context);
     }
     (void)now;
 }
@@ -271,8 +271,8 @@
     range->needs_fence = range->fence_used && cw_server_id_start_ms(range->owner.id) != 0;
     if (range->failing_since == 0) {
         range->failing_since = now;
-        assigner->ports.note(assigner->ports.context, assigner->service, "grant not confirmed", range,
-                             result == CW_ORDER_NOT_SENT ? "no connection" : "no answer");
+        assigner->ports.log_decision(assigner->ports.context, assigner->service, "grant not confirmed", range,
+                                     result == CW_ORDER_NOT_SENT ? "no connection" : "no answer");
     }
     range->next_order = now + CW_MS(result == CW_ORDER_NOT_SENT ? RESEND_NOT_SENT_MS : RESEND_MS);
 }
@@ -288,8 +288,8 @@
         handle_confirmed_grant(assigner, range, order, now);
         break;
     case CW_ORDER_FENCED:
-        assigner->ports.note(assigner->ports.context, assigner->service, "grant fenced", range,
-                             "a higher fence was seen");
+        assigner->ports.log_decision(assigner->ports.context, assigner->service, "grant fenced", range,
+                                     "a higher fence was seen");
         range->next_order = now + CW_MS(RESEND_NOT_SENT_MS);
         if (!assigner->writing) {
             cw_assigner_plan_new_fence(assigner, range);
@@ -298,8 +298,8 @@
         break;
     case CW_ORDER_OTHER_INCARNATION:
         range->owner_ended = true;
-        assigner->ports.note(assigner->ports.context, assigner->service, "owner ended", range,
-                             "another incarnation answers");
+        assigner->ports.log_decision(assigner->ports.context, assigner->service, "owner ended", range,
+                                     "another incarnation answers");
         range->next_order = now + CW_MS(RESEND_NOT_SENT_MS);
         break;
     case CW_ORDER_REFUSED:
--- a/src/assignment/assigner_record.c
+++ b/src/assignment/assigner_record.c
@@ -62,8 +62,8 @@
     cw_range_t   all_keys = {.low = 0, .last = CW_KEY_LAST};
     cw_time_us_t last_grant = assigner->record.ranges.count > 0 ? now : assigner->led_since;
 
-    assigner->ports.note(assigner->ports.context, assigner->service, "record not readable", &all_keys,
-                         "assigned again after former holds have ended");
+    assigner->ports.log_decision(assigner->ports.context, assigner->service, "record not readable", &all_keys,
+                                 "assigned again after former holds have ended");
     assigner->first_grant_at = cw_assigner_hold_end(last_grant, assigner->settings.hold_long);
     assigner->plan.last_fence = first_free_fence(assigner);
     assigner->state = CW_ASSIGNER_EMPTY;
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -57,7 +57,7 @@
 
         if (entry->state == CW_PIPELINE_DISPATCHED) {
             cw_pipeline_answered(&connection->pipeline, entry, 0);
-            listener->handler.gone(listener->handler.context, exchange);
+            listener->handler.cancelled(listener->handler.context, exchange);
         }
         cw_listener_release(exchange, exchange->reserved);
     }
--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -70,7 +70,7 @@
     void (*request)(void *context, cw_http_exchange_t *exchange, const cw_http_inbound_t *inbound);
     /** The caller disconnected before the answer, or its connection has ended. The exchange is invalid once this
      * returns. */
-    void (*gone)(void *context, cw_http_exchange_t *exchange);
+    void (*cancelled)(void *context, cw_http_exchange_t *exchange);
 } cw_http_listener_handler_t;
 
 /** Called when the head of a request with a body has been read. Returns true if the handler rejects the request
--- a/src/net/http_listener_exchange.c
+++ b/src/net/http_listener_exchange.c
@@ -102,7 +102,7 @@
         cw_pipeline_remove(&connection->pipeline, &newest->entry);
         if (with_handler) {
             newest->entry.state = CW_PIPELINE_ANSWERED;
-            listener->handler.gone(listener->handler.context, newest);
+            listener->handler.cancelled(listener->handler.context, newest);
         }
         cw_listener_exchange_free(newest);
     }
--- a/src/proxy/engine.h
+++ b/src/proxy/engine.h
@@ -100,9 +100,9 @@
     cw_crash_suspects_t *suspects; /**< borrowed; NULL: no detection */
     /** Called when a connection to this server ended while a request was in flight, to find out whether the server has
      * ended. */
-    void (*lost)(void *context, const cw_server_t *server);
+    void (*on_server_lost)(void *context, const cw_server_t *server);
     /** Called when a server has answered a request that was suspected, so that the other nodes are notified. */
-    void (*cleared)(void *context, uint64_t request);
+    void (*on_request_cleared)(void *context, uint64_t request);
 } cw_crash_port_t;
 
 /** Callbacks through which the node forwards servers' signals to the other nodes. All zeros: nothing is forwarded. */
--- a/src/proxy/engine_crashes.c
+++ b/src/proxy/engine_crashes.c
@@ -60,7 +60,7 @@
         cw_metric_add(CW_METRIC_LOSSES_DROPPED, 1);
         return;
     }
-    port->lost(port->context, server);
+    port->on_server_lost(port->context, server);
 }
 
 void cw_request_record_server_survived(const cw_request_t *request, cw_time_us_t now)
@@ -73,6 +73,6 @@
     }
     digest = request_digest(request);
     if (cw_crash_suspects_clear(port->suspects, digest, now)) {
-        port->cleared(port->context, digest);
+        port->on_request_cleared(port->context, digest);
     }
 }
--- a/src/router/adapter.h
+++ b/src/router/adapter.h
@@ -40,7 +40,7 @@
     /** The store, as the router calls it. */
     cw_store_port_t *(*store)(void *adapter);
     /** Sends a grant or a release to a server. done: called once. */
-    void (*order)(void *adapter, const cw_order_t *order, cw_order_done_t done, void *context);
+    void (*send_order)(void *adapter, const cw_order_t *order, cw_order_done_t done, void *context);
     /** For the command line: reads the accepted configuration. */
     void (*read_accepted)(void *adapter, cw_accepted_read_t done, void *context);
     /** For the command line: writes another accepted configuration if the object still has this revision (0: there is
--- a/src/router/router_assigners.c
+++ b/src/router/router_assigners.c
@@ -79,7 +79,7 @@
     pending->assigner = assignment->assigner;
     pending->server = cw_name_hash(order->server);
     pending->term = assignment->router->leadership.lock.term;
-    assignment->router->adapter->order(assignment->router->platform, order, order_done, pending);
+    assignment->router->adapter->send_order(assignment->router->platform, order, order_done, pending);
 }
 
 /* Whether the records of all services have been read. Before that, tables would lack ranges, so the first tables wait
@@ -204,9 +204,9 @@
                                          .table_validity = router->settings.hold * CW_TABLES_VALID_PERCENT / 100};
     cw_assigner_ports_t      ports = {.context = assignment,
                                       .store = router->store,
-                                      .order = send_order,
-                                      .changed = on_assignment_changed,
-                                      .note = log_assignment};
+                                      .send_order = send_order,
+                                      .on_change = on_assignment_changed,
+                                      .log_decision = log_assignment};
 
     assignment->router = router;
     router->table_publication.published_at = 0; /* the first tables are published at once */
--- a/src/router/router_crashes.c
+++ b/src/router/router_crashes.c
@@ -124,7 +124,7 @@
     add_report(crashes, &(pending_report_t){.crash = *crash});
 }
 
-static void on_cleared(void *context, uint64_t request)
+static void on_request_cleared(void *context, uint64_t request)
 {
     cw_router_crashes_t *crashes = context;
     cw_time_us_t         now = cw_router_now(crashes->router);
@@ -225,7 +225,8 @@
 void cw_router_crashes_init(cw_router_t *router)
 {
     cw_router_crashes_t *crashes = calloc(1, sizeof(*crashes));
-    cw_crash_port_t      port = {.context = crashes, .lost = on_server_lost, .cleared = on_cleared};
+    cw_crash_port_t      port = {
+             .context = crashes, .on_server_lost = on_server_lost, .on_request_cleared = on_request_cleared};
 
     if (crashes == NULL) {
         abort();
--- a/tests/assigner_fixture.c
+++ b/tests/assigner_fixture.c
@@ -107,8 +107,11 @@
                                        .release_timeout = CW_MS(1500),
                                        .late_order_time = CW_SECONDS(13),
                                        .table_validity = CW_MS(4000)};
-    cw_assigner_ports_t    ports = {
-           .context = fixture, .store = &fixture->port, .order = take_order, .changed = on_change, .note = on_decision};
+    cw_assigner_ports_t    ports = {.context = fixture,
+                                    .store = &fixture->port,
+                                    .send_order = take_order,
+                                    .on_change = on_change,
+                                    .log_decision = on_decision};
 
     fixture->assigner = cw_assigner_create("service", term, 1000 + term, &settings, &ports);
 }
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -269,7 +269,7 @@
                                    .set_known_servers = set_known_servers,
                                    .read_configuration = read_configuration,
                                    .watch_configuration = watch_configuration};
-    node->adapter = (cw_adapter_t){.header_names = &node->names, .order = accept_order};
+    node->adapter = (cw_adapter_t){.header_names = &node->names, .send_order = accept_order};
     node->router.adapter = &node->adapter;
     node->router.platform = node;
     node->router.incarnation = 77;
--- a/tests/test_node_start.c
+++ b/tests/test_node_start.c
@@ -541,7 +541,7 @@
         cw_order_result_t result = CW_ORDER_DONE;
 
         snprintf(order.address, sizeof(order.address), "%s", addresses[index]);
-        cw_adapter.order(platform, &order, store_result, &result);
+        cw_adapter.send_order(platform, &order, store_result, &result);
         ck_assert_int_eq(result, CW_ORDER_NOT_SENT);
     }
 }
