--- a/src/balance/crossing_cost.c
+++ b/src/balance/crossing_cost.c
@@ -8,11 +8,11 @@
 
 cw_time_us_t cw_crossing_cost(const cw_crossing_settings_t *settings, size_t bytes)
 {
-    return settings->way + (cw_time_us_t)((double)bytes / bytes_per_mb * settings->ms_per_mb * 1000);
+    return settings->round_trip + (cw_time_us_t)((double)bytes / bytes_per_mb * settings->ms_per_mb * 1000);
 }
 
 bool cw_crossing_should_wait(const cw_crossing_input_t *input)
 {
     return input->wait != CW_CROSSING_NO_SLOT && input->wait <= input->cost &&
-           input->wait + input->usual <= input->objective_left;
+           input->wait + input->mean_time <= input->objective_left;
 }
--- a/src/balance/crossing_cost.h
+++ b/src/balance/crossing_cost.h
@@ -18,8 +18,8 @@
 
 /** Price of sending a request to another region. */
 typedef struct cw_crossing_settings {
-    double       ms_per_mb; /**< milliseconds of waiting that equal the cost of one megabyte between regions */
-    cw_time_us_t way;       /**< network round-trip time */
+    double       ms_per_mb;  /**< milliseconds of waiting that equal the cost of one megabyte between regions */
+    cw_time_us_t round_trip; /**< network round-trip time */
 } cw_crossing_settings_t;
 
 /** Cost of sending a request to another region, as a time. bytes: size of the request and its answer together. */
@@ -27,9 +27,9 @@
 
 /** A request that could be served in its own region after a wait. */
 typedef struct cw_crossing_input {
-    cw_time_us_t cost;  /**< result of cw_crossing_cost */
-    cw_time_us_t wait;  /**< expected wait for a slot in the region; CW_CROSSING_NO_SLOT: no slot is expected */
-    cw_time_us_t usual; /**< mean time that such a request takes at a server */
+    cw_time_us_t cost;      /**< result of cw_crossing_cost */
+    cw_time_us_t wait;      /**< expected wait for a slot in the region; CW_CROSSING_NO_SLOT: no slot is expected */
+    cw_time_us_t mean_time; /**< mean time that such a request takes at a server */
     cw_time_us_t objective_left; /**< time left until its latency objective */
 } cw_crossing_input_t;
 
--- a/src/balance/server_pool.h
+++ b/src/balance/server_pool.h
@@ -28,7 +28,7 @@
 /** Entry for one server in another node's report. */
 typedef struct cw_server_report {
     uint32_t hash;        /**< of the server's id */
-    uint32_t under_way;   /**< requests of that node in flight at the server */
+    uint32_t in_flight;   /**< requests of that node in flight at the server */
     uint32_t waiting;     /**< requests that wait at that node for keys that the server owns */
     bool     unreachable; /**< that node avoids the server because of faults */
 } cw_server_report_t;
--- a/src/balance/server_reports.c
+++ b/src/balance/server_reports.c
@@ -28,7 +28,7 @@
     {
         for (index = 0; index < peer->count; index++) {
             if (peer->reports[index].hash == server->hash) {
-                server->others += peer->reports[index].under_way;
+                server->others += peer->reports[index].in_flight;
                 server->others_waiting += peer->reports[index].waiting;
             }
         }
@@ -78,7 +78,7 @@
         cw_server_t *server = cw_server_pool_by_hash(pool, peer->reports[index].hash);
 
         if (server != NULL) {
-            server->others = subtract(server->others, peer->reports[index].under_way);
+            server->others = subtract(server->others, peer->reports[index].in_flight);
             server->others_waiting = subtract(server->others_waiting, peer->reports[index].waiting);
         }
     }
@@ -150,7 +150,7 @@
         if (server == NULL) {
             continue;
         }
-        server->others += reports[index].under_way;
+        server->others += reports[index].in_flight;
         server->others_waiting += reports[index].waiting;
         if (reports[index].unreachable && server->avoid_until < now + CW_MS(CW_AVOID_INITIAL_MS)) {
             server->avoid_until = now + CW_MS(CW_AVOID_INITIAL_MS);
--- a/src/balance/server_sums.c
+++ b/src/balance/server_sums.c
@@ -12,7 +12,7 @@
     HASH_ITER(by_id, pool->by_id, server, next)
     {
         server->sum = (cw_server_report_t){.hash = server->hash,
-                                           .under_way = server->own,
+                                           .in_flight = server->own,
                                            .waiting = server->own_waiting,
                                            .unreachable = server->faults > 0 && server->avoid_until > now};
     }
@@ -26,7 +26,7 @@
         cw_server_t *server = cw_server_pool_by_hash(pool, peer->reports[index].hash);
 
         if (server != NULL) {
-            server->sum.under_way += peer->reports[index].under_way;
+            server->sum.in_flight += peer->reports[index].in_flight;
             server->sum.waiting += peer->reports[index].waiting;
             server->sum.unreachable = server->sum.unreachable || peer->reports[index].unreachable;
         }
@@ -52,7 +52,7 @@
     }
     HASH_ITER(by_id, pool->by_id, server, next)
     {
-        bool is_reported = server->sum.under_way > 0 || server->sum.waiting > 0 || server->sum.unreachable;
+        bool is_reported = server->sum.in_flight > 0 || server->sum.waiting > 0 || server->sum.unreachable;
 
         if (!is_reported || !filter->includes_server(filter->context, server)) {
             continue;
--- a/src/intent/intent.c
+++ b/src/intent/intent.c
@@ -111,7 +111,7 @@
     if (route->host[0] == '\0') {
         cw_yaml_report(mapping->document, mapping->node, "'host' must not be empty");
     }
-    if (route->timeout > 0 && route->aim > route->timeout) {
+    if (route->timeout > 0 && route->objective > route->timeout) {
         cw_yaml_report(mapping->document, mapping->node, "'aim_ms' must not be above 'timeout_ms'");
     }
     for (index = 0; index + 1 < intent->configuration->route_count; index++) {
@@ -138,7 +138,7 @@
     route->prefix = strdup(text == NULL ? "" : text);
     route->repeatable = cw_yaml_flag(&mapping, "repeatable", false);
     route->timeout = read_ms(&mapping, "timeout_ms");
-    route->aim = read_ms(&mapping, "aim_ms");
+    route->objective = read_ms(&mapping, "aim_ms");
     route->max_attempts = (uint32_t)cw_yaml_number(&mapping, "attempts", 1, ATTEMPTS_MAX, 2);
     route->priority = (uint32_t)cw_yaml_number(&mapping, "priority", 0, PRIORITY_MAX, 1);
     route->allows_anonymous = cw_yaml_flag(&mapping, "open", false);
--- a/src/intent/plan.c
+++ b/src/intent/plan.c
@@ -103,7 +103,7 @@
     size_t part;
 
     cw_bytes_append_format(text, "%s %s %s %d %d %" PRId64 " %" PRId64 " %u %u\n", route->name, route->host,
-                           route->prefix, route->repeatable, route->allows_anonymous, route->timeout, route->aim,
+                           route->prefix, route->repeatable, route->allows_anonymous, route->timeout, route->objective,
                            route->max_attempts, route->priority);
     for (part = 0; part < route->part_count; part++) {
         cw_bytes_append_format(text, " %s %.6f\n", route->parts[part].service, route->parts[part].weight);
--- a/src/intent/plan_difference.c
+++ b/src/intent/plan_difference.c
@@ -94,7 +94,7 @@
                "open to callers without a key from now on");
     add_detail(&what, before->allows_anonymous && !after->allows_anonymous, "no longer open to callers without a key");
     add_detail(&what, before->repeatable != after->repeatable, "repeatable");
-    add_detail(&what, before->timeout != after->timeout || before->aim != after->aim, "times");
+    add_detail(&what, before->timeout != after->timeout || before->objective != after->objective, "times");
     add_detail(&what, before->max_attempts != after->max_attempts || before->priority != after->priority,
                "attempts or priority");
     if (what.length > 0) {
--- a/src/model/configuration.c
+++ b/src/model/configuration.c
@@ -99,7 +99,7 @@
     bool same_place = strcmp(left->name, right->name) == 0 && strcmp(left->host, right->host) == 0 &&
                       strcmp(left->prefix, right->prefix) == 0;
     bool same_rules = left->repeatable == right->repeatable && left->timeout == right->timeout &&
-                      left->aim == right->aim && left->max_attempts == right->max_attempts &&
+                      left->objective == right->objective && left->max_attempts == right->max_attempts &&
                       left->priority == right->priority && left->allows_anonymous == right->allows_anonymous;
 
     return same_place && same_rules && cw_route_same_parts(left, right) &&
--- a/src/model/configuration.h
+++ b/src/model/configuration.h
@@ -32,7 +32,7 @@
     char            *prefix;       /**< begins and ends with a slash */
     bool             repeatable;   /**< requests may be executed more than once */
     cw_time_us_t     timeout;      /**< longest time for which a request is held; 0: the caller's own timeout */
-    cw_time_us_t     aim;          /**< latency objective: a response within it has its full value; 0: not stated */
+    cw_time_us_t     objective;    /**< latency objective: a response within it has its full value; 0: not stated */
     uint32_t         max_attempts; /**< number of servers that a request may be sent to; at least 1 */
     uint32_t         priority;     /**< 0 is the most urgent */
     cw_split_part_t *parts;
--- a/src/peer/configuration_assembly.c
+++ b/src/peer/configuration_assembly.c
@@ -41,7 +41,7 @@
     route->prefix = strdup(sent->prefix);
     route->repeatable = sent->repeatable;
     route->timeout = (cw_time_us_t)sent->timeout_us;
-    route->aim = (cw_time_us_t)sent->objective_us;
+    route->objective = (cw_time_us_t)sent->objective_us;
     route->max_attempts = sent->max_attempts;
     route->priority = sent->priority;
     route->allows_anonymous = sent->allows_anonymous;
--- a/src/peer/configuration_pages.c
+++ b/src/peer/configuration_pages.c
@@ -159,7 +159,7 @@
     sent->prefix = route->prefix;
     sent->repeatable = route->repeatable;
     sent->timeout_us = (uint64_t)route->timeout;
-    sent->objective_us = (uint64_t)route->aim;
+    sent->objective_us = (uint64_t)route->objective;
     sent->max_attempts = route->max_attempts;
     sent->priority = route->priority;
     sent->allows_anonymous = route->allows_anonymous;
--- a/src/placement/planner.c
+++ b/src/placement/planner.c
@@ -212,8 +212,8 @@
     }
     planner.load_count = cw_load_window_read(input->window, planner.now, &planner.loads);
     planner.restricted_count = cw_load_window_read_restricted(input->window, planner.now, &planner.restricted);
-    if (input->crossing > 0) {
-        planner.crossing = input->crossing;
+    if (input->crossing_cost > 0) {
+        planner.crossing_cost = input->crossing_cost;
         planner.origin_count = cw_load_window_read_origins(input->window, planner.now, &planner.origins);
     }
     planner.per_s = cw_planner_load_between(&planner, 0, CW_KEY_LAST);
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -53,8 +53,8 @@
     size_t                       server_count;
     const cw_server_list_t      *list;
     const cw_load_window_t      *window;
-    double       crossing;    /**< cost of a request from another region, in usual response times; 0: none */
-    bool         doubts_list; /**< owners that are missing in the list may still be running */
+    double       crossing_cost; /**< cost of a request from another region, in usual response times; 0: none */
+    bool         doubts_list;   /**< owners that are missing in the list may still be running */
     cw_time_us_t now;
 } cw_planner_input_t;
 
--- a/src/placement/planner_internal.h
+++ b/src/placement/planner_internal.h
@@ -26,7 +26,7 @@
     size_t                       restricted_count;
     cw_region_load_t *origins; /**< load with the region that it comes from, sorted by key; empty if crossing is free */
     size_t            origin_count;
-    double            crossing;      /**< cost of a request from another region, in usual response times */
+    double            crossing_cost; /**< cost of a request from another region, in usual response times */
     double            per_s;         /**< load on all keys */
     double            fastest_cost;  /**< share of its slots that one request per second takes at the fastest server */
     double            busy;          /**< mean busy share of the servers that may get keys */
--- a/src/placement/planner_regions.c
+++ b/src/placement/planner_regions.c
@@ -56,7 +56,7 @@
 {
     return !has_regions(planner) ? 0
                                  : planner->settings->refusal * refused_load(planner, piece, server) +
-                                       planner->crossing * crossing_load(planner, piece, server);
+                                       planner->crossing_cost * crossing_load(planner, piece, server);
 }
 
 /* Reduces a difference towards 0 by what random variation can explain, since the origins of a few requests are no
@@ -81,7 +81,7 @@
     }
     difference = crossing_load(planner, piece, from) - crossing_load(planner, piece, to);
     return planner->settings->refusal * (refused_load(planner, piece, from) - refused_load(planner, piece, to)) +
-           planner->crossing * without_random_part(piece, difference);
+           planner->crossing_cost * without_random_part(piece, difference);
 }
 
 cw_planner_server_t *cw_planner_best_server(const cw_planner_t *planner, const cw_planner_piece_t *piece,
--- a/src/proxy/engine_admission.c
+++ b/src/proxy/engine_admission.c
@@ -33,7 +33,7 @@
     if (state == NULL) {
         state = cw_memory_zeroed(sizeof(*state));
         state->name = strdup(route->name);
-        state->mean_time = route->aim > 0 ? route->aim / 3 : CW_MS(CW_INITIAL_MEAN_TIME_MS);
+        state->mean_time = route->objective > 0 ? route->objective / 3 : CW_MS(CW_INITIAL_MEAN_TIME_MS);
         HASH_ADD_KEYPTR(hh, engine->routes, state->name, strlen(state->name), state);
     }
     return state;
@@ -59,16 +59,16 @@
 static void set_times(cw_request_t *request, const cw_http_inbound_t *inbound)
 {
     const cw_route_t *route = request->route;
-    cw_time_us_t      aim;
+    cw_time_us_t      objective;
 
     request->arrived = inbound->arrived_us;
     request->deadline = caller_deadline(request->engine, inbound);
     if (route->timeout > 0 && request->arrived + route->timeout < request->deadline) {
         request->deadline = request->arrived + route->timeout;
     }
-    aim = route->aim > 0 ? route->aim : request->deadline - request->arrived;
-    request->objective_at = request->arrived + aim;
-    request->owner_wait_until = request->arrived + aim / OWNER_WAIT_DIVISOR;
+    objective = route->objective > 0 ? route->objective : request->deadline - request->arrived;
+    request->objective_at = request->arrived + objective;
+    request->owner_wait_until = request->arrived + objective / OWNER_WAIT_DIVISOR;
     request->repeat_at = CW_NEVER;
 }
 
--- a/src/proxy/engine_regions.c
+++ b/src/proxy/engine_regions.c
@@ -50,7 +50,7 @@
 bool cw_request_stays_in_region(const cw_request_t *request, cw_time_us_t now)
 {
     cw_crossing_input_t input = {.cost = cw_request_crossing_cost(request),
-                                 .usual = request->route_state->mean_time,
+                                 .mean_time = request->route_state->mean_time,
                                  .objective_left = request->objective_at - now};
 
     if (!cw_server_pool_has_regions(request->engine->pool)) {
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -146,7 +146,7 @@
         .names = *router->adapter->header_names,
         .decode_signals = router->adapter->decode_signals,
         .choice = {.zone_penalty = 0.7, .extra_slots = 0},
-        .crossing = {.ms_per_mb = router->settings.remote_byte_cost, .way = CW_MS(REMOTE_ROUND_TRIP_MS)},
+        .crossing = {.ms_per_mb = router->settings.remote_byte_cost, .round_trip = CW_MS(REMOTE_ROUND_TRIP_MS)},
         .budget = {.ratio = router->settings.retry_ratio,
                    .extra = router->settings.retry_extra,
                    .window = router->settings.retry_window,
--- a/src/router/router_plan.c
+++ b/src/router/router_plan.c
@@ -191,7 +191,7 @@
         .server_count = servers.count,
         .list = router->server_view.list,
         .window = &assignment->window,
-        .crossing = cw_engine_crossing_share(router->engine, cw_assigner_service(assignment->assigner)),
+        .crossing_cost = cw_engine_crossing_share(router->engine, cw_assigner_service(assignment->assigner)),
         .doubts_list = doubts_list(router, assignment, now),
         .now = now});
     if (changes > 0 && cw_event_begin(&event, CW_EVENT_PLAN_WRITTEN)) {
--- a/src/router/router_receive.c
+++ b/src/router/router_receive.c
@@ -24,7 +24,7 @@
         const Cwp__ServerLoad *load = received->loads[index];
 
         reports[index] = (cw_server_report_t){.hash = load->server,
-                                              .under_way = load->under_way,
+                                              .in_flight = load->under_way,
                                               .waiting = load->waiting,
                                               .unreachable = load->unreachable};
     }
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -349,7 +349,7 @@
 
     for (index = 0; index < summary->n_servers && index < CW_SUMMARY_SERVERS_MAX; index++) {
         sums[index] = (cw_server_report_t){.hash = summary->servers[index],
-                                           .under_way = summary->under_way[index],
+                                           .in_flight = summary->under_way[index],
                                            .waiting = summary->waiting[index],
                                            .unreachable = is_unreachable(summary, summary->servers[index])};
     }
--- a/src/router/router_summary.c
+++ b/src/router/router_summary.c
@@ -206,7 +206,7 @@
                               CW_SUMMARY_SERVERS_MAX, left_out);
     for (index = 0; index < count; index++) {
         builder.servers[index] = builder.sums[index].hash;
-        builder.under_way[index] = builder.sums[index].under_way;
+        builder.under_way[index] = builder.sums[index].in_flight;
         builder.waiting[index] = builder.sums[index].waiting;
         if (builder.sums[index].unreachable) {
             builder.unreachable[builder.summary.n_unreachable++] = builder.sums[index].hash;
--- a/tests/engine_fixture.c
+++ b/tests/engine_fixture.c
@@ -203,7 +203,7 @@
     route->prefix = strdup(prefix);
     route->repeatable = repeatable;
     route->timeout = CW_SECONDS(20);
-    route->aim = CW_SECONDS(10);
+    route->objective = CW_SECONDS(10);
     route->max_attempts = 3;
     return route;
 }
--- a/tests/test_crossing.c
+++ b/tests/test_crossing.c
@@ -11,7 +11,7 @@
 #include "proxy/slot_stages.h"
 
 static const cw_time_us_t           start = CW_SECONDS(50);
-static const cw_crossing_settings_t crossing = {.ms_per_mb = 30000, .way = CW_MS(16)};
+static const cw_crossing_settings_t crossing = {.ms_per_mb = 30000, .round_trip = CW_MS(16)};
 static const cw_zone_region_t       regions[] = {{"z1", "r1"}, {"z2", "r1"}, {"z3", "r2"}, {"z4", "r3"}};
 
 /* ---- crossing cost ---- */
@@ -27,7 +27,7 @@
 START_TEST(request_waits_in_its_region_if_cheaper_and_within_its_objective)
 {
     cw_crossing_input_t input = {
-        .cost = CW_MS(1800), .wait = CW_MS(900), .usual = CW_MS(200), .objective_left = CW_MS(1500)};
+        .cost = CW_MS(1800), .wait = CW_MS(900), .mean_time = CW_MS(200), .objective_left = CW_MS(1500)};
 
     ck_assert(cw_crossing_should_wait(&input));
     input.cost = CW_MS(46); /* a short request */
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -132,7 +132,7 @@
 {
     engine_fixture_t   fixture;
     cw_key_route_t     route = {.low = 0, .last = 65535, .server = "s1", .fence = 4, .routable = true};
-    cw_server_report_t report = {.under_way = 1};
+    cw_server_report_t report = {.in_flight = 1};
 
     engine_fixture_init(&fixture);
     cw_engine_set_tables_valid(fixture.engine, 0, INT64_MAX);
--- a/tests/test_engine_quota.c
+++ b/tests/test_engine_quota.c
@@ -42,7 +42,7 @@
     route->host = strdup("a.example");
     route->prefix = strdup("/");
     route->timeout = CW_SECONDS(20);
-    route->aim = CW_SECONDS(10);
+    route->objective = CW_SECONDS(10);
     route->max_attempts = 1;
     cw_route_add_part(route, "service", 1);
     tenant->name = strdup("red");
--- a/tests/test_planner.c
+++ b/tests/test_planner.c
@@ -17,7 +17,7 @@
     cw_load_window_t    window;
     cw_planner_server_t servers[8];
     size_t              server_count;
-    double              crossing; /* cost of a request from another region, in usual response times */
+    double              crossing_cost; /* cost of a request from another region, in usual response times */
 } planner_fixture_t;
 
 static void refresh_servers(planner_fixture_t *fixture)
@@ -71,7 +71,7 @@
                                                 .server_count = fixture->server_count,
                                                 .list = fixture->assigner.servers,
                                                 .window = &fixture->window,
-                                                .crossing = fixture->crossing,
+                                                .crossing_cost = fixture->crossing_cost,
                                                 .doubts_list = doubts_list,
                                                 .now = fixture->assigner.now});
 }
@@ -469,11 +469,11 @@
 enum { REGION_1 = 1, REGION_2 = 2 };
 
 /* i-a and i-b are in one region, i-c and i-d in the other. */
-static void set_regions(planner_fixture_t *fixture, double crossing)
+static void set_regions(planner_fixture_t *fixture, double crossing_cost)
 {
     size_t index;
 
-    fixture->crossing = crossing;
+    fixture->crossing_cost = crossing_cost;
     for (index = 0; index < fixture->server_count; index++) {
         fixture->servers[index].region = strcmp(fixture->servers[index].entry->id, "i-c") < 0 ? REGION_1 : REGION_2;
     }
--- a/tests/test_sharing.c
+++ b/tests/test_sharing.c
@@ -139,14 +139,14 @@
     uint32_t           dropped;
     bool               full;
     cw_server_pool_t  *pool = new_pool(&dropped);
-    cw_server_report_t report = {.hash = cw_server_pool_find(pool, "near")->hash, .under_way = 2};
+    cw_server_report_t report = {.hash = cw_server_pool_find(pool, "near")->hash, .in_flight = 2};
 
     cw_server_pool_apply_report(pool, 5, &report, 1, 0);
     ck_assert_str_eq(choose(pool, 0, &full), "far");
-    report.under_way = 1;
+    report.in_flight = 1;
     cw_server_pool_apply_report(pool, 5, &report, 1, CW_MS(10));
     ck_assert_str_eq(choose(pool, CW_MS(10), &full), "near");
-    report.under_way = 2;
+    report.in_flight = 2;
     cw_server_pool_apply_report(pool, 5, &report, 1, CW_MS(20));
     cw_server_pool_expire(pool, CW_MS(CW_POOL_REPORT_EXPIRY_MS), CW_MS(20) + CW_MS(CW_POOL_REPORT_EXPIRY_MS) + 1);
     ck_assert_uint_eq(cw_server_pool_find(pool, "near")->others, 0);
@@ -226,7 +226,7 @@
     uint32_t           dropped;
     cw_server_pool_t  *pool = new_pool(&dropped);
     const cw_server_t *near = cw_server_pool_find(pool, "near");
-    cw_server_report_t report = {.hash = near->hash, .under_way = 2, .waiting = 7};
+    cw_server_report_t report = {.hash = near->hash, .in_flight = 2, .waiting = 7};
 
     cw_server_pool_apply_report(pool, 5, &report, 1, 0);
     cw_server_pool_apply_report(pool, 6, &report, 1, 0);
@@ -257,8 +257,8 @@
     cw_server_pool_t  *pool = new_pool(&dropped);
     cw_server_t       *near = cw_server_pool_find(pool, "near");
     cw_server_t       *far = cw_server_pool_find(pool, "far");
-    cw_server_report_t report[2] = {{.hash = near->hash, .under_way = 2, .waiting = 1},
-                                    {.hash = far->hash, .under_way = 5}};
+    cw_server_report_t report[2] = {{.hash = near->hash, .in_flight = 2, .waiting = 1},
+                                    {.hash = far->hash, .in_flight = 5}};
     cw_sum_filter_t    filter = {.context = "far", .includes_node = takes_low_nodes, .includes_server = takes_all_but};
     cw_server_report_t sums[4];
     size_t             left_out;
@@ -269,7 +269,7 @@
     cw_server_pool_begin_request(near, 0);
     ck_assert_uint_eq(cw_server_pool_sum(pool, &filter, sums, 4, 0, &left_out), 1);
     ck_assert_uint_eq(sums[0].hash, near->hash);
-    ck_assert_uint_eq(sums[0].under_way, 5);
+    ck_assert_uint_eq(sums[0].in_flight, 5);
     ck_assert_uint_eq(sums[0].waiting, 2);
     ck_assert(!sums[0].unreachable);
     filter.context = "";
