--- a/fuzz/fuzz_http.c
+++ b/fuzz/fuzz_http.c
@@ -81,7 +81,7 @@
         .header_bytes = 4096, .body_bytes = 4096, .header_timeout = CW_MS(50), .idle_timeout = CW_MS(50)};
     cw_http_listener_handler_t handler = {NULL, on_request, on_cancelled};
     cw_http_listener_options_t listener_options = {
-        .pipeline = {.depth = 4, .bytes = 2000}, .body_bytes_most = 6000, .body_wait = CW_MS(2)};
+        .pipeline = {.depth = 4, .bytes = 2000}, .body_bytes_max = 6000, .body_wait = CW_MS(2)};
     cw_upstream_options_t options = {.idle_max = CW_MS(10)};
     char                  address[32];
 
@@ -100,7 +100,7 @@
 {
     cw_upstream_request_t request = {.bytes = (const char *)data,
                                      .length = size,
-                                     .fresh = true,
+                                     .uses_new_connection = true,
                                      .connect_timeout = CW_MS(100),
                                      .timeout = CW_MS(3),
                                      .answer_max = 8192};
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -162,7 +162,7 @@
     if (listener->options.pipeline.depth == 0) {
         listener->options.pipeline.depth = 1;
     }
-    listener->bodies.limit_bytes = options->body_bytes_most == 0 ? SIZE_MAX : options->body_bytes_most;
+    listener->bodies.limit_bytes = options->body_bytes_max == 0 ? SIZE_MAX : options->body_bytes_max;
 }
 
 void cw_http_listener_set_reject_callback(cw_http_listener_t *listener, cw_http_rejects_t rejects)
--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -47,7 +47,7 @@
  * cw_http_limits_t alone. */
 typedef struct cw_http_listener_options {
     cw_pipeline_limits_t pipeline;
-    size_t               body_bytes_most; /**< maximum size of all bodies in memory; 0: unlimited */
+    size_t               body_bytes_max;  /**< maximum size of all bodies in memory; 0: unlimited */
     cw_time_us_t         body_wait;       /**< a body that waits for memory for this time is refused with 503 */
     const char          *request_id_name; /**< header whose value names a request in the log; NULL: none */
 } cw_http_listener_options_t;
--- a/src/net/http_upstream.c
+++ b/src/net/http_upstream.c
@@ -121,12 +121,12 @@
     arm_timer(connection, now_us(connection->target->upstream) + idle);
 }
 
-void cw_upstream_end_call(cw_upstream_call_t *call, cw_upstream_result_t result, const char *fault, bool reset)
+void cw_upstream_end_call(cw_upstream_call_t *call, cw_upstream_result_t result, const char *failure, bool reset)
 {
     cw_upstream_connection_t *connection = call->connection;
     cw_upstream_target_t     *target = connection->target;
     cw_upstream_answer_t      answer = {
-             .result = result, .fault = fault, .reused = call->reused, .reset = reset, .any_byte = call->any_byte};
+             .result = result, .failure = failure, .reused = call->reused, .reset = reset, .any_byte = call->any_byte};
 
     if (result != CW_UPSTREAM_ANSWERED && !call->sent) {
         answer.result = CW_UPSTREAM_NOT_SENT;
@@ -340,7 +340,7 @@
                                      cw_upstream_answered_t answered, void *context)
 {
     cw_upstream_call_t       *call = calloc(1, sizeof(*call));
-    cw_upstream_connection_t *connection = request->fresh ? NULL : take_idle(target);
+    cw_upstream_connection_t *connection = request->uses_new_connection ? NULL : take_idle(target);
 
     if (call == NULL || (call->bytes = malloc(request->length + 1)) == NULL) {
         abort();
--- a/src/net/http_upstream.h
+++ b/src/net/http_upstream.h
@@ -36,10 +36,10 @@
     const char *body; /**< data sent after these bytes. It is not copied and must remain valid until the call has ended
                          or is abandoned. NULL: none */
     size_t       body_length;
-    bool         is_head;         /**< the method is HEAD */
-    bool         fresh;           /**< use a new connection */
-    cw_time_us_t connect_timeout; /**< time to establish a connection; after it the call ends with nothing sent */
-    cw_time_us_t timeout;         /**< for the complete call; 0: none */
+    bool         is_head;             /**< the method is HEAD */
+    bool         uses_new_connection; /**< use a new connection */
+    cw_time_us_t connect_timeout;     /**< time to establish a connection; after it the call ends with nothing sent */
+    cw_time_us_t timeout;             /**< for the complete call; 0: none */
     cw_time_us_t progress; /**< an answer is awaited beyond `timeout` while bytes of it arrive at intervals of at most
                               this; 0: it is not */
     size_t answer_max;     /**< maximum size of an answer's body; a longer one counts as broken */
@@ -52,7 +52,7 @@
 /** Outcome of a call. Valid during the callback only. */
 typedef struct cw_upstream_answer {
     cw_upstream_result_t    result;
-    const char             *fault; /**< description of the failure for the log; NULL if answered */
+    const char             *failure; /**< description of the failure for the log; NULL if answered */
     int                     status;
     const cw_http_fields_t *fields;
     const char             *body;
--- a/src/net/http_upstream_internal.h
+++ b/src/net/http_upstream_internal.h
@@ -82,7 +82,7 @@
 };
 
 /** Ends a call: keeps or closes its connection, then calls its callback. */
-void cw_upstream_end_call(cw_upstream_call_t *call, cw_upstream_result_t result, const char *fault, bool reset);
+void cw_upstream_end_call(cw_upstream_call_t *call, cw_upstream_result_t result, const char *failure, bool reset);
 /** Extends the call's timeout so that it ends `progress` from now at the earliest. Called when bytes of the answer have
  * arrived. */
 void cw_upstream_extend_timeout(cw_upstream_call_t *call);
--- a/src/proxy/engine_answer.c
+++ b/src/proxy/engine_answer.c
@@ -244,9 +244,9 @@
     answer_and_end(request, &outbound);
 }
 
-void cw_request_fail_unknown(cw_request_t *request, const char *fault)
+void cw_request_fail_unknown(cw_request_t *request, const char *failure)
 {
-    fail(request, STATUS_BAD_GATEWAY, fault, CW_METRIC_FAILED_UNKNOWN);
+    fail(request, STATUS_BAD_GATEWAY, failure, CW_METRIC_FAILED_UNKNOWN);
 }
 
 void cw_request_fail_late(cw_request_t *request)
--- a/src/proxy/engine_internal.h
+++ b/src/proxy/engine_internal.h
@@ -389,7 +389,7 @@
 /** Ends a request whose caller's key was revoked: 401. The answer does not say whether the request has run. */
 void cw_request_refuse_revoked(cw_request_t *request);
 /** Ends a request that may have run: 502. */
-void cw_request_fail_unknown(cw_request_t *request, const char *fault);
+void cw_request_fail_unknown(cw_request_t *request, const char *failure);
 /** Ends a request whose time is over and that may have run: 504. */
 void cw_request_fail_late(cw_request_t *request);
 /** Ends a request with a server's answer. */
--- a/src/proxy/engine_outcome.c
+++ b/src/proxy/engine_outcome.c
@@ -180,15 +180,15 @@
     send_again(request, request->is_keyed ? CW_MS(PAUSE_MISDIRECTED_MS) : 0);
 }
 
-static void handle_broken(cw_request_t *request, const char *server, const char *fault, cw_time_us_t now)
+static void handle_broken(cw_request_t *request, const char *server, const char *failure, cw_time_us_t now)
 {
     cw_metric_add(CW_METRIC_BROKEN, 1);
     if (cw_request_may_repeat_after_crash(request) && next_step(request, CW_OUTCOME_BROKEN, 0, now) == CW_NEXT_REPEAT) {
-        log_retry(request, server, fault);
+        log_retry(request, server, failure);
         send_again(request, 0);
         return;
     }
-    cw_request_fail_unknown(request, fault);
+    cw_request_fail_unknown(request, failure);
 }
 
 /* Returns whether the answer shows that another server incarnation is now at this address. */
@@ -251,7 +251,7 @@
         handle_answer(request, server, answer, now);
         break;
     case CW_UPSTREAM_NOT_SENT:
-        record_fault(server, answer->fault, now);
+        record_fault(server, answer->failure, now);
         request->claim.end = CW_SLOT_FAILED;
         cw_request_leave_server(request);
         handle_unreached(request, id, now);
@@ -259,7 +259,7 @@
     case CW_UPSTREAM_BROKEN:
     case CW_UPSTREAM_TIMED_OUT:
         if (!answer->any_byte) {
-            record_fault(server, answer->fault, now);
+            record_fault(server, answer->failure, now);
             request->claim.end = CW_SLOT_FAILED;
         }
         if (answer->result == CW_UPSTREAM_BROKEN) {
@@ -267,7 +267,7 @@
         }
         cw_request_leave_server(request);
         (void)record_outcome(request, CW_OUTCOME_BROKEN);
-        handle_broken(request, id, answer->fault, now);
+        handle_broken(request, id, answer->failure, now);
         break;
     }
 }
--- a/src/router/router_callers.c
+++ b/src/router/router_callers.c
@@ -45,7 +45,7 @@
                                           .idle_timeout = CW_SECONDS(INITIAL_TIMEOUT_S)};
     cw_http_listener_options_t  options = {
          .pipeline = {.depth = settings->pipeline_depth, .bytes = settings->pipeline_bytes},
-         .body_bytes_most = settings->body_bytes_most,
+         .body_bytes_max = settings->body_bytes_most,
          .body_wait = settings->body_wait,
          .request_id_name = router->adapter->header_names->request_id};
     cw_http_listener_handler_t handler = {router, on_request, on_gone};
--- a/standins/callers/main.c
+++ b/standins/callers/main.c
@@ -137,7 +137,7 @@
         callers->wrong++;
     }
     callers->counts[status < 600 ? status : 599]++;
-    print_end(attempt, status, status == 0 ? NULL : answer->fields, answer->fault);
+    print_end(attempt, status, status == 0 ? NULL : answer->fields, answer->failure);
     if (status == 503 && wait_ms >= 0 && attempt->retries == 0 &&
         now + (uint64_t)(wait_ms * 3e6) < attempt->deadline_ns) {
         attempt->retries++;
@@ -188,7 +188,7 @@
     cw_upstream_request_t request = {.connect_timeout = CW_MS(500),
                                      .timeout = CW_MS(left_ms + 500),
                                      .answer_max = 1 << 20,
-                                     .fresh = attempt->number % 3 == 0};
+                                     .uses_new_connection = attempt->number % 3 == 0};
     size_t                node = (attempt->number + attempt->retries) % callers->node_count;
 
     request.bytes = text.data;
--- a/tests/test_http_upload.c
+++ b/tests/test_http_upload.c
@@ -106,9 +106,9 @@
 enum { MEMORY_LIMIT_BYTES = 64 * 1024, WAIT_MS = 40 };
 
 static const cw_http_listener_options_t short_wait = {
-    .pipeline = {.depth = 4, .bytes = 4096}, .body_bytes_most = MEMORY_LIMIT_BYTES, .body_wait = CW_MS(WAIT_MS)};
+    .pipeline = {.depth = 4, .bytes = 4096}, .body_bytes_max = MEMORY_LIMIT_BYTES, .body_wait = CW_MS(WAIT_MS)};
 static const cw_http_listener_options_t long_wait = {
-    .pipeline = {.depth = 4, .bytes = 4096}, .body_bytes_most = MEMORY_LIMIT_BYTES, .body_wait = CW_SECONDS(60)};
+    .pipeline = {.depth = 4, .bytes = 4096}, .body_bytes_max = MEMORY_LIMIT_BYTES, .body_wait = CW_SECONDS(60)};
 
 /* Sends a request with a body of this length. */
 static void send_body(fixture_caller_t *caller, const char *target, size_t length)
