--- a/tests/assigner_fixture.h
+++ b/tests/assigner_fixture.h
@@ -28,7 +28,7 @@
     cw_order_t         orders[ASSIGNER_ORDERS_MAX]; /**< all orders sent so far, in order */
     size_t             order_count;
     size_t             answered; /**< how many of the orders are answered so far */
-    uint32_t           changes;  /**< calls of the port `changed` so far */
+    uint32_t           changes;  /**< calls of the port `on_change` so far */
 } assigner_fixture_t;
 
 /** Creates the assigner of a leader with this term, and an empty store. */
