--- a/src/router/router.c
+++ b/src/router/router.c
@@ -77,7 +77,7 @@
     if (now - router->started_at < CW_SECONDS(PEER_DISCOVERY_S)) {
         return CW_NODES_UNKNOWN;
     }
-    return cw_peer_link_count_alive(router->link, router->silence, now);
+    return cw_peer_link_count_alive(router->link, router->peer_timeout, now);
 }
 
 /* Number of nodes that share the fixed part of the retry budget: the most seen alive within the budget's window; 0: not
@@ -146,7 +146,7 @@
         .names = *router->adapter->header_names,
         .decode_signals = router->adapter->decode_signals,
         .choice = {.zone_penalty = 0.7, .extra_slots = 0},
-        .crossing = {.ms_per_mb = router->settings.remote_byte_cost, .way = CW_MS(REMOTE_ROUND_TRIP_MS)},
+        .crossing = {.ms_per_mb = router->settings.remote_byte_cost, .round_trip = CW_MS(REMOTE_ROUND_TRIP_MS)},
         .budget = {.ratio = router->settings.retry_ratio,
                    .extra = router->settings.retry_extra,
                    .window = router->settings.retry_window,
--- a/src/router/router_relay.c
+++ b/src/router/router_relay.c
@@ -299,7 +299,7 @@
     cw_time_us_t at = now - CW_MS(summary->ages_ms[index]);
     cw_peer_t   *peer = cw_peer_link_learn(router->link, summary->nodes[index], now);
 
-    if (peer == NULL || at <= peer->last_received_at || now - at > router->silence) {
+    if (peer == NULL || at <= peer->last_received_at || now - at > router->peer_timeout) {
         return;
     }
     if (at > peer->last_direct_report_at) {
@@ -349,7 +349,7 @@
 
     for (index = 0; index < summary->n_servers && index < CW_SUMMARY_SERVERS_MAX; index++) {
         sums[index] = (cw_server_report_t){.hash = summary->servers[index],
-                                           .under_way = summary->under_way[index],
+                                           .in_flight = summary->under_way[index],
                                            .waiting = summary->waiting[index],
                                            .unreachable = is_unreachable(summary, summary->servers[index])};
     }
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -141,7 +141,7 @@
 
 void node_fixture_receive_samples(node_fixture_t *node, const uint32_t *keys, size_t count, uint32_t seen)
 {
-    const char *service = cw_assigner_service(node->router.keyed[0].assigner);
+    const char *service = cw_assigner_service(node->router.assignments[0].assigner);
 
     cw_router_samples_t samples = {keys, NULL, count, seen, "z2"};
 
@@ -269,7 +269,7 @@
                                    .set_known_servers = set_known_servers,
                                    .read_configuration = read_configuration,
                                    .watch_configuration = watch_configuration};
-    node->adapter = (cw_adapter_t){.header_names = &node->names, .order = accept_order};
+    node->adapter = (cw_adapter_t){.header_names = &node->names, .send_order = accept_order};
     node->router.adapter = &node->adapter;
     node->router.platform = node;
     node->router.incarnation = 77;
